--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -61,7 +61,7 @@
 
 /// The node that holds the lease under which one node acts for all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
-pub struct HolderAddress {
+pub struct LeaseHolder {
     /// The node.
     pub node: NodeNumber,
     /// Where other nodes reach it (UDP).
@@ -166,7 +166,7 @@
     pub stopped: Vec<CrashRecord>,
     /// The holder of the lease, if it is known: relays that cannot reach the key-value service hear
     /// of it from the others.
-    pub holder: Option<HolderAddress>,
+    pub holder: Option<LeaseHolder>,
     /// Revision of the declaration that the relay has in force and passes on; 0 if there is none.
     pub declaration: u64,
 }
@@ -204,7 +204,7 @@
     /// The relays of the fleet; empty in most tables.
     pub relays: Vec<Relay>,
     /// The holder of the lease, if it is known.
-    pub holder: Option<HolderAddress>,
+    pub holder: Option<LeaseHolder>,
     /// Revision of the declaration that the relay has in force and passes on; 0 if there is none.
     pub declaration: u64,
 }
--- a/crates/dissemination/src/placement.rs
+++ b/crates/dissemination/src/placement.rs
@@ -11,17 +11,17 @@
     /// The prompt was sent.
     Sent,
     /// The engine has prefilled it.
-    Read,
+    Prefilled,
     /// The engine will not prefill it.
-    NotRead,
+    NotPrefilled,
 }
 
 impl From<PlacementState> for u8 {
     fn from(state: PlacementState) -> Self {
         match state {
             PlacementState::Sent => 0,
-            PlacementState::Read => 1,
-            PlacementState::NotRead => 2,
+            PlacementState::Prefilled => 1,
+            PlacementState::NotPrefilled => 2,
         }
     }
 }
@@ -32,8 +32,8 @@
     fn try_from(number: u8) -> Result<Self, Self::Error> {
         match number {
             0 => Ok(Self::Sent),
-            1 => Ok(Self::Read),
-            2 => Ok(Self::NotRead),
+            1 => Ok(Self::Prefilled),
+            2 => Ok(Self::NotPrefilled),
             _ => Err(UnknownPlacementState(number)),
         }
     }
--- a/crates/dissemination/tests/golden.rs
+++ b/crates/dissemination/tests/golden.rs
@@ -11,7 +11,7 @@
 use dalestand_dissemination::{
     ClassRow, DeclarationPart, DeclarationRequest, EngineCode, EngineLimit, EngineLimits,
     EngineLoad, EngineNotices, EngineStart, EntriesPage, EntriesRequest, EntryRecord, Exchange,
-    HolderAddress, IncludedReport, LoadScope, LoadSlice, LoadsMessage, MESSAGE_VERSION, Message,
+    IncludedReport, LeaseHolder, LoadScope, LoadSlice, LoadsMessage, MESSAGE_VERSION, Message,
     News, NewsBatch, NodeEntry, NodeNumber, PartsRequest, PermitAnswer, PermitNeed, PermitRequest,
     PlacedPart, Placement, PlacementState, PoolDemand, Relay, Report, RoleChange, SlownessRow,
     SumScope, SummedRows, SumsMessage, Table, TenantRow, TenantRows, UsageReport,
@@ -69,7 +69,7 @@
 }
 
 fn news() -> News {
-    let state = PlacementState::Read;
+    let state = PlacementState::Prefilled;
     News {
         origin: NodeNumber(4),
         placed: vec![Placement {
@@ -105,8 +105,8 @@
     ]
 }
 
-fn holder() -> Option<HolderAddress> {
-    Some(HolderAddress {
+fn holder() -> Option<LeaseHolder> {
+    Some(LeaseHolder {
         node: NodeNumber(2),
         address: address(),
         token: 31,
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -20,6 +20,7 @@
 use slog::Logger;
 use tokio::sync::{Notify, watch};
 
+use crate::dissemination::Dissemination;
 use crate::duties::usage_counts::UsageCounts;
 use crate::fleet::engines::Fleet;
 use crate::fleet::placements::Placements;
@@ -35,7 +36,6 @@
 use crate::serve::held_bytes::HeldBytes;
 use crate::serve::rooms::Rooms;
 use crate::serve::tenant_shares::TenantShares;
-use crate::spread::Spread;
 
 /// A node has at least this many connections to each engine, however many nodes there are.
 const MIN_CONNECTIONS: usize = 8;
@@ -69,7 +69,7 @@
     /// Rung when this node's work at an engine has changed.
     pub(crate) work_changed: Notify,
     /// Fleet-wide state that nodes pass on to each other.
-    pub(crate) spread: Spread,
+    pub(crate) dissemination: Dissemination,
     /// Parts sent to engines that other nodes have not heard of.
     pub(crate) placements: RefCell<Placements>,
     /// Leave to send requests to engines that take only so many.
@@ -131,7 +131,7 @@
             budget: RefCell::new(retry_budget(&settings)),
             splits: RefCell::default(),
             work_changed: Notify::new(),
-            spread: Spread::new(&settings),
+            dissemination: Dissemination::new(&settings),
             permits: PermitDesk::default(),
             authority: Authority::default(),
             usage: UsageCounts::new(NodeNumber::of(settings.node.as_str()), settings.usage()),
--- a/crates/forwarding/src/spread/bulk.rs
+++ b/crates/forwarding/src/dissemination/bulk.rs
@@ -5,15 +5,15 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::spread::pacing::pause;
-use crate::spread::transmit::send_encoded;
+use crate::dissemination::pacing::pause;
+use crate::dissemination::transmit::send_encoded;
 
 /// Bytes after which the sender waits until the link has carried them.
 const BURST_BYTES: usize = 16 << 10;
 
 /// Sends what waits, for as long as it is polled.
 pub(crate) async fn send_bulk(context: Rc<Context>, socket: Rc<UdpSocket>) {
-    let queue = &context.spread.bulk;
+    let queue = &context.dissemination.bulk;
     let mut burst = 0;
     loop {
         let Some((address, datagram)) = queue.pop() else {
--- a/crates/forwarding/src/spread/bulk_queue.rs
+++ b/crates/forwarding/src/dissemination/bulk_queue.rs
@@ -11,7 +11,7 @@
 
 use tokio::sync::Notify;
 
-use crate::spread::datagram::Datagram;
+use crate::dissemination::datagram::Datagram;
 
 /// Datagrams that wait at most: 9 MB, which a link of 200 Mbit/s carries at half its speed in 0.7 s. What is
 /// beyond is asked for again.
--- a/crates/forwarding/src/spread/contents.rs
+++ b/crates/forwarding/src/dissemination/contents.rs
@@ -7,7 +7,7 @@
 use dalestand_types::MonotonicTime;
 
 use crate::context::Context;
-use crate::spread::news_queue::NewsQueue;
+use crate::dissemination::news_queue::NewsQueue;
 
 /// Work at language-model engines; that at others is learnt from their answers.
 pub(super) fn prompt_loads(
@@ -63,7 +63,7 @@
         at_most_ms: time.as_millis() as u64,
     });
     News {
-        origin: context.spread.node,
+        origin: context.dissemination.node,
         placed: context.placements.borrow_mut().take(),
         role_changes: changes.collect(),
         crashes: context.quarantine.news.borrow_mut().take(),
--- a/crates/forwarding/src/spread/engine_notices.rs
+++ b/crates/forwarding/src/dissemination/engine_notices.rs
@@ -17,9 +17,9 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::fleet::signals::{known_limit, take_drain, take_start, take_told_limit};
-use crate::spread::notice_queue::{EngineNotice, NoticeSource, PER_MESSAGE};
-use crate::spread::transmit::send;
+use crate::dissemination::notice_queue::{EngineNotice, NoticeSource, PER_MESSAGE};
+use crate::dissemination::transmit::send;
+use crate::fleet::signals::{apply_reported_limit, known_limit, take_drain, take_start};
 
 /// Time between messages that carry the same.
 const REPEAT_INTERVAL: Duration = Duration::from_millis(100);
@@ -32,7 +32,7 @@
 pub(crate) async fn send_notices(context: Rc<Context>, socket: Rc<UdpSocket>) {
     let mut named_at = BootInstant::now();
     loop {
-        let queue = &context.spread.notices;
+        let queue = &context.dissemination.notices;
         if queue.is_empty() {
             let changed = tokio::time::timeout(NAMED_INTERVAL, queue.changed.notified());
             // Whether something changed or the time is over, both are looked at below.
@@ -40,7 +40,7 @@
         } else {
             actix_rt::time::sleep(REPEAT_INTERVAL).await;
         }
-        let is_relay = context.spread.role(context.now()).is_relay;
+        let is_relay = context.dissemination.role(context.now()).is_relay;
         let names_all = is_relay && named_at.elapsed() >= NAMED_INTERVAL;
         if names_all {
             named_at = BootInstant::now();
@@ -55,10 +55,10 @@
 }
 
 fn send_as_relay(context: &Context, socket: &UdpSocket, names_all: bool) -> usize {
-    let queue = &context.spread.notices;
-    let relays = context.spread.exchange_addresses(context.now());
+    let queue = &context.dissemination.notices;
+    let relays = context.dissemination.exchange_addresses(context.now());
     let relays: Vec<SocketAddr> = relays.into_iter().collect();
-    let members = context.spread.subscribers.borrow().addresses();
+    let members = context.dissemination.subscribers.borrow().addresses();
     let for_relays = queue.for_relays.borrow_mut().take();
     let for_members = queue.for_members.borrow_mut().take();
     let news =
@@ -74,9 +74,13 @@
 }
 
 fn send_as_member(context: &Context, socket: &UdpSocket) -> usize {
-    let queue = &context.spread.notices;
+    let queue = &context.dissemination.notices;
     queue.for_members.borrow_mut().clear();
-    let target = context.spread.subscription.borrow().target(context.now());
+    let target = context
+        .dissemination
+        .subscription
+        .borrow()
+        .target(context.now());
     let addresses: Vec<SocketAddr> = match target {
         ReportTarget::Subscribed(relay) => vec![relay.address],
         ReportTarget::Probe(relays) => relays.iter().map(|relay| relay.address).collect(),
@@ -94,8 +98,8 @@
 }
 
 fn standing(context: &Context) -> Standing {
-    let turn = context.spread.notices.turn.get();
-    context.spread.notices.turn.set(turn.wrapping_add(1));
+    let turn = context.dissemination.notices.turn.get();
+    context.dissemination.notices.turn.set(turn.wrapping_add(1));
     let fleet = context.fleet();
     let router = context.router.borrow();
     let signals = &router.signals;
@@ -132,7 +136,7 @@
     if notices.is_empty() || addresses.is_empty() {
         return 0;
     }
-    let node = context.spread.node;
+    let node = context.dissemination.node;
     let mut starts = EngineNotices {
         node,
         draining: Vec::new(),
@@ -159,7 +163,7 @@
 
 /// How another node knows that it hears of something: from a relay, which tells the other relays itself.
 fn source_of(context: &Context, node: NodeNumber) -> NoticeSource {
-    let mut relays = context.spread.other_relays().into_iter();
+    let mut relays = context.dissemination.other_relays().into_iter();
     if relays.any(|relay| relay.number == node) {
         NoticeSource::Relay
     } else {
@@ -171,7 +175,7 @@
 pub(crate) fn take_limits(context: &Context, limits: &EngineLimits) {
     let source = source_of(context, limits.node);
     for limit in &limits.limits {
-        take_told_limit(context, limit, source);
+        apply_reported_limit(context, limit, source);
     }
 }
 
--- a/crates/forwarding/src/spread/mod.rs
+++ b/crates/forwarding/src/dissemination/mod.rs
@@ -16,7 +16,7 @@
 mod pacing;
 pub(crate) mod receive;
 pub(crate) mod recent_changes;
-pub(crate) mod repeated_news;
+pub(crate) mod retransmit_queue;
 pub(crate) mod send;
 mod sent_pages;
 pub(crate) mod sums;
@@ -32,7 +32,7 @@
 use std::time::Duration;
 
 use dalestand_dissemination::{
-    DeclarationSync, EntryRecord, EntrySync, EntryTable, HolderAddress, NodeDirectory, NodeNumber,
+    DeclarationSync, EntryRecord, EntrySync, EntryTable, LeaseHolder, NodeDirectory, NodeNumber,
     Relay, Subscribers, Subscription,
 };
 use dalestand_routing::staged::{EngineKey, rendezvous_weight};
@@ -40,15 +40,15 @@
 use rand::RngExt as _;
 use tokio::sync::watch;
 
+use crate::dissemination::bulk_queue::BulkQueue;
+use crate::dissemination::news_queue::NewsQueue;
+use crate::dissemination::notice_queue::NoticeQueue;
+use crate::dissemination::own_reports::OwnReports;
+use crate::dissemination::recent_changes::RecentChanges;
+use crate::dissemination::sent_pages::SentPages;
 use crate::fleet::declaration_text::DeclarationText;
 use crate::fleet::restored_entries::HeldEntries;
 use crate::node::settings::ForwardingSettings;
-use crate::spread::bulk_queue::BulkQueue;
-use crate::spread::news_queue::NewsQueue;
-use crate::spread::notice_queue::NoticeQueue;
-use crate::spread::own_reports::OwnReports;
-use crate::spread::recent_changes::RecentChanges;
-use crate::spread::sent_pages::SentPages;
 
 /// Longest time between two tables of a relay.
 pub(crate) const TABLE_INTERVAL: Duration = Duration::from_millis(100);
@@ -87,7 +87,7 @@
 
 /// What this node does with fleet-wide state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct SpreadRole {
+pub(crate) struct DisseminationRole {
     /// It passes state on to members and exchanges sums with relays.
     pub(crate) is_relay: bool,
     /// It reads engines' and nodes' entries from the key-value service.
@@ -95,7 +95,7 @@
 }
 
 /// Fleet-wide state at this node.
-pub(crate) struct Spread {
+pub(crate) struct Dissemination {
     /// This node's number.
     pub(crate) node: NodeNumber,
     /// Nodes as their entries tell, this one among them. Kept up only while this node reads.
@@ -141,10 +141,10 @@
     pub(crate) exchange_news: RefCell<NewsQueue>,
     pub(crate) own_reports: RefCell<OwnReports>,
     /// The holder of the lease, as the key-value service or a relay told.
-    holder: Cell<Option<HolderAddress>>,
+    holder: Cell<Option<LeaseHolder>>,
 }
 
-impl Spread {
+impl Dissemination {
     pub(crate) fn new(settings: &ForwardingSettings) -> Self {
         let node = NodeNumber::of(settings.node.as_str());
         let subscription = Subscription::new(node, settings.zone.clone(), RELAY_SILENCE);
@@ -188,9 +188,9 @@
     }
 
     /// Notes the name and the token of the node that holds the lease.
-    pub(crate) fn set_holder_name(&self, name: &str, token: u64) {
+    pub(crate) fn set_lease_holder_by_name(&self, name: &str, token: u64) {
         let entry = self.directory.borrow().get(name).cloned();
-        self.set_holder(entry.map(|entry| HolderAddress {
+        self.set_lease_holder(entry.map(|entry| LeaseHolder {
             node: NodeNumber::of(name),
             address: entry.address,
             token,
@@ -199,7 +199,7 @@
 
     /// Notes the holder of the lease, unless a newer one is known. The last one stays known until
     /// there is a newer.
-    pub(crate) fn set_holder(&self, holder: Option<HolderAddress>) {
+    pub(crate) fn set_lease_holder(&self, holder: Option<LeaseHolder>) {
         let known = self.holder.get().map_or(0, |known| known.token);
         if holder.is_some_and(|holder| holder.token > known) {
             self.holder.set(holder);
@@ -218,7 +218,7 @@
     }
 
     /// The holder of the lease, as far as is known.
-    pub(crate) fn holder(&self) -> Option<HolderAddress> {
+    pub(crate) fn lease_holder(&self) -> Option<LeaseHolder> {
         self.holder.get()
     }
 
@@ -236,7 +236,7 @@
 
     /// All relays that are known, in the order in which they are to issue an engine's permits. Of a relay this
     /// node is one of them; a member has heard of them from its relay.
-    pub(crate) fn issuers(&self, engine: EngineKey, is_relay: bool) -> Vec<Relay> {
+    pub(crate) fn permit_issuers(&self, engine: EngineKey, is_relay: bool) -> Vec<Relay> {
         let mut relays = if is_relay {
             self.relays.borrow().clone()
         } else {
@@ -247,7 +247,7 @@
     }
 
     /// Whether the relay at `address` was heard lately.
-    pub(crate) fn is_heard(&self, address: SocketAddr, now: MonotonicTime) -> bool {
+    pub(crate) fn was_heard_recently(&self, address: SocketAddr, now: MonotonicTime) -> bool {
         let exchanging = self.exchanging.borrow();
         let heard_at = exchanging.get(&address);
         heard_at.is_some_and(|heard_at| now.since(*heard_at) < UNHEARD)
@@ -264,7 +264,7 @@
     }
 
     /// Notes that the entries of all nodes were read.
-    pub(crate) fn nodes_listed(&self) {
+    pub(crate) fn set_nodes_listed(&self) {
         self.nodes_listed.set(true);
     }
 
@@ -274,7 +274,7 @@
     }
 
     /// This node's place among the relays.
-    pub(crate) fn place_among_relays(&self) -> u32 {
+    pub(crate) fn relay_index(&self) -> u32 {
         let relays = self.relays.borrow();
         let before = relays.iter().filter(|relay| relay.number < self.node);
         before.count() as u32
@@ -310,17 +310,17 @@
     fn read_after(&self) -> Duration {
         let nodes = self.fleet_nodes.get().max(self.node_count());
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-        let spread = READ_SPREAD.max(READ_SPREAD_PER_NODE.saturating_mul(nodes));
-        READ_AFTER + spread.mul_f64(self.read_place)
+        let jitter = READ_SPREAD.max(READ_SPREAD_PER_NODE.saturating_mul(nodes));
+        READ_AFTER + jitter.mul_f64(self.read_place)
     }
 
     /// What this node does at `now`.
-    pub(crate) fn role(&self, now: MonotonicTime) -> SpreadRole {
+    pub(crate) fn role(&self, now: MonotonicTime) -> DisseminationRole {
         let is_relay = self.is_elected() || now < self.addressed_until.get();
         let subscription = self.subscription.borrow();
         let unheard = now.since(subscription.heard_at()) > self.read_after();
         let reads_store = is_relay || unheard;
-        SpreadRole {
+        DisseminationRole {
             is_relay,
             reads_store,
         }
@@ -333,7 +333,7 @@
     }
 
     /// Lets the followers of the key-value service run or stops them, as `role` has it.
-    pub(crate) fn follow_as(&self, role: SpreadRole) {
+    pub(crate) fn follow_as(&self, role: DisseminationRole) {
         self.reads_store.send_if_modified(|current| {
             let former = std::mem::replace(current, role.reads_store);
             former != role.reads_store
@@ -341,7 +341,7 @@
     }
 
     /// Tells followers of engines' and nodes' entries whether they are to run.
-    pub(crate) fn reading(&self) -> watch::Receiver<bool> {
+    pub(crate) fn subscribe_reads_store(&self) -> watch::Receiver<bool> {
         self.reads_store.subscribe()
     }
 }
--- a/crates/forwarding/src/spread/notice_queue.rs
+++ b/crates/forwarding/src/dissemination/notice_queue.rs
@@ -6,17 +6,17 @@
 use dalestand_routing::staged::EngineKey;
 use tokio::sync::Notify;
 
-use crate::spread::repeated_news::{RepeatTerms, RepeatedNews};
+use crate::dissemination::retransmit_queue::{RetransmitPolicy, RetransmitQueue};
 
 /// Engines in one message: 0.9 KB, below what a path carries in one packet.
 pub(super) const PER_MESSAGE: usize = 48;
 
 /// Each notice goes out with three messages. Those that wait are the engines of a release of a whole zone;
 /// what is dropped is named again by the relays.
-const TERMS: RepeatTerms = RepeatTerms {
-    repeats: 3,
-    per_message: PER_MESSAGE,
-    waiting: 4_096,
+const TERMS: RetransmitPolicy = RetransmitPolicy {
+    transmissions: 3,
+    max_per_message: PER_MESSAGE,
+    max_queued: 4_096,
 };
 
 /// How a node learnt what it is to tell.
@@ -46,8 +46,8 @@
 /// Notices on their way to other nodes.
 #[derive(Debug)]
 pub(crate) struct NoticeQueue {
-    pub(super) for_relays: RefCell<RepeatedNews<EngineNotice>>,
-    pub(super) for_members: RefCell<RepeatedNews<EngineNotice>>,
+    pub(super) for_relays: RefCell<RetransmitQueue<EngineNotice>>,
+    pub(super) for_members: RefCell<RetransmitQueue<EngineNotice>>,
     /// Rung when there are some.
     pub(super) changed: Notify,
     /// Messages in which this relay has named what stands, so that all comes by turns.
@@ -57,8 +57,8 @@
 impl Default for NoticeQueue {
     fn default() -> Self {
         Self {
-            for_relays: RefCell::new(RepeatedNews::new(TERMS)),
-            for_members: RefCell::new(RepeatedNews::new(TERMS)),
+            for_relays: RefCell::new(RetransmitQueue::new(TERMS)),
+            for_members: RefCell::new(RetransmitQueue::new(TERMS)),
             changed: Notify::new(),
             turn: Cell::new(0),
         }
--- a/crates/forwarding/src/spread/own_figures.rs
+++ b/crates/forwarding/src/dissemination/own_figures.rs
@@ -5,7 +5,7 @@
 use crate::context::Context;
 
 /// Replaces this node's own rows among the figures of all nodes.
-pub(crate) fn count_own_figures(context: &Context, now: MonotonicTime) {
+pub(crate) fn update_own_figures(context: &Context, now: MonotonicTime) {
     let classes = context.classes.figures(now);
     context.sums.classes.borrow_mut().set_own(classes);
     let tenants = context.tenant_shares.figures(now);
@@ -13,7 +13,7 @@
 }
 
 /// Works the shares of tenants out from the figures of all nodes.
-pub(crate) fn divide_room(context: &Context, now: MonotonicTime) {
+pub(crate) fn refresh_tenant_shares(context: &Context, now: MonotonicTime) {
     if let Some(table) = context.table() {
         let fleet = context.fleet();
         let engines = |pool: &PoolName| fleet.pool(pool);
@@ -24,10 +24,10 @@
 }
 
 /// Notes that a tenant's request found no room: shares that decide nothing yet are worked out at once.
-pub(crate) fn room_is_short(context: &Context, now: MonotonicTime) {
+pub(crate) fn on_room_shortage(context: &Context, now: MonotonicTime) {
     if context.tenant_shares.wants_figures(now) {
-        count_own_figures(context, now);
+        update_own_figures(context, now);
         context.sums.refresh_demand(now);
-        divide_room(context, now);
+        refresh_tenant_shares(context, now);
     }
 }
--- a/crates/forwarding/src/spread/receive/declaration.rs
+++ b/crates/forwarding/src/dissemination/receive/declaration.rs
@@ -7,8 +7,8 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::transmit::{encode, send as send_message};
 use crate::fleet::declaration;
-use crate::spread::transmit::{encode, send as send_message};
 
 /// Asks a relay for the declaration that it has in force, if that is newer than this node's.
 pub(super) fn ask_if_newer(
@@ -20,8 +20,8 @@
     let own = context.table().map_or(0, |table| table.revision().0);
     let now = context.now();
     let request = {
-        let mut sync = context.spread.declaration_sync.borrow_mut();
-        sync.request(now, context.spread.node, own, revision)
+        let mut sync = context.dissemination.declaration_sync.borrow_mut();
+        sync.request(now, context.dissemination.node, own, revision)
     };
     if let Some(request) = request {
         let message = Message::DeclarationRequest(request);
@@ -32,22 +32,26 @@
 
 /// Sends a node the declaration in force, if this one passes it on.
 pub(super) fn send(context: &Context, asker: SocketAddr, request: &DeclarationRequest) {
-    if context.spread.bulk.has(asker) {
+    if context.dissemination.bulk.has(asker) {
         return;
     }
-    let Some(in_force) = context.spread.declaration.borrow().clone() else {
+    let Some(in_force) = context.dissemination.declaration.borrow().clone() else {
         return;
     };
     for part in declaration_parts(in_force.revision, &in_force.text, request) {
         if let Some(datagram) = encode(context, &Message::Declaration(part)) {
-            context.spread.bulk.push(asker, Rc::new(datagram));
+            context.dissemination.bulk.push(asker, Rc::new(datagram));
         }
     }
 }
 
 /// Takes a part in.
 pub(super) fn take(context: &Context, part: DeclarationPart) {
-    let whole = context.spread.declaration_sync.borrow_mut().take(part);
+    let whole = context
+        .dissemination
+        .declaration_sync
+        .borrow_mut()
+        .take(part);
     if let Some(text) = whole {
         declaration::take(context, &text);
     }
--- a/crates/forwarding/src/spread/receive/entries.rs
+++ b/crates/forwarding/src/dissemination/receive/entries.rs
@@ -10,10 +10,10 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::recent_changes::ChangeSource;
+use crate::dissemination::sent_pages::SentPages;
+use crate::dissemination::transmit::{encode, send as send_message};
 use crate::fleet::engine_entries;
-use crate::spread::recent_changes::ChangeSource;
-use crate::spread::sent_pages::SentPages;
-use crate::spread::transmit::{encode, send as send_message};
 
 /// Entries that a member asks for at once take its link this long at most: callers' requests wait
 /// behind them.
@@ -24,14 +24,19 @@
 
 /// Asks a relay for the entries that differ, if it is time.
 pub(super) fn ask_if_due(context: &Context, socket: &UdpSocket, relay: SocketAddr) {
-    if !context.spread.entry_sync.borrow_mut().is_due(context.now()) {
+    if !context
+        .dissemination
+        .entry_sync
+        .borrow_mut()
+        .is_due(context.now())
+    {
         return;
     }
     let carried = context.settings.link_bytes(ENTRIES_LINK_TIME);
     let max_bytes = carried.min(MAX_ENTRIES_BYTES);
     let request = {
-        let entries = context.spread.entries.borrow();
-        entries_request(context.spread.node, &entries, max_bytes)
+        let entries = context.dissemination.entries.borrow();
+        entries_request(context.dissemination.node, &entries, max_bytes)
     };
     let message = Message::EntriesRequest(request);
     let sent_bytes = send_message(context, socket, &[relay], &message);
@@ -40,18 +45,23 @@
 
 /// Sends a member the entries that differ from its own.
 pub(super) fn send(context: &Context, member: SocketAddr, request: EntriesRequest) {
-    let spread = &context.spread;
-    if !spread.role(context.now()).is_relay || spread.bulk.has(member) {
+    let dissemination = &context.dissemination;
+    if !dissemination.role(context.now()).is_relay || dissemination.bulk.has(member) {
         return;
     }
-    let entries = context.spread.entries.borrow();
+    let entries = context.dissemination.entries.borrow();
     let table_digest = entries.digest();
-    let mut sent = context.spread.sent_pages.borrow_mut();
+    let mut sent = context.dissemination.sent_pages.borrow_mut();
     let known = sent
         .take()
         .filter(|sent| sent.answers(table_digest, &request));
     let answer = known.unwrap_or_else(|| {
-        let pages = entries_pages(context.spread.node, &entries, &request, rand::random());
+        let pages = entries_pages(
+            context.dissemination.node,
+            &entries,
+            &request,
+            rand::random(),
+        );
         let pages = pages.into_iter().map(Message::Entries);
         SentPages {
             request,
@@ -62,7 +72,7 @@
         }
     });
     for page in &answer.pages {
-        context.spread.bulk.push(member, Rc::clone(page));
+        context.dissemination.bulk.push(member, Rc::clone(page));
     }
     *sent = Some(answer);
 }
@@ -70,20 +80,22 @@
 /// Takes a page in, if it is from the relay that this node listens to.
 pub(super) fn take_page(context: &Context, page: EntriesPage) {
     let is_followed = {
-        let subscription = context.spread.subscription.borrow();
+        let subscription = context.dissemination.subscription.borrow();
         let current = subscription.current();
         current.is_some_and(|relay| relay.number == page.node)
     };
     if !is_followed {
         return;
     }
-    let records = context.spread.without_held(context.now(), page.records);
+    let records = context
+        .dissemination
+        .without_held(context.now(), page.records);
     let changes = {
-        let mut entries = context.spread.entries.borrow_mut();
+        let mut entries = context.dissemination.entries.borrow_mut();
         entries.take_range(page.revision, page.first..=page.last, records)
     };
     if !changes.is_empty() {
-        context.spread.entry_sync.borrow_mut().progressed();
+        context.dissemination.entry_sync.borrow_mut().progressed();
     }
     engine_entries::apply(context, changes, ChangeSource::Relay);
 }
--- a/crates/forwarding/src/spread/receive/exchange.rs
+++ b/crates/forwarding/src/dissemination/receive/exchange.rs
@@ -7,21 +7,21 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::receive::declaration::ask_if_newer;
+use crate::dissemination::receive::loads::{take_demand, take_slice};
+use crate::dissemination::receive::news::pass_to_members;
+use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::engine_entries;
 use crate::quarantine::evidence::take_all;
-use crate::spread::receive::declaration::ask_if_newer;
-use crate::spread::receive::loads::{take_demand, take_slice};
-use crate::spread::receive::news::pass_to_members;
-use crate::spread::recent_changes::ChangeSource;
 
 /// Takes an exchange in.
 pub(super) fn take(context: &Context, socket: &UdpSocket, relay: SocketAddr, exchange: Exchange) {
-    let spread = &context.spread;
-    spread.addressed(context.now(), relay);
+    let dissemination = &context.dissemination;
+    dissemination.addressed(context.now(), relay);
     let source = LoadSource::Relay(exchange.node.0);
     take_slice(context, source, exchange.age_ms, &exchange.work);
     take_demand(context, source, exchange.demand);
-    spread.set_holder(exchange.holder);
+    dissemination.set_lease_holder(exchange.holder);
     pass_to_members(context, exchange.news);
     take_all(context, &exchange.stopped);
     engine_entries::take(context, exchange.changes, ChangeSource::Relay);
--- a/crates/forwarding/src/spread/receive/loads.rs
+++ b/crates/forwarding/src/dissemination/receive/loads.rs
@@ -19,11 +19,11 @@
         }
         LoadScope::Fleet => {
             let is_followed = {
-                let subscription = context.spread.subscription.borrow();
+                let subscription = context.dissemination.subscription.borrow();
                 let current = subscription.current();
                 current.is_some_and(|relay| relay.number == message.node)
             };
-            if is_followed && !context.spread.role(context.now()).is_relay {
+            if is_followed && !context.dissemination.role(context.now()).is_relay {
                 take_fleet_slice(context, message.age_ms, &message.work);
             }
         }
@@ -36,7 +36,7 @@
         return;
     }
     let others = {
-        let own_reports = context.spread.own_reports.borrow();
+        let own_reports = context.dissemination.own_reports.borrow();
         work_of_others(&context.fleet(), &work.loads, own_reports.included_work())
     };
     let reported_at = reported_at(context, age_ms);
--- a/crates/forwarding/src/spread/receive/mod.rs
+++ b/crates/forwarding/src/dissemination/receive/mod.rs
@@ -17,12 +17,12 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::datagram::kind_label;
+use crate::dissemination::engine_notices;
+use crate::dissemination::recent_changes::ChangeSource;
+use crate::dissemination::sums;
 use crate::fleet::engine_entries;
 use crate::permits::{asking, issuing};
-use crate::spread::datagram::kind_label;
-use crate::spread::engine_notices;
-use crate::spread::recent_changes::ChangeSource;
-use crate::spread::sums;
 
 /// Longest datagram there is: one that were cut would be unreadable, and a relay whose tables are
 /// unreadable counts as lost.
--- a/crates/forwarding/src/spread/receive/news.rs
+++ b/crates/forwarding/src/dissemination/receive/news.rs
@@ -8,10 +8,10 @@
 use dalestand_routing::staged::{EngineKey, PromptPart};
 
 use crate::context::Context;
+use crate::dissemination::news_queue::NewsQueue;
+use crate::dissemination::transmit::encode;
 use crate::fleet::part_recovery::known_parts;
 use crate::quarantine::evidence::take_all;
-use crate::spread::news_queue::NewsQueue;
-use crate::spread::transmit::encode;
 
 /// Most nodes that wait for known parts; one that is left out reads some parts again.
 const MOST_ASKERS: usize = 1_000;
@@ -20,13 +20,13 @@
 pub(super) fn pass_to_members(context: &Context, all: Vec<News>) {
     for news in all {
         take_news(context, &news);
-        context.spread.table_news.borrow_mut().push(news);
+        context.dissemination.table_news.borrow_mut().push(news);
     }
 }
 
 /// Notes what happened at other nodes.
 pub(super) fn take_news(context: &Context, news: &News) {
-    if news.origin == context.spread.node {
+    if news.origin == context.dissemination.node {
         return;
     }
     take_all(context, &news.crashes);
@@ -62,11 +62,11 @@
                 };
                 router.parts.sent(engine, memory_tokens, &[own]);
             }
-            PlacementState::Read => {
+            PlacementState::Prefilled => {
                 router.parts.sent(engine, memory_tokens, &parts);
                 router.parts.read(engine, &parts);
             }
-            PlacementState::NotRead => {
+            PlacementState::NotPrefilled => {
                 router.parts.not_read(engine, &parts);
             }
         }
@@ -75,7 +75,7 @@
 
 /// Notes that a node which has just started asks for known parts.
 pub(super) fn note_parts_request(context: &Context, asker: SocketAddr) {
-    let mut askers = context.spread.parts_askers.borrow_mut();
+    let mut askers = context.dissemination.parts_askers.borrow_mut();
     if askers.len() < MOST_ASKERS && !askers.contains(&asker) {
         askers.push(asker);
     }
@@ -84,23 +84,26 @@
 /// Answers the nodes that asked for known parts, all of them at once: after a start of the whole fleet
 /// they are all members of this relay, and to gather the parts for each held it up for 0.3 s.
 pub(crate) fn answer_parts_requests(context: &Context) {
-    let askers = std::mem::take(&mut *context.spread.parts_askers.borrow_mut());
+    let askers = std::mem::take(&mut *context.dissemination.parts_askers.borrow_mut());
     if askers.is_empty() {
         return;
     }
     let mut queue = NewsQueue::default();
     queue.push(News {
         placed: known_parts(context),
-        ..News::none(context.spread.node)
+        ..News::none(context.dissemination.node)
     });
-    let node = context.spread.node;
+    let node = context.dissemination.node;
     for news in queue.take_batches() {
         let message = Message::News(NewsBatch { node, news });
         let Some(datagram) = encode(context, &message).map(Rc::new) else {
             continue;
         };
         for asker in &askers {
-            context.spread.bulk.push(*asker, Rc::clone(&datagram));
+            context
+                .dissemination
+                .bulk
+                .push(*asker, Rc::clone(&datagram));
         }
     }
 }
--- a/crates/forwarding/src/spread/receive/report.rs
+++ b/crates/forwarding/src/dissemination/receive/report.rs
@@ -6,20 +6,21 @@
 use dalestand_routing::staged::{LoadSource, ReportSlice};
 
 use crate::context::Context;
-use crate::spread::receive::loads::{take_demand, take_work};
-use crate::spread::receive::news::take_news;
+use crate::dissemination::receive::loads::{take_demand, take_work};
+use crate::dissemination::receive::news::take_news;
 
 /// Takes a report in. A node that is no relay stays silent, so that the member looks for another.
 pub(super) fn take(context: &Context, sender: SocketAddr, report: Report) {
     let now = context.now();
-    let spread = &context.spread;
-    if !spread.role(now).is_relay {
+    let dissemination = &context.dissemination;
+    if !dissemination.role(now).is_relay {
         return;
     }
-    let is_new = spread
-        .subscribers
-        .borrow_mut()
-        .heard(now, report.node, sender, report.sequence);
+    let is_new =
+        dissemination
+            .subscribers
+            .borrow_mut()
+            .heard(now, report.node, sender, report.sequence);
     if !is_new {
         return;
     }
@@ -33,6 +34,9 @@
     take_demand(context, source, report.demand);
     context.work_changed.notify_one();
     take_news(context, &report.news);
-    spread.exchange_news.borrow_mut().push(report.news.clone());
-    spread.table_news.borrow_mut().push(report.news);
+    dissemination
+        .exchange_news
+        .borrow_mut()
+        .push(report.news.clone());
+    dissemination.table_news.borrow_mut().push(report.news);
 }
--- a/crates/forwarding/src/spread/send.rs
+++ b/crates/forwarding/src/dissemination/send.rs
@@ -13,11 +13,11 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::contents::{demand, prompt_loads, summed_loads, take_news, taken_news};
+use crate::dissemination::pacing::{REPORT_INTERVAL, exchange_interval, pause};
+use crate::dissemination::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
+use crate::dissemination::{DisseminationRole, TABLE_INTERVAL};
 use crate::quarantine::evidence::told;
-use crate::spread::contents::{demand, prompt_loads, summed_loads, take_news, taken_news};
-use crate::spread::pacing::{REPORT_INTERVAL, exchange_interval, pause};
-use crate::spread::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
-use crate::spread::{SpreadRole, TABLE_INTERVAL};
 
 /// How often demand is sent.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
@@ -44,13 +44,13 @@
         demand: started,
         message: started,
     };
-    let mut former: Option<SpreadRole> = None;
+    let mut former: Option<DisseminationRole> = None;
     loop {
         let changed = context.work_changed.notified();
         if tokio::time::timeout(TABLE_INTERVAL, changed).await.is_ok() {
             actix_rt::time::sleep(GATHER).await;
         }
-        let role = context.spread.role(context.now());
+        let role = context.dissemination.role(context.now());
         if former != Some(role) {
             take_role(&context, role);
             former = Some(role);
@@ -65,8 +65,8 @@
     }
 }
 
-fn take_role(context: &Context, role: SpreadRole) {
-    context.spread.follow_as(role);
+fn take_role(context: &Context, role: DisseminationRole) {
+    context.dissemination.follow_as(role);
     log_event!(context.logger, Event::SpreadRoleTaken, "relay" => role.is_relay,
         "reads_store" => role.reads_store, "nodes" => context.node_count());
     if role.is_relay {
@@ -79,7 +79,7 @@
     if !context.asks_for_parts() {
         return;
     }
-    let subscription = context.spread.subscription.borrow();
+    let subscription = context.dissemination.subscription.borrow();
     let current = subscription.current().into_iter();
     let zone = &context.settings.zone;
     let others = subscription.relays().iter();
@@ -89,7 +89,7 @@
     let asked = current.chain(own).chain(foreign);
     let asked: Vec<&Relay> = asked.take(RELAYS_ASKED).collect();
     let request = PartsRequest {
-        node: context.spread.node,
+        node: context.dissemination.node,
     };
     let addresses: Vec<SocketAddr> = asked.iter().map(|relay| relay.address).collect();
     send(context, socket, &addresses, &Message::PartsRequest(request));
@@ -98,11 +98,14 @@
 /// One exchange, if there is something to send; yields the time until the next.
 fn send_to_relays(context: &Context, socket: &UdpSocket, last: &mut LastSent) -> Duration {
     let now = context.now();
-    let spread = &context.spread;
+    let dissemination = &context.dissemination;
     context.router.borrow_mut().work.sweep(now);
     let own_news = take_news(context);
-    spread.exchange_news.borrow_mut().push(own_news.clone());
-    spread.table_news.borrow_mut().push(own_news);
+    dissemination
+        .exchange_news
+        .borrow_mut()
+        .push(own_news.clone());
+    dissemination.table_news.borrow_mut().push(own_news);
     let demand_is_due = last.demand.elapsed() >= DEMAND_INTERVAL;
     let heartbeat_is_due = last.message.elapsed() >= HEARTBEAT_INTERVAL;
     let sent_bytes = send_exchange(context, socket, demand_is_due, heartbeat_is_due);
@@ -114,9 +117,9 @@
         last.demand = last.message;
     }
     context.sent(sent_bytes);
-    let has_members = !spread.subscribers.borrow().addresses().is_empty();
+    let has_members = !dissemination.subscribers.borrow().addresses().is_empty();
     let least = if has_members {
-        exchange_interval(spread.other_relays().len())
+        exchange_interval(dissemination.other_relays().len())
     } else {
         Duration::ZERO
     };
@@ -129,8 +132,8 @@
     demand_is_due: bool,
     heartbeat_is_due: bool,
 ) -> usize {
-    let spread = &context.spread;
-    let others = spread.exchange_addresses(context.now());
+    let dissemination = &context.dissemination;
+    let others = dissemination.exchange_addresses(context.now());
     let others: Vec<SocketAddr> = others.into_iter().collect();
     let is_member = |source| matches!(source, LoadSource::Member(_));
     let summed = context
@@ -139,9 +142,13 @@
         .work
         .summed(context.now(), is_member);
     let loads = summed_loads(context, summed);
-    let mut batches = taken_news(context, &spread.exchange_news).into_iter();
+    let mut batches = taken_news(context, &dissemination.exchange_news).into_iter();
     let news = batches.next().unwrap_or_default();
-    let mut further_changes = spread.changes.borrow_mut().for_exchange().into_iter();
+    let mut further_changes = dissemination
+        .changes
+        .borrow_mut()
+        .for_exchange()
+        .into_iter();
     let changes = further_changes.next().unwrap_or_default();
     let has_more = !loads.first.loads.is_empty()
         || loads.others.len() > 0
@@ -151,7 +158,7 @@
         return 0;
     }
     let exchange = Exchange {
-        node: spread.node,
+        node: dissemination.node,
         age_ms: loads.age_ms,
         work: loads.first,
         demand: if demand_is_due {
@@ -166,8 +173,8 @@
         } else {
             Vec::new()
         },
-        holder: spread.holder(),
-        declaration: spread.declaration_offered(),
+        holder: dissemination.lease_holder(),
+        declaration: dissemination.declaration_offered(),
     };
     let header = LoadHeader {
         scope: LoadScope::Members,
@@ -181,18 +188,21 @@
 
 /// Asks a relay of the own zone whether it lives, where this node listens to one of another zone.
 fn probe_own_zone(context: &Context, socket: &UdpSocket) {
-    let spread = &context.spread;
-    let probed = spread.subscription.borrow_mut().return_probe(context.now());
+    let dissemination = &context.dissemination;
+    let probed = dissemination
+        .subscription
+        .borrow_mut()
+        .return_probe(context.now());
     let Some(relay) = probed else {
         return;
     };
     let probe = Report {
-        node: spread.node,
-        sequence: spread.own_reports.borrow_mut().next(Vec::new()),
+        node: dissemination.node,
+        sequence: dissemination.own_reports.borrow_mut().next(Vec::new()),
         is_probe: true,
         work: Vec::new(),
         demand: Vec::new(),
-        news: News::none(spread.node),
+        news: News::none(dissemination.node),
     };
     let sent_bytes = send(context, socket, &[relay.address], &Message::Report(probe));
     context.sent(sent_bytes);
@@ -200,9 +210,9 @@
 
 /// One report, if there is something to report; yields the time until the next.
 fn send_as_member(context: &Context, socket: &UdpSocket, last: &mut LastSent) -> Duration {
-    let spread = &context.spread;
+    let dissemination = &context.dissemination;
     probe_own_zone(context, socket);
-    let target = spread.subscription.borrow().target(context.now());
+    let target = dissemination.subscription.borrow().target(context.now());
     let (addresses, is_probe) = match target {
         ReportTarget::Subscribed(relay) => (vec![relay.address], false),
         ReportTarget::Probe(relays) => {
@@ -219,10 +229,10 @@
         let own = context.router.borrow().work.own_work().collect::<Vec<_>>();
         prompt_loads(context, own)
     };
-    let is_new = spread.own_reports.borrow().last_work() != Some(&work);
+    let is_new = dissemination.own_reports.borrow().last_work() != Some(&work);
     // A probe takes no news with it: relays that are not chosen would pass them on a second time.
     let news = if is_probe {
-        News::none(spread.node)
+        News::none(dissemination.node)
     } else {
         take_news(context)
     };
@@ -237,8 +247,8 @@
         last.demand = last.message;
     }
     let report = Report {
-        node: spread.node,
-        sequence: spread.own_reports.borrow_mut().next(work.clone()),
+        node: dissemination.node,
+        sequence: dissemination.own_reports.borrow_mut().next(work.clone()),
         is_probe,
         work,
         demand: if demand_is_due {
--- a/crates/forwarding/src/spread/sent_pages.rs
+++ b/crates/forwarding/src/dissemination/sent_pages.rs
@@ -4,7 +4,7 @@
 
 use dalestand_dissemination::EntriesRequest;
 
-use crate::spread::datagram::Datagram;
+use crate::dissemination::datagram::Datagram;
 
 /// Pages that were sent to a member, for others that lack the same: after a start all members of a relay
 /// know nothing, and are sent the same pages, built and encoded once instead of fifty times.
--- a/crates/forwarding/src/spread/sums.rs
+++ b/crates/forwarding/src/dissemination/sums.rs
@@ -14,9 +14,9 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::own_figures::{refresh_tenant_shares, update_own_figures};
+use crate::dissemination::transmit::send;
 use crate::fleet_sums::FleetSums;
-use crate::spread::own_figures::{count_own_figures, divide_room};
-use crate::spread::transmit::send;
 
 /// Time between two messages. Shares and room follow demand that turns within three seconds.
 const INTERVAL: Duration = Duration::from_millis(250);
@@ -41,14 +41,14 @@
     loop {
         actix_rt::time::sleep(pause).await;
         let now = context.now();
-        let is_relay = context.spread.role(now).is_relay;
+        let is_relay = context.dissemination.role(now).is_relay;
         if was_relay.replace(is_relay) == Some(false) && is_relay {
             // A relay has the sums of its own members and of the other relays instead.
             context.sums.forget(LoadSource::Fleet);
         }
-        count_own_figures(&context, now);
+        update_own_figures(&context, now);
         context.sums.refresh(now);
-        divide_room(&context, now);
+        refresh_tenant_shares(&context, now);
         let sent_bytes = if is_relay {
             send_as_relay(&context, &socket, turn)
         } else {
@@ -62,7 +62,11 @@
 }
 
 fn send_as_member(context: &Context, socket: &UdpSocket, turn: usize) -> usize {
-    let target = context.spread.subscription.borrow().target(context.now());
+    let target = context
+        .dissemination
+        .subscription
+        .borrow()
+        .target(context.now());
     let ReportTarget::Subscribed(relay) = target else {
         // Relays that are only looked for would count the figures a second time.
         return 0;
@@ -72,9 +76,9 @@
 }
 
 fn send_as_relay(context: &Context, socket: &UdpSocket, turn: usize) -> usize {
-    let relays = context.spread.exchange_addresses(context.now());
+    let relays = context.dissemination.exchange_addresses(context.now());
     let relays: Vec<SocketAddr> = relays.into_iter().collect();
-    let members = context.spread.subscribers.borrow().addresses();
+    let members = context.dissemination.subscribers.borrow().addresses();
     let of_members = rows(context, turn, |source| {
         matches!(source, LoadSource::Member(_))
     });
@@ -93,7 +97,7 @@
     if addresses.is_empty() {
         return 0;
     }
-    let node = context.spread.node;
+    let node = context.dissemination.node;
     let sent = messages.into_iter().map(|rows| {
         let message = Message::Sums(SumsMessage { node, scope, rows });
         send(context, socket, addresses, &message)
@@ -182,7 +186,7 @@
 /// Takes in figures of another node. Rows that no node can have counted are passed over.
 pub(super) fn take(context: &Context, message: SumsMessage) {
     let now = context.now();
-    let is_relay = context.spread.role(now).is_relay;
+    let is_relay = context.dissemination.role(now).is_relay;
     let source = match message.scope {
         SumScope::Node => LoadSource::Member(message.node.0),
         SumScope::Members => LoadSource::Relay(message.node.0),
@@ -199,7 +203,7 @@
 }
 
 fn is_followed(context: &Context, message: &SumsMessage) -> bool {
-    let subscription = context.spread.subscription.borrow();
+    let subscription = context.dissemination.subscription.borrow();
     let current = subscription.current();
     current.is_some_and(|relay| relay.number == message.node)
 }
--- a/crates/forwarding/src/spread/tables.rs
+++ b/crates/forwarding/src/dissemination/tables.rs
@@ -9,12 +9,12 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::TABLE_INTERVAL;
+use crate::dissemination::contents::{summed_loads, taken_news};
+use crate::dissemination::pacing::pause;
+use crate::dissemination::receive::news::answer_parts_requests;
+use crate::dissemination::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
 use crate::quarantine::evidence::told;
-use crate::spread::TABLE_INTERVAL;
-use crate::spread::contents::{summed_loads, taken_news};
-use crate::spread::pacing::pause;
-use crate::spread::receive::news::answer_parts_requests;
-use crate::spread::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
 
 /// How often the relays are named to members.
 const RELAYS_INTERVAL: Duration = Duration::from_secs(1);
@@ -31,17 +31,17 @@
     let mut parts_told = BootInstant::now();
     loop {
         let now = context.now();
-        let spread = &context.spread;
-        spread.subscribers.borrow_mut().sweep(now);
-        if parts_told.elapsed() >= PARTS_INTERVAL && spread.role(now).is_relay {
+        let dissemination = &context.dissemination;
+        dissemination.subscribers.borrow_mut().sweep(now);
+        if parts_told.elapsed() >= PARTS_INTERVAL && dissemination.role(now).is_relay {
             parts_told = BootInstant::now();
             answer_parts_requests(&context);
         }
-        let members = spread.subscribers.borrow().addresses();
-        if members.is_empty() || !spread.role(now).is_relay {
+        let members = dissemination.subscribers.borrow().addresses();
+        if members.is_empty() || !dissemination.role(now).is_relay {
             // Nobody listens.
-            spread.table_news.borrow_mut().take_batches();
-            spread.changes.borrow_mut().clear_tables();
+            dissemination.table_news.borrow_mut().take_batches();
+            dissemination.changes.borrow_mut().clear_tables();
             actix_rt::time::sleep(TABLE_INTERVAL).await;
             continue;
         }
@@ -67,32 +67,32 @@
     members: &[SocketAddr],
     names_relays: bool,
 ) -> usize {
-    let spread = &context.spread;
+    let dissemination = &context.dissemination;
     let summed = context.router.borrow().work.summed(context.now(), |_| true);
     let loads = summed_loads(context, summed);
-    let mut batches = taken_news(context, &spread.table_news).into_iter();
-    let mut changes = spread.changes.borrow_mut().for_table().into_iter();
+    let mut batches = taken_news(context, &dissemination.table_news).into_iter();
+    let mut changes = dissemination.changes.borrow_mut().for_table().into_iter();
     let table = Table {
-        node: spread.node,
+        node: dissemination.node,
         node_count: context.node_count() as u32,
         age_ms: loads.age_ms,
         work: loads.first,
-        included: spread.subscribers.borrow().included(),
+        included: dissemination.subscribers.borrow().included(),
         news: batches.next().unwrap_or_default(),
         changes: changes.next().unwrap_or_default(),
-        entries_digest: spread.entries.borrow().digest(),
+        entries_digest: dissemination.entries.borrow().digest(),
         stopped: if names_relays {
             told(context)
         } else {
             Vec::new()
         },
         relays: if names_relays {
-            spread.relays.borrow().clone()
+            dissemination.relays.borrow().clone()
         } else {
             Vec::new()
         },
-        holder: spread.holder(),
-        declaration: spread.declaration_offered(),
+        holder: dissemination.lease_holder(),
+        declaration: dissemination.declaration_offered(),
     };
     let header = LoadHeader {
         scope: LoadScope::Fleet,
--- a/crates/forwarding/src/spread/tests.rs
+++ b/crates/forwarding/src/dissemination/tests.rs
@@ -11,7 +11,7 @@
 use dalestand_types::MonotonicTime;
 use rstest::rstest;
 
-use super::Spread;
+use super::Dissemination;
 use super::bulk_queue::BulkQueue;
 use super::datagram::Datagram;
 use super::news_queue::NewsQueue;
@@ -98,7 +98,7 @@
     News {
         placed: vec![Placement {
             engine: EngineCode(1),
-            state: PlacementState::Read,
+            state: PlacementState::Prefilled,
             parts: parts.collect(),
             own_tokens: 0,
         }],
@@ -168,25 +168,25 @@
 /// their sums to a node make it one of them, for a time.
 #[rstest]
 fn a_node_reads_while_it_is_a_relay_or_hears_none() {
-    let spread = Spread::new(&settings("link_mbps = 10.0\n"));
+    let dissemination = Dissemination::new(&settings("link_mbps = 10.0\n"));
     let at = MonotonicTime::from_millis;
-    assert!(!spread.role(at(1_000)).reads_store);
-    assert!(spread.role(at(2_100)).reads_store);
-    spread.addressed(at(5_000), ([127, 0, 0, 1], 9).into());
-    assert!(spread.role(at(7_900)).is_relay);
-    assert!(!spread.role(at(8_100)).is_relay);
+    assert!(!dissemination.role(at(1_000)).reads_store);
+    assert!(dissemination.role(at(2_100)).reads_store);
+    dissemination.addressed(at(5_000), ([127, 0, 0, 1], 9).into());
+    assert!(dissemination.role(at(7_900)).is_relay);
+    assert!(!dissemination.role(at(8_100)).is_relay);
     let entry = |link_mbps| NodeEntry {
         address: ([127, 0, 0, 1], 1).into(),
         zone: "z".into(),
         link_mbps,
     };
-    spread.change_directory(|nodes| nodes.set("n", Some(entry(10))));
-    assert!(spread.role(at(9_000)).is_relay);
+    dissemination.change_directory(|nodes| nodes.set("n", Some(entry(10))));
+    assert!(dissemination.role(at(9_000)).is_relay);
     for faster in ["a", "b", "c"] {
-        spread.change_directory(|nodes| nodes.set(faster, Some(entry(200))));
+        dissemination.change_directory(|nodes| nodes.set(faster, Some(entry(200))));
     }
-    assert!(!spread.role(at(9_000)).is_relay);
-    assert_eq!(spread.node_count(), 4);
+    assert!(!dissemination.role(at(9_000)).is_relay);
+    assert_eq!(dissemination.node_count(), 4);
 }
 
 /// Found at 9,560 engines: all that a relay read of kept parts after a start went out as one node's news,
@@ -287,7 +287,7 @@
 /// request to an engine 5.5 s after that had said that it leaves.
 #[rstest]
 fn a_relay_that_lost_its_entry_is_still_sent_what_changes() {
-    let spread = Spread::new(&settings("link_mbps = 10.0\n"));
+    let dissemination = Dissemination::new(&settings("link_mbps = 10.0\n"));
     let at = MonotonicTime::from_millis;
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
     let entry = |port| NodeEntry {
@@ -295,18 +295,21 @@
         zone: "z".into(),
         link_mbps: 10,
     };
-    spread.change_directory(|nodes| {
+    dissemination.change_directory(|nodes| {
         nodes.set("a", Some(entry(1)));
         nodes.set("b", Some(entry(2)));
     });
-    spread.addressed(at(1_000), address(1));
-    spread.change_directory(|nodes| nodes.set("a", None));
-    let sent_to: Vec<SocketAddr> = spread.exchange_addresses(at(1_100)).into_iter().collect();
+    dissemination.addressed(at(1_000), address(1));
+    dissemination.change_directory(|nodes| nodes.set("a", None));
+    let sent_to: Vec<SocketAddr> = dissemination
+        .exchange_addresses(at(1_100))
+        .into_iter()
+        .collect();
     assert_eq!(sent_to, [address(1), address(2)]);
-    spread.addressed(at(3_000), address(1));
-    assert_eq!(spread.exchange_addresses(at(5_900)).len(), 2);
+    dissemination.addressed(at(3_000), address(1));
+    assert_eq!(dissemination.exchange_addresses(at(5_900)).len(), 2);
     assert_eq!(
-        spread.exchange_addresses(at(6_100)).len(),
+        dissemination.exchange_addresses(at(6_100)).len(),
         1,
         "it fell silent"
     );
--- a/crates/forwarding/src/spread/transmit.rs
+++ b/crates/forwarding/src/dissemination/transmit.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::spread::datagram::{Datagram, kind_label};
+use crate::dissemination::datagram::{Datagram, kind_label};
 
 /// Bytes of a datagram beside what it carries: the headers of IP and UDP.
 const DATAGRAM_HEADER_BYTES: usize = 28;
@@ -66,7 +66,7 @@
     addresses: &[SocketAddr],
     batches: impl Iterator<Item = Vec<News>>,
 ) -> usize {
-    let node = context.spread.node;
+    let node = context.dissemination.node;
     let sent = batches.map(|news| {
         let batch = Message::News(NewsBatch { node, news });
         send(context, socket, addresses, &batch)
@@ -105,7 +105,7 @@
     header: LoadHeader,
     slices: impl Iterator<Item = LoadSlice>,
 ) -> usize {
-    let node = context.spread.node;
+    let node = context.dissemination.node;
     let sent = slices.map(|work| {
         let loads = LoadsMessage {
             node,
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -179,7 +179,7 @@
             self.pools.values_mut().for_each(|pool| pool.held = None);
             self.context.scaling_accounts.borrow_mut().clear();
         }
-        if !may_order && !self.context.spread.role(now).is_relay {
+        if !may_order && !self.context.dissemination.role(now).is_relay {
             self.pools.clear();
             return;
         }
@@ -195,7 +195,7 @@
     fn follow_demand(&mut self, pool: &PoolName, terms: &ScalingTerms) {
         let now = self.context.now();
         let known = self.pools.entry(pool.clone()).or_default();
-        if self.context.spread.is_cut_off(now) {
+        if self.context.dissemination.is_cut_off(now) {
             return;
         }
         if let Some(work) = pool_work(&self.context, pool) {
--- a/crates/forwarding/src/duties/usage_messages.rs
+++ b/crates/forwarding/src/duties/usage_messages.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use dalestand_dissemination::{HolderAddress, Message, UsageReport};
+use dalestand_dissemination::{LeaseHolder, Message, UsageReport};
 use dalestand_duties::WindowCounts;
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::spread::transmit::send;
+use crate::dissemination::transmit::send;
 
 /// Tenants in one datagram: some 1,100 bytes, below what a path carries in one packet.
 const TENANTS_PER_DATAGRAM: usize = 64;
@@ -18,14 +18,14 @@
     let Some(terms) = context.usage.terms() else {
         return;
     };
-    let mut sent_to: Option<HolderAddress> = None;
+    let mut sent_to: Option<LeaseHolder> = None;
     loop {
         let pause = context.usage.pause(context.now(), terms);
         actix_rt::time::sleep(pause).await;
         let now = context.now();
         context.usage.observe_clock(now);
         context.usage.forget(now);
-        let Some(holder) = context.spread.holder() else {
+        let Some(holder) = context.dissemination.lease_holder() else {
             continue;
         };
         if sent_to != Some(holder) {
@@ -34,7 +34,7 @@
             sent_to = Some(holder);
         }
         let changed = context.usage.counters.borrow_mut().take_changed();
-        if holder.node == context.spread.node {
+        if holder.node == context.dissemination.node {
             let mut ledger = context.usage.ledger.borrow_mut();
             ledger.merge(context.usage.origin, changed);
         } else {
--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -34,7 +34,7 @@
             revision,
             text: Rc::from(text),
         });
-        context.spread.declaration.replace(text);
+        context.dissemination.declaration.replace(text);
         log_event!(context.logger, Event::ConfigurationInForce,
             "revision" => revision, "routes" => routes);
     }
@@ -48,7 +48,7 @@
         self.0.declaration_confirmed(called_at);
     }
 
-    fn listed(&self, listing: Listing, _regained: bool) {
+    fn listed(&self, listing: Listing, _after_outage: bool) {
         let key = self.0.form.configuration_key();
         let entries = listing.entries.iter();
         for entry in entries.filter(|entry| entry.key == key) {
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -13,13 +13,13 @@
 use dalestand_types::Revision;
 
 use crate::context::Context;
+use crate::dissemination::notice_queue::NoticeSource;
+use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::entry_text;
 use crate::fleet::follow::Follower;
 use crate::fleet::restored_entries::RESTORED_ENTRIES_LAPSE;
 use crate::fleet::signals::take_start;
 use crate::quarantine::engine_end::{EndProof, engine_ended};
-use crate::spread::notice_queue::NoticeSource;
-use crate::spread::recent_changes::ChangeSource;
 
 /// Relays ask for changes of engines' entries again after up to this time for each relay, at random.
 /// Whichever asks first tells the others within 25 ms, so that the fleet hears of a change after a few
@@ -55,10 +55,10 @@
     let records = match source {
         ChangeSource::Store => records,
         ChangeSource::Listing | ChangeSource::Relay => {
-            context.spread.without_held(context.now(), records)
+            context.dissemination.without_held(context.now(), records)
         }
     };
-    let mut entries = context.spread.entries.borrow_mut();
+    let mut entries = context.dissemination.entries.borrow_mut();
     let taken = records
         .into_iter()
         .filter(|record| entries.take(record.clone()));
@@ -116,8 +116,12 @@
 /// not: relays read for themselves, and members are sent what differs, at the pace that their links bear.
 fn pass_on(context: &Context, records: &[EntryRecord], source: ChangeSource) {
     let is_first = source == ChangeSource::Listing && records.len() > READ_CHANGES_SENT;
-    if !is_first && context.spread.role(context.now()).is_relay {
-        context.spread.changes.borrow_mut().push(records, source);
+    if !is_first && context.dissemination.role(context.now()).is_relay {
+        context
+            .dissemination
+            .changes
+            .borrow_mut()
+            .push(records, source);
     }
 }
 
@@ -160,7 +164,7 @@
 /// Counts an entry that names no engine, and logs it once: another writer may write it again and again.
 fn note_unreadable(context: &Context, key: &str, error: &str) {
     context.metrics.entry_unreadable();
-    let mut logged = context.spread.unreadable_entries.borrow_mut();
+    let mut logged = context.dissemination.unreadable_entries.borrow_mut();
     if logged.len() < MOST_UNREADABLE_LOGGED && logged.insert(key.to_owned()) {
         log_event!(context.logger, Event::EngineUnreadable, "key" => key, "error" => error);
     }
@@ -188,8 +192,8 @@
 
 /// Takes a whole reading of the key-value service in.
 fn take_listing(context: &Context, revision: u64, records: Vec<EntryRecord>) {
-    let records = context.spread.without_held(context.now(), records);
-    let mut entries = context.spread.entries.borrow_mut();
+    let records = context.dissemination.without_held(context.now(), records);
+    let mut entries = context.dissemination.entries.borrow_mut();
     let changes = entries.take_listing(revision, records);
     drop(entries);
     apply(context, changes, ChangeSource::Listing);
@@ -235,10 +239,10 @@
         take(&self.context, records, ChangeSource::Listing);
     }
 
-    fn listed(&self, listing: Listing, regained: bool) {
+    fn listed(&self, listing: Listing, after_outage: bool) {
         let records = std::mem::take(&mut *self.listed.borrow_mut());
         let context = Rc::clone(&self.context);
-        if !regained {
+        if !after_outage {
             take_listing(&context, listing.revision.0, records);
             return;
         }
@@ -247,7 +251,7 @@
         actix_rt::spawn(async move {
             sleep(LAPSED_ENTRIES_RETURN).await;
             let held = {
-                let entries = context.spread.entries.borrow();
+                let entries = context.dissemination.entries.borrow();
                 let held = records.iter().filter(|record| entries.had_gone(record));
                 held.cloned().collect::<Vec<_>>()
             };
@@ -270,7 +274,7 @@
         let records: Vec<EntryRecord> = records.collect();
         if !is_lapse(&context, &records) {
             take(&context, records, ChangeSource::Store);
-            let mut entries = context.spread.entries.borrow_mut();
+            let mut entries = context.dissemination.entries.borrow_mut();
             entries.followed_to(newest.unwrap_or_default());
             return;
         }
@@ -284,13 +288,13 @@
         actix_rt::spawn(async move {
             sleep(wait).await;
             take(&context, gone, ChangeSource::Store);
-            let mut entries = context.spread.entries.borrow_mut();
+            let mut entries = context.dissemination.entries.borrow_mut();
             entries.followed_to(newest.unwrap_or_default());
         });
     }
 
     fn gather(&self) -> Duration {
-        let relays = self.context.spread.other_relays().len() as u32 + 1;
+        let relays = self.context.dissemination.other_relays().len() as u32 + 1;
         let longest = (ENGINES_GATHERED_PER_RELAY * relays).min(ENGINES_GATHERED);
         longest.mul_f64(rand::random_range(0.0..1.0))
     }
--- a/crates/forwarding/src/fleet/follow.rs
+++ b/crates/forwarding/src/fleet/follow.rs
@@ -31,10 +31,10 @@
 /// Tells the followers of a node that one of them reached the service again, so that the others do
 /// not sit out their pauses.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Regained(Rc<Notify>);
+pub(crate) struct RecoverySignal(Rc<Notify>);
 
-impl Regained {
-    fn tell(&self) {
+impl RecoverySignal {
+    fn notify(&self) {
         self.0.notify_waiters();
     }
 
@@ -53,8 +53,8 @@
     /// first of them tells is of use at once.
     fn page(&self, _entries: &[Entry]) {}
 
-    /// All keys, as they stand. `regained` says that the service had failed before.
-    fn listed(&self, listing: Listing, regained: bool);
+    /// All keys, as they stand. `after_outage` says that the service had failed before.
+    fn listed(&self, listing: Listing, after_outage: bool);
 
     /// Keys have changed, oldest change first.
     fn changed(&self, events: Vec<WatchEvent>);
@@ -74,7 +74,7 @@
     pub(crate) store: Rc<dyn KeyValue>,
     /// Leading part of the keys.
     pub(crate) prefix: String,
-    pub(crate) regained: Regained,
+    pub(crate) recovery: RecoverySignal,
     /// Longest wait of one watch.
     pub(crate) watch_wait: Duration,
     pub(crate) logger: Logger,
@@ -126,7 +126,7 @@
                 log_event!(task.logger, Event::KeyValueRegained, "prefix" => prefix,
                     "failures" => progress.failures,
                     "revision" => next.map(|revision| revision.0));
-                task.regained.tell();
+                task.recovery.notify();
             }
             progress.failures = 0;
             progress.was_read = true;
@@ -152,7 +152,7 @@
                 LONGEST_PAUSE_UNREAD
             };
             let pause = pause(progress.failures, longest, error.current_context());
-            task.regained.wait(pause).await;
+            task.recovery.wait(pause).await;
         }
     }
 }
@@ -232,15 +232,15 @@
         PlatformError::OutOfService { retry_after, .. } => retry_after.unwrap_or_default(),
         _ => Duration::ZERO,
     };
-    let spread = rand::rng().random_range(0.6..1.0);
+    let jitter = rand::rng().random_range(0.6..1.0);
     let pause = if told < grown {
-        grown.mul_f64(spread).max(told)
+        grown.mul_f64(jitter).max(told)
     } else {
-        told.saturating_add(FIRST_PAUSE.mul_f64(1.0 - spread))
+        told.saturating_add(FIRST_PAUSE.mul_f64(1.0 - jitter))
     };
     if pause < longest {
         pause
     } else {
-        longest.mul_f64(spread)
+        longest.mul_f64(jitter)
     }
 }
--- a/crates/forwarding/src/fleet/follow/tests.rs
+++ b/crates/forwarding/src/fleet/follow/tests.rs
@@ -16,7 +16,7 @@
 use rstest::rstest;
 use tokio::sync::watch;
 
-use super::{FollowTask, Follower, Regained, WATCH_WAIT, follow, pause};
+use super::{FollowTask, Follower, RecoverySignal, WATCH_WAIT, follow, pause};
 
 const KEY: &str = "declaration";
 
@@ -91,11 +91,11 @@
 }
 
 /// Follows [`KEY`] in `store`.
-fn task(store: Rc<dyn KeyValue>, regained: Regained) -> FollowTask {
+fn task(store: Rc<dyn KeyValue>, recovery: RecoverySignal) -> FollowTask {
     FollowTask {
         store,
         prefix: KEY.to_owned(),
-        regained,
+        recovery,
         watch_wait: WATCH_WAIT,
         logger: discard_logger(),
     }
@@ -157,7 +157,7 @@
 struct Seen(Rc<RefCell<Vec<String>>>);
 
 impl Follower for Seen {
-    fn listed(&self, listing: Listing, _regained: bool) {
+    fn listed(&self, listing: Listing, _after_outage: bool) {
         let values = listing.entries.into_iter().map(|entry| entry.value);
         self.0.borrow_mut().extend(values);
     }
@@ -175,7 +175,7 @@
     let store = Rc::new(DeafWatches::default());
     store.written.set(1);
     let seen = Seen::default();
-    let task = task(Rc::new(ReadOnly(store)), Regained::default());
+    let task = task(Rc::new(ReadOnly(store)), RecoverySignal::default());
     let following = follow(task, seen.clone(), always());
     let _ = tokio::time::timeout(Duration::from_secs(1), following).await;
     assert_eq!(*seen.0.borrow(), ["1", "2"]);
@@ -215,10 +215,10 @@
 async fn one_follower_that_reaches_the_service_wakes_the_others() {
     let store = Rc::new(DownThenUp::default());
     let (first, second) = (Seen::default(), Seen::default());
-    let regained = Regained::default();
+    let recovery = RecoverySignal::default();
     for (key, seen) in [("first", &first), ("second", &second)] {
         let store = Rc::new(ReadOnly(store.clone()));
-        let mut task = task(store, regained.clone());
+        let mut task = task(store, recovery.clone());
         task.prefix = key.to_owned();
         actix_rt::spawn(follow(task, seen.clone(), always()));
     }
@@ -243,7 +243,7 @@
     let store = Rc::new(DownThenUp::default());
     let following = Rc::new(ReadOnly(store.clone()));
     let seen = Seen::default();
-    let task = task(following, Regained::default());
+    let task = task(following, RecoverySignal::default());
     actix_rt::spawn(follow(task, seen, always()));
     actix_rt::time::sleep(Duration::from_secs(5)).await;
     assert!(store.asked.get() >= 22, "asked {} times", store.asked.get());
@@ -294,7 +294,7 @@
 struct Gathering(Rc<RefCell<Vec<u64>>>);
 
 impl Follower for Gathering {
-    fn listed(&self, _listing: Listing, _regained: bool) {}
+    fn listed(&self, _listing: Listing, _after_outage: bool) {}
 
     fn changed(&self, events: Vec<WatchEvent>) {
         let revisions = events.iter().map(|event| event.revision.0);
@@ -316,7 +316,10 @@
         answered: Cell::new(0),
     });
     let seen = Rc::new(RefCell::new(Vec::new()));
-    let task = task(Rc::new(ReadOnly(Rc::clone(&service))), Regained::default());
+    let task = task(
+        Rc::new(ReadOnly(Rc::clone(&service))),
+        RecoverySignal::default(),
+    );
     let following = follow(task, Gathering(Rc::clone(&seen)), always());
     let begun = BootInstant::now();
     let changing = async {
@@ -348,7 +351,10 @@
     store.written.set(1);
     let (sender, reading) = watch::channel(true);
     let seen = Seen::default();
-    let task = task(Rc::new(ReadOnly(Rc::clone(&store))), Regained::default());
+    let task = task(
+        Rc::new(ReadOnly(Rc::clone(&store))),
+        RecoverySignal::default(),
+    );
     actix_rt::spawn(follow(task, seen.clone(), reading));
     actix_rt::time::sleep(Duration::from_millis(200)).await;
     sender.send_replace(false);
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -44,7 +44,7 @@
     }
     actix_rt::time::sleep(RELAYS_KNOWN_WITHIN).await;
     context.ask_for_parts();
-    if !context.spread.role(context.now()).is_relay {
+    if !context.dissemination.role(context.now()).is_relay {
         return;
     }
     let asked = own_engines(&context)
@@ -66,7 +66,7 @@
     }
     let placements = by_engine.into_iter().flat_map(|(engine, parts)| {
         let chunks = parts.chunks(PARTS_TOLD_AT_ONCE);
-        let read = |parts| placement(engine, PlacementState::Read, parts, 0);
+        let read = |parts| placement(engine, PlacementState::Prefilled, parts, 0);
         chunks.map(read).collect::<Vec<_>>()
     });
     placements.collect()
@@ -75,8 +75,8 @@
 /// The engines that fall to this relay: each falls to the relay of the highest weight.
 fn own_engines(context: &Context) -> Vec<(PoolName, StagedEngine)> {
     let fleet = context.fleet();
-    let node = context.spread.node.0;
-    let others = context.spread.other_relays();
+    let node = context.dissemination.node.0;
+    let others = context.dissemination.other_relays();
     let is_own = |engine: &StagedEngine| {
         let weight = |node| rendezvous_weight(engine.key.0, node);
         let mut others = others.iter();
--- a/crates/forwarding/src/fleet/placements.rs
+++ b/crates/forwarding/src/fleet/placements.rs
@@ -47,7 +47,7 @@
     /// Notes parts that an engine keeps.
     pub(crate) fn push_kept(&mut self, engine: EngineKey, kept: &[PromptPart]) {
         self.0
-            .push(placement(engine, PlacementState::Read, kept, 0));
+            .push(placement(engine, PlacementState::Prefilled, kept, 0));
     }
 
     /// Takes all out.
--- a/crates/forwarding/src/fleet/registration.rs
+++ b/crates/forwarding/src/fleet/registration.rs
@@ -79,7 +79,7 @@
     async fn forget_lapsed(self) {
         sleep(LAPSED_NODES_RETURN).await;
         let lapsed = std::mem::take(&mut *self.lapsed.borrow_mut());
-        self.context.spread.change_directory(|directory| {
+        self.context.dissemination.change_directory(|directory| {
             for name in &lapsed {
                 directory.set(name, None);
             }
@@ -95,12 +95,16 @@
         } else if key.starts_with(QUARANTINE_PREFIX) {
             let crashes = take_stored(&self.context, key, value);
             // Members do not read the key-value service.
-            let origin = self.context.spread.node;
+            let origin = self.context.dissemination.node;
             let news = News {
                 crashes,
                 ..News::none(origin)
             };
-            self.context.spread.table_news.borrow_mut().push(news);
+            self.context
+                .dissemination
+                .table_news
+                .borrow_mut()
+                .push(news);
         } else {
             if let Some((_, name)) = node_of(key) {
                 self.lapsed.borrow_mut().remove(name);
@@ -110,11 +114,11 @@
     }
 
     fn count(&self) {
-        let spread = &self.context.spread;
+        let dissemination = &self.context.dissemination;
         if let Some((name, token)) = &*self.holder.borrow() {
-            spread.set_holder_name(name, *token);
+            dissemination.set_lease_holder_by_name(name, *token);
         }
-        self.context.set_nodes(spread.node_count());
+        self.context.set_nodes(dissemination.node_count());
     }
 }
 
@@ -139,11 +143,11 @@
 }
 
 impl Follower for NodeFollower {
-    fn listed(&self, listing: Listing, regained: bool) {
+    fn listed(&self, listing: Listing, after_outage: bool) {
         self.authority.set_taken(false);
         self.holder.replace(None);
-        self.context.spread.change_directory(|directory| {
-            if regained {
+        self.context.dissemination.change_directory(|directory| {
+            if after_outage {
                 self.lapsed.borrow_mut().extend(directory.names());
             } else {
                 directory.clear();
@@ -152,7 +156,7 @@
                 self.set(directory, &entry.key, Some(&entry.value), entry.revision.0);
             }
         });
-        self.context.spread.nodes_listed();
+        self.context.dissemination.set_nodes_listed();
         self.count();
         if !self.lapsed.borrow().is_empty() {
             actix_rt::spawn(self.clone().forget_lapsed());
@@ -160,7 +164,7 @@
     }
 
     fn changed(&self, events: Vec<WatchEvent>) {
-        self.context.spread.change_directory(|directory| {
+        self.context.dissemination.change_directory(|directory| {
             for event in &events {
                 let value = event.value.as_deref();
                 self.set(directory, &event.key, value, event.revision.0);
@@ -170,7 +174,7 @@
     }
 
     fn gather(&self) -> Duration {
-        let followers = self.context.spread.other_relays().len() as u32 + 1;
+        let followers = self.context.dissemination.other_relays().len() as u32 + 1;
         (NODES_GATHERED_PER_FOLLOWER * followers).min(NODES_GATHERED)
     }
 }
@@ -184,10 +188,10 @@
         sleep(FIRST_START).await;
     }
     let prefix = format!("{NODE_PREFIX}{}/", context.settings.zone);
-    while !context.spread.role(context.now()).reads_store {
+    while !context.dissemination.role(context.now()).reads_store {
         match store.range(&prefix).await {
             Ok(listing) => {
-                context.spread.change_directory(|directory| {
+                context.dissemination.change_directory(|directory| {
                     for entry in &listing.entries {
                         set_node(&context, directory, &entry.key, Some(&entry.value));
                     }
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -9,12 +9,12 @@
 use dalestand_types::{EngineSignals, LimitSignal, MonotonicTime, RequestRate};
 
 use crate::context::Context;
+use crate::dissemination::notice_queue::{EngineNotice, NoticeSource};
 use crate::quarantine::engine_end::{EndProof, engine_ended};
-use crate::spread::notice_queue::{EngineNotice, NoticeSource};
 
 /// Takes in what an answer says of its engine. `request_sent_at` is when the request went out that it takes up,
 /// if it takes one up.
-pub(crate) fn take(
+pub(crate) fn apply_answer(
     context: &Context,
     engine: &StagedEngine,
     said: EngineSignals,
@@ -62,7 +62,7 @@
 }
 
 /// Takes in an engine's limit that another node heard, unless it was another start of it that named it.
-pub(crate) fn take_told_limit(context: &Context, limit: &EngineLimit, source: NoticeSource) {
+pub(crate) fn apply_reported_limit(context: &Context, limit: &EngineLimit, source: NoticeSource) {
     let engine = EngineKey(limit.start.engine);
     let Some(run) = name(context, engine) else {
         return;
@@ -111,7 +111,7 @@
     };
     log_event!(context.logger, Event::EngineLimit, "engine" => run,
         "limit" => text(change.now), "former" => text(change.former), "source" => ?source);
-    let notices = &context.spread.notices;
+    let notices = &context.dissemination.notices;
     notices.push(EngineNotice::Limit(engine), source);
 }
 
@@ -138,7 +138,7 @@
         born,
     };
     context
-        .spread
+        .dissemination
         .notices
         .push(EngineNotice::Drains(start), source);
 }
@@ -168,7 +168,7 @@
         born,
     };
     context
-        .spread
+        .dissemination
         .notices
         .push(EngineNotice::Started(start), source);
 }
--- a/crates/forwarding/src/fleet_sums.rs
+++ b/crates/forwarding/src/fleet_sums.rs
@@ -1,6 +1,6 @@
 //! Figures of pools, tenants and engines, as this node knows them of the whole fleet.
 //!
-//! The parts that count them set this node's own rows; the module `spread::sums` sends them and takes in those of
+//! The parts that count them set this node's own rows; the module `dissemination::sums` sends them and takes in those of
 //! others. A node that hears no other knows its own only.
 
 use std::cell::RefCell;
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -4,7 +4,7 @@
 //!   `dalestand_routing::staged`.
 //! * [`fleet`]: engines and nodes, as the key-value service and relays tell.
 //! * [`fleet_sums`]: what all nodes count together of pools, tenants and engines.
-//! * [`spread`]: fleet-wide state on its way between nodes.
+//! * [`dissemination`]: fleet-wide state on its way between nodes.
 //! * [`roles`]: the lease under which one node acts for all, and the engines' roles.
 //! * [`duties`]: what else that node does for all.
 //! * [`permits`]: leave to send requests to engines that take only so many.
@@ -14,6 +14,7 @@
 //! The platform's words come in through the traits of `dalestand_edge::routed`.
 
 mod context;
+mod dissemination;
 mod duties;
 mod error;
 mod fleet;
@@ -23,7 +24,6 @@
 mod quarantine;
 mod roles;
 mod serve;
-mod spread;
 
 pub use error::ForwardingError;
 pub use fleet::engines::{Fleet, FleetEngine};
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -31,13 +31,13 @@
         let collisions = context.fleet().code_collisions();
         self.code_collisions.set(collisions as i64);
         self.entries
-            .set(context.spread.entries.borrow().len() as i64);
+            .set(context.dissemination.entries.borrow().len() as i64);
         self.parts.set(context.router.borrow().parts.len() as i64);
         self.nodes.set(context.node_count() as i64);
         let revision = context.table().map_or(0, |table| table.revision().0);
         self.configuration.set(revision as i64);
         let now = context.now();
-        let role = context.spread.role(now);
+        let role = context.dissemination.role(now);
         self.is_relay.set(i64::from(role.is_relay));
         self.reads_store.set(i64::from(role.reads_store));
         let report_age = context.router.borrow().work.mean_age(now, |_| true);
--- a/crates/forwarding/src/node/room.rs
+++ b/crates/forwarding/src/node/room.rs
@@ -9,12 +9,12 @@
 use dalestand_types::{MonotonicTime, PoolName, ZoneName};
 
 use crate::context::Context;
+use crate::dissemination::own_figures::update_own_figures;
 use crate::fleet_sums::{FleetSums, SlownessKey};
 use crate::node::room_report::{
     ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolRoom, ReportSources,
     RoomReport, TenantDemand,
 };
-use crate::spread::own_figures::count_own_figures;
 
 /// Tenants listed of one pool: what a screen shows.
 const TENANTS_LISTED: usize = 16;
@@ -36,7 +36,7 @@
 /// What this node knows at `now`.
 pub(crate) fn room_report(context: &Context, now: MonotonicTime) -> RoomReport {
     // What lapsed while the process stood still must not be shown.
-    count_own_figures(context, now);
+    update_own_figures(context, now);
     context.sums.refresh(now);
     let table = context.table();
     let mut names: Vec<PoolName> = table
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -18,13 +18,19 @@
 use tokio::sync::watch;
 
 use crate::context::{Context, ContextParts};
+use crate::dissemination::bulk::send_bulk;
+use crate::dissemination::engine_notices::send_notices;
+use crate::dissemination::receive::receive_state;
+use crate::dissemination::send::send_state;
+use crate::dissemination::sums::send_sums;
+use crate::dissemination::tables::send_tables;
 use crate::duties::scaling::scale_engines;
 use crate::duties::usage_messages::send_usage;
 use crate::duties::usage_report::report_usage;
 use crate::error::ForwardingError;
 use crate::fleet::declaration::DeclarationFollower;
 use crate::fleet::engine_entries::EngineFollower;
-use crate::fleet::follow::{FollowTask, Regained, WATCH_WAIT, follow};
+use crate::fleet::follow::{FollowTask, RecoverySignal, WATCH_WAIT, follow};
 use crate::fleet::part_recovery::recover_parts;
 use crate::fleet::registration::{NodeFollower, OWN_PREFIX, find_relays, keep_registered};
 use crate::node::era_store::EraStore;
@@ -41,12 +47,6 @@
 use crate::roles::hold::hold;
 use crate::roles::role_control::control_roles;
 use crate::serve::forward::forward;
-use crate::spread::bulk::send_bulk;
-use crate::spread::engine_notices::send_notices;
-use crate::spread::receive::receive_state;
-use crate::spread::send::send_state;
-use crate::spread::sums::send_sums;
-use crate::spread::tables::send_tables;
 
 /// Time a caller has to send a head. Longer than any configuration asks for: a connection that a
 /// caller opened ahead must not be closed under it.
@@ -185,11 +185,11 @@
 }
 
 fn start_followers(context: &Rc<Context>, store: &Rc<dyn KeyValue>) -> Authority {
-    let regained = Regained::default();
+    let recovery = RecoverySignal::default();
     let start = |prefix: &str| FollowTask {
         store: Rc::clone(store),
         prefix: prefix.to_owned(),
-        regained: regained.clone(),
+        recovery: recovery.clone(),
         watch_wait: WATCH_WAIT,
         logger: context.logger.clone(),
     };
@@ -205,10 +205,18 @@
     actix_rt::spawn(follow(task, declaration, always));
     let engines = EngineFollower::new(Rc::clone(context));
     let task = start(context.form.engine_prefix());
-    actix_rt::spawn(follow(task, engines, context.spread.reading()));
+    actix_rt::spawn(follow(
+        task,
+        engines,
+        context.dissemination.subscribe_reads_store(),
+    ));
     let authority = context.authority.clone();
     let nodes = NodeFollower::new(Rc::clone(context), authority.clone());
-    actix_rt::spawn(follow(start(OWN_PREFIX), nodes, context.spread.reading()));
+    actix_rt::spawn(follow(
+        start(OWN_PREFIX),
+        nodes,
+        context.dissemination.subscribe_reads_store(),
+    ));
     let holding = Rc::clone(context);
     actix_rt::spawn(hold(holding, Rc::clone(store), authority.clone()));
     actix_rt::spawn(control_roles(Rc::clone(context), authority.clone()));
@@ -266,7 +274,7 @@
                 "header" => &header.name);
         }
         let now = context.now();
-        let is_cut_off = context.spread.is_cut_off(now);
+        let is_cut_off = context.dissemination.is_cut_off(now);
         context.budget.borrow_mut().set_cut_off(is_cut_off);
         let fleet = context.fleet();
         context.link.sweep(|target| fleet.has_target(target));
--- a/crates/forwarding/src/permits/asking.rs
+++ b/crates/forwarding/src/permits/asking.rs
@@ -9,11 +9,11 @@
 use tokio::sync::oneshot;
 
 use crate::context::Context;
+use crate::dissemination::transmit::send;
 use crate::fleet::signals::known_limit;
 use crate::permits::desk::Asked;
 use crate::permits::issuer::{IssuerPlace, issuer_of};
 use crate::permits::issuing;
-use crate::spread::transmit::send;
 
 /// For how long a request waits for leave: a node whose share of a core is a quota answers after a tenth of a
 /// second at most, and the way between regions takes a few hundredths.
@@ -149,7 +149,7 @@
     let number = desk.last_number.get() + 1;
     desk.last_number.set(number);
     let request = PermitRequest {
-        node: context.spread.node,
+        node: context.dissemination.node,
         number,
         need,
         limit: known_limit(context, engine),
--- a/crates/forwarding/src/permits/issuer.rs
+++ b/crates/forwarding/src/permits/issuer.rs
@@ -29,21 +29,21 @@
 /// it would issue itself while another does.
 pub(super) fn issuer_of(context: &Context, engine: EngineKey) -> IssuerPlace {
     let now = context.now();
-    let spread = &context.spread;
+    let dissemination = &context.dissemination;
     if now.since(MonotonicTime::ZERO) < LEARNING {
         return IssuerPlace::Unknown;
     }
-    let is_relay = spread.role(now).is_relay;
-    for relay in spread.issuers(engine, is_relay) {
-        if relay.number == spread.node {
-            return if spread.has_listed_nodes() {
+    let is_relay = dissemination.role(now).is_relay;
+    for relay in dissemination.permit_issuers(engine, is_relay) {
+        if relay.number == dissemination.node {
+            return if dissemination.has_listed_nodes() {
                 IssuerPlace::Here
             } else {
                 IssuerPlace::Unknown
             };
         }
         let is_there = if is_relay {
-            spread.is_heard(relay.address, now)
+            dissemination.was_heard_recently(relay.address, now)
         } else {
             !context.permits.is_passed_over(relay.number, now)
         };
--- a/crates/forwarding/src/permits/issuing.rs
+++ b/crates/forwarding/src/permits/issuing.rs
@@ -10,10 +10,10 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::fleet::signals::take_told_limit;
+use crate::dissemination::notice_queue::NoticeSource;
+use crate::dissemination::transmit::send;
+use crate::fleet::signals::apply_reported_limit;
 use crate::permits::issuer::{IssuerPlace, issuer_of};
-use crate::spread::notice_queue::NoticeSource;
-use crate::spread::transmit::send;
 
 /// After how long a node asks again that took this one for the issuer: nodes agree on that within a second.
 const NOT_ISSUER_PAUSE: Duration = Duration::from_millis(200);
@@ -27,7 +27,7 @@
 ) {
     let engine = EngineKey(request.limit.start.engine);
     // Who asks may have heard of the limit, or of another figure, before this node did.
-    take_told_limit(context, &request.limit, NoticeSource::Member);
+    apply_reported_limit(context, &request.limit, NoticeSource::Member);
     let is_issuer = issuer_of(context, engine) == IssuerPlace::Here;
     let rate = rate(context, engine).or(request.limit.rate);
     let grant = match (rate, request.need) {
--- a/crates/forwarding/src/quarantine/state.rs
+++ b/crates/forwarding/src/quarantine/state.rs
@@ -13,7 +13,7 @@
 use dalestand_types::MonotonicTime;
 use tokio::sync::Notify;
 
-use crate::spread::repeated_news::{RepeatTerms, RepeatedNews};
+use crate::dissemination::retransmit_queue::{RetransmitPolicy, RetransmitQueue};
 
 /// For how long one node may try a request: longer than callers wait for an answer and other nodes need
 /// to hear of it.
@@ -26,10 +26,10 @@
 
 /// How evidence is told: 1 KB in one message; those that wait are the records of 64 engines of 16 slots
 /// that end at once. What is dropped was near one crash of many.
-const NEWS: RepeatTerms = RepeatTerms {
-    repeats: 3,
-    per_message: 32,
-    waiting: 1_024,
+const NEWS: RetransmitPolicy = RetransmitPolicy {
+    transmissions: 3,
+    max_per_message: 32,
+    max_queued: 1_024,
 };
 
 /// What this node knows of requests that end engines.
@@ -39,7 +39,7 @@
     pub(super) unfinished: RefCell<UnfinishedRuns>,
     pub(super) ledger: RefCell<CrashLedger>,
     /// Evidence of this node that is still to be sent.
-    pub(crate) news: RefCell<RepeatedNews<CrashRecord>>,
+    pub(crate) news: RefCell<RetransmitQueue<CrashRecord>>,
     /// Requests of whose crashes this node saw one: it has the key-value service keep them once they
     /// are stopped.
     pub(super) seen_here: RefCell<HashSet<RequestFingerprint>>,
@@ -61,7 +61,7 @@
             key: OnceCell::new(),
             unfinished: RefCell::new(UnfinishedRuns::new(BELONG_TOGETHER)),
             ledger: RefCell::default(),
-            news: RefCell::new(RepeatedNews::new(NEWS)),
+            news: RefCell::new(RetransmitQueue::new(NEWS)),
             seen_here: RefCell::default(),
             to_store: RefCell::default(),
             store_wanted: Notify::new(),
--- a/crates/forwarding/src/roles/hold.rs
+++ b/crates/forwarding/src/roles/hold.rs
@@ -29,9 +29,9 @@
 /// know the demand of the whole fleet, and few of them ask for the authority when it is free.
 pub(crate) async fn hold(context: Rc<Context>, store: Rc<dyn KeyValue>, authority: Authority) {
     loop {
-        let turn = context.spread.place_among_relays();
+        let turn = context.dissemination.relay_index();
         sleep(LOOK_INTERVAL + TURN * turn).await;
-        let is_relay = context.spread.role(context.now()).is_relay;
+        let is_relay = context.dissemination.role(context.now()).is_relay;
         if !is_relay || authority.is_taken.get() || context.is_stopping() || !context.is_ready() {
             continue;
         }
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -149,7 +149,7 @@
     };
     let takes_up = content != CallContent::Own && !reply.facts.refused;
     let request_sent_at = takes_up.then_some(sent_at);
-    signals::take(context, engine, reply.signals(), request_sent_at);
+    signals::apply_answer(context, engine, reply.signals(), request_sent_at);
     if reply.is_own && !reply.facts.refused {
         returning.taken_up();
     }
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -12,6 +12,7 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
+use crate::dissemination::own_figures::on_room_shortage;
 use crate::quarantine::evidence::is_stopped;
 use crate::quarantine::trial::{may_try, trial_in};
 use crate::serve::account::{log_failed, log_served, log_unadmitted};
@@ -30,7 +31,6 @@
 use crate::serve::repeated_calls::{
     CALLS_AT_ONCE, may_call_again, pause_for_place, waits_for_place,
 };
-use crate::spread::own_figures::room_is_short;
 
 /// Refusals from which memory is taken to be gone rather than the engines to be full: both are told
 /// alike, and two engines that were chosen as the least busy are rarely full at once.
@@ -118,7 +118,9 @@
             shares.begun(now, tenant, progress.unread_tokens);
         }
         (Some(((pool, _), _)), Some(Failure::OverShare(_))) => context.metrics.over_share(pool),
-        (Some(_), Some(failure)) if failure.retry_after().is_some() => room_is_short(context, now),
+        (Some(_), Some(failure)) if failure.retry_after().is_some() => {
+            on_room_shortage(context, now)
+        }
         (Some(_) | None, _) => {}
     }
 }
--- a/crates/forwarding/src/serve/work_guard.rs
+++ b/crates/forwarding/src/serve/work_guard.rs
@@ -77,7 +77,7 @@
             // Others know already what was read before. The last part belongs to this request.
             if is_news {
                 let mut placements = self.context.placements.borrow_mut();
-                placements.push(self.engine, PlacementState::Read, &self.parts);
+                placements.push(self.engine, PlacementState::Prefilled, &self.parts);
             }
         }
         self.settle();
@@ -112,7 +112,7 @@
             drop(router);
             if is_news {
                 let mut placements = self.context.placements.borrow_mut();
-                placements.push(self.engine, PlacementState::NotRead, &self.parts);
+                placements.push(self.engine, PlacementState::NotPrefilled, &self.parts);
             }
         }
         self.settle();
