--- a/crates/forwarding/src/dissemination/mod.rs
+++ b/crates/forwarding/src/dissemination/mod.rs
@@ -254,7 +254,7 @@
     }
 
     /// Whether this node has heard no other for a time, though it knows of some.
-    pub(crate) fn is_cut_off(&self, now: MonotonicTime) -> bool {
+    pub(crate) fn is_isolated(&self, now: MonotonicTime) -> bool {
         let exchanging = self.exchanging.borrow();
         let relays_heard = exchanging.values().copied().max();
         let heard_at = relays_heard.max(Some(self.subscription.borrow().last_heard_at()));
--- a/crates/forwarding/src/dissemination/own_figures.rs
+++ b/crates/forwarding/src/dissemination/own_figures.rs
@@ -24,7 +24,7 @@
 }
 
 /// Notes that a tenant's request found no room: shares that decide nothing yet are worked out at once.
-pub(crate) fn on_room_shortage(context: &Context, now: MonotonicTime) {
+pub(crate) fn on_shortage(context: &Context, now: MonotonicTime) {
     if context.tenant_shares.wants_figures(now) {
         update_own_figures(context, now);
         context.sums.refresh_demand(now);
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -195,7 +195,7 @@
     fn follow_demand(&mut self, pool: &PoolName, terms: &ScalingTerms) {
         let now = self.context.now();
         let known = self.pools.entry(pool.clone()).or_default();
-        if self.context.dissemination.is_cut_off(now) {
+        if self.context.dissemination.is_isolated(now) {
             return;
         }
         if let Some(work) = pool_work(&self.context, pool) {
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -274,8 +274,8 @@
                 "header" => &header.name);
         }
         let now = context.now();
-        let is_cut_off = context.dissemination.is_cut_off(now);
-        context.budget.borrow_mut().set_cut_off(is_cut_off);
+        let is_isolated = context.dissemination.is_isolated(now);
+        context.budget.borrow_mut().set_cut_off(is_isolated);
         let fleet = context.fleet();
         context.link.sweep(|target| fleet.has_target(target));
         context.router.borrow_mut().work.sweep(now);
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -12,7 +12,7 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
-use crate::dissemination::own_figures::on_room_shortage;
+use crate::dissemination::own_figures::on_shortage;
 use crate::quarantine::evidence::is_stopped;
 use crate::quarantine::trial::{may_try, trial_in};
 use crate::serve::account::{log_failed, log_served, log_unadmitted};
@@ -118,9 +118,7 @@
             shares.begun(now, tenant, progress.unread_tokens);
         }
         (Some(((pool, _), _)), Some(Failure::OverShare(_))) => context.metrics.over_share(pool),
-        (Some(_), Some(failure)) if failure.retry_after().is_some() => {
-            on_room_shortage(context, now)
-        }
+        (Some(_), Some(failure)) if failure.retry_after().is_some() => on_shortage(context, now),
         (Some(_) | None, _) => {}
     }
 }
