--- a/crates/dissemination/tests/golden.rs
+++ b/crates/dissemination/tests/golden.rs
@@ -362,7 +362,7 @@
     lines.filter_map(|line| line.split_once(' ')).collect()
 }
 
-fn assert_format(golden: &BTreeMap<&str, &str>, samples: BTreeMap<&'static str, Message>) {
+fn check_format(golden: &BTreeMap<&str, &str>, samples: BTreeMap<&'static str, Message>) {
     for (kind, message) in samples {
         let written = bytes(golden.get(kind).expect("a line of each kind"));
         let read: (u8, Message) = rmp_serde::from_slice(&written).expect(kind);
@@ -386,9 +386,9 @@
         return;
     }
     let golden = lines_of(GOLDEN);
-    assert_format(&golden, samples());
-    assert_format(&lines_of(GOLDEN_OF_PERMITS), later_samples());
-    assert_format(&lines_of(GOLDEN_OF_SUMS), sums_samples());
+    check_format(&golden, samples());
+    check_format(&lines_of(GOLDEN_OF_PERMITS), later_samples());
+    check_format(&lines_of(GOLDEN_OF_SUMS), sums_samples());
     let entry = NodeEntry::parse(golden["node-entry"]).expect("an entry");
     assert_eq!(entry, node_entry());
     let text = node_entry().to_text().expect("a text");
--- a/crates/forwarding/src/dissemination/bulk.rs
+++ b/crates/forwarding/src/dissemination/bulk.rs
@@ -1,17 +1,17 @@
-//! Sends long answers to nodes that asked.
+//! Sends long answers to requesting nodes.
 
 use std::rc::Rc;
 
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::dissemination::pacing::pause;
+use crate::dissemination::pacing::pause_after;
 use crate::dissemination::transmit::send_encoded;
 
-/// Bytes after which the sender waits until the link has carried them.
+/// Bytes after which the sender pauses until the link has carried them.
 const BURST_BYTES: usize = 16 << 10;
 
-/// Sends what waits, for as long as it is polled.
+/// Sends queued datagrams until dropped.
 pub(crate) async fn send_bulk(context: Rc<Context>, socket: Rc<UdpSocket>) {
     let queue = &context.dissemination.bulk;
     let mut burst = 0;
@@ -24,7 +24,7 @@
         if burst >= BURST_BYTES {
             context.sent(burst);
             context.metrics.bulk_dropped(queue.take_dropped());
-            actix_rt::time::sleep(pause(&context.settings, burst)).await;
+            actix_rt::time::sleep(pause_after(&context.settings, burst)).await;
             burst = 0;
         }
     }
--- a/crates/forwarding/src/dissemination/bulk_queue.rs
+++ b/crates/forwarding/src/dissemination/bulk_queue.rs
@@ -1,8 +1,7 @@
-//! Long answers to nodes that asked, sent at the pace of this node's link.
+//! Queue of long answers to requesting nodes, sent at the pace of this node's link.
 //!
-//! After a start fifty members ask their relay for all entries at once. What is sent faster than the link
-//! carries is lost, and with it the tables and changes that are sent meanwhile: in a storm of declarations,
-//! members of a fleet of 986 nodes heard of engines that leave more than five seconds late.
+//! After a start all members of a relay request all entries at once. Sending the answers faster than
+//! the link carries them would lose datagrams, including the tables and changes sent meanwhile.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -13,18 +12,18 @@
 
 use crate::dissemination::datagram::Datagram;
 
-/// Datagrams that wait at most: 9 MB, which a link of 200 Mbit/s carries at half its speed in 0.7 s. What is
-/// beyond is asked for again.
-const MOST_WAITING: usize = 8_192;
+/// Limit on queued datagrams: 9 MB, which takes 0.7 s at half the speed of a link of 200 Mbit/s.
+/// Answers that were dropped are requested again.
+const MAX_QUEUED_DATAGRAMS: usize = 8_192;
 
-/// What waits for one node.
+/// Queued datagrams for one node.
 struct Answer {
     address: SocketAddr,
     datagrams: VecDeque<Rc<Datagram>>,
 }
 
-/// Datagrams that wait to be sent, to each node by turns: after a start the first page that a member gets
-/// lets it serve, and the last makes little difference.
+/// Queued datagrams, sent to the nodes in round-robin order: after a start the first page lets a
+/// member serve requests, later ones matter less.
 #[derive(Default)]
 pub(crate) struct BulkQueue {
     answers: RefCell<VecDeque<Answer>>,
@@ -34,9 +33,9 @@
 }
 
 impl BulkQueue {
-    /// Adds a datagram; one for which there is no room is dropped and counted.
+    /// Adds a datagram; drops and counts it if the queue is full.
     pub(super) fn push(&self, address: SocketAddr, datagram: Rc<Datagram>) {
-        if self.waiting.get() >= MOST_WAITING {
+        if self.waiting.get() >= MAX_QUEUED_DATAGRAMS {
             self.dropped.set(self.dropped.get() + 1);
             return;
         }
@@ -52,13 +51,13 @@
         self.added.notify_one();
     }
 
-    /// Whether anything waits for a node: what it asks for again is on its way.
-    pub(super) fn has(&self, address: SocketAddr) -> bool {
+    /// Whether datagrams are queued for a node, so that a repeated request can be ignored.
+    pub(super) fn has_pending(&self, address: SocketAddr) -> bool {
         let answers = self.answers.borrow();
         answers.iter().any(|answer| answer.address == address)
     }
 
-    /// The next datagram, with its node.
+    /// The next datagram, with its recipient.
     pub(super) fn pop(&self) -> Option<(SocketAddr, Rc<Datagram>)> {
         let mut answers = self.answers.borrow_mut();
         let mut answer = answers.pop_front()?;
@@ -71,7 +70,7 @@
         Some((address, next))
     }
 
-    /// Number of datagrams that were dropped since this was last asked.
+    /// Number of datagrams dropped since the last call.
     pub(super) fn take_dropped(&self) -> u64 {
         self.dropped.take()
     }
--- a/crates/forwarding/src/dissemination/contents.rs
+++ b/crates/forwarding/src/dissemination/contents.rs
@@ -1,4 +1,4 @@
-//! What messages carry of this node's state.
+//! Builds the parts of messages from this node's state.
 
 use std::cell::RefCell;
 
@@ -9,7 +9,7 @@
 use crate::context::Context;
 use crate::dissemination::news_queue::NewsQueue;
 
-/// Work at language-model engines; that at others is learnt from their answers.
+/// Loads of language-model engines. Loads of other engines are learned from their answers.
 pub(super) fn prompt_loads(
     context: &Context,
     work: impl IntoIterator<Item = (EngineKey, EngineWork)>,
@@ -29,34 +29,34 @@
     loads
 }
 
-/// Sums of work as messages carry them.
+/// Summed work in the form of messages.
 pub(super) struct SummedLoads {
     /// Mean age of the work, in milliseconds.
     pub(super) age_ms: u32,
-    /// The slice that goes first.
+    /// The first slice, part of the table or exchange.
     pub(super) first: LoadSlice,
-    /// The others, each a message of its own; most often there are none.
+    /// Remaining slices, each sent as a separate message; usually none.
     pub(super) others: std::vec::IntoIter<LoadSlice>,
 }
 
-/// The work at language-model engines of `summed`.
+/// Loads of language-model engines in `summed`.
 pub(super) fn summed_loads(context: &Context, summed: SummedWork) -> SummedLoads {
     let age_ms = summed.age.as_millis() as u32;
     let mut slices = LoadSlice::split(prompt_loads(context, summed.engines)).into_iter();
-    let nothing = LoadSlice {
+    let empty = LoadSlice {
         slice: 0,
         slices: 1,
         loads: Vec::new(),
     };
     SummedLoads {
         age_ms,
-        first: slices.next().unwrap_or(nothing),
+        first: slices.next().unwrap_or(empty),
         others: slices,
     }
 }
 
-/// What happened here and was not sent yet.
-pub(super) fn take_news(context: &Context) -> News {
+/// Takes the events of this node that have not been sent yet.
+pub(super) fn take_own_news(context: &Context) -> News {
     let changes = std::mem::take(&mut *context.role_changes.borrow_mut());
     let changes = changes.into_iter().map(|(engine, time)| RoleChange {
         engine: engine.0,
@@ -70,14 +70,14 @@
     }
 }
 
-/// News that wait in a queue, in batches that fit a datagram. Those that it dropped are counted.
-pub(super) fn taken_news(context: &Context, queue: &RefCell<NewsQueue>) -> Vec<Vec<News>> {
+/// Takes queued news in batches that fit a datagram. Counts dropped news.
+pub(super) fn take_batches_of(context: &Context, queue: &RefCell<NewsQueue>) -> Vec<Vec<News>> {
     let mut queue = queue.borrow_mut();
     context.metrics.news_dropped(queue.take_dropped());
     queue.take_batches()
 }
 
-/// Demand at this node and at the sources that `counts` names.
+/// Demand at this node and at the sources that `counts` selects.
 pub(super) fn demand(context: &Context, counts: impl Fn(LoadSource) -> bool) -> Vec<PoolDemand> {
     let now: MonotonicTime = context.now();
     let summed = context.demand.borrow_mut().sum_of(now, counts);
--- a/crates/forwarding/src/dissemination/datagram.rs
+++ b/crates/forwarding/src/dissemination/datagram.rs
@@ -1,14 +1,14 @@
-//! One datagram.
+//! Encoded messages.
 
 use dalestand_dissemination::Message;
 
-/// A message as it is sent.
+/// An encoded message.
 pub(crate) struct Datagram {
     pub(super) kind: &'static str,
     pub(super) bytes: Vec<u8>,
 }
 
-/// The label of a message in the metrics.
+/// The metrics label of a message.
 pub(super) fn kind_label(message: &Message) -> &'static str {
     match message {
         Message::Report(_) => "report",
--- a/crates/forwarding/src/dissemination/engine_notices.rs
+++ b/crates/forwarding/src/dissemination/engine_notices.rs
@@ -1,9 +1,10 @@
-//! Tells other nodes what engines said of themselves: that they drain, when they started, and how many
-//! requests they take.
+//! Sends announcements by engines to other nodes: that they drain, when they started, and their rate
+//! limits.
 //!
-//! An engine's entry says that it drains, too, but late or never while the key-value service is away: just
-//! then the nodes that the engine answers must tell the others. What is lost is repaired by the relays, which
-//! name by turns, once a second, the engines that drain while their entries say otherwise, all starts and all limits.
+//! An engine's entry also shows that it drains, but late or never while the key-value service is
+//! unavailable; then the nodes that receive the engine's answers must tell the others. To make up for
+//! lost datagrams, relays resend the current state once a second: engines that drain although their
+//! entries say otherwise, starts and limits.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,36 +18,36 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::dissemination::notice_queue::{EngineNotice, NoticeSource, PER_MESSAGE};
+use crate::dissemination::notice_queue::{EngineNotice, MAX_NOTICES_PER_MESSAGE, NoticeSource};
 use crate::dissemination::transmit::send;
-use crate::fleet::signals::{apply_reported_limit, known_limit, take_drain, take_start};
+use crate::fleet::signals::{apply_drain, apply_reported_limit, apply_start, known_limit};
 
-/// Time between messages that carry the same.
-const REPEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between retransmissions of a notice.
+const RETRANSMIT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a relay names what stands: within the shortest drain bound (2 s) a node that lost the news of
-/// an engine that drains hears twice.
-const NAMED_INTERVAL: Duration = Duration::from_secs(1);
+/// How often a relay resends the current state. A node that missed a drain notice hears of it twice
+/// within the shortest drain bound (2 s).
+const FULL_STATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Sends what is to be told, for as long as it is polled.
+/// Sends notices until dropped.
 pub(crate) async fn send_notices(context: Rc<Context>, socket: Rc<UdpSocket>) {
-    let mut named_at = BootInstant::now();
+    let mut all_sent_at = BootInstant::now();
     loop {
         let queue = &context.dissemination.notices;
         if queue.is_empty() {
-            let changed = tokio::time::timeout(NAMED_INTERVAL, queue.changed.notified());
-            // Whether something changed or the time is over, both are looked at below.
+            let changed = tokio::time::timeout(FULL_STATE_INTERVAL, queue.changed.notified());
+            // A timeout is no error: the periodic state may be due.
             let _ = changed.await;
         } else {
-            actix_rt::time::sleep(REPEAT_INTERVAL).await;
+            actix_rt::time::sleep(RETRANSMIT_INTERVAL).await;
         }
         let is_relay = context.dissemination.role(context.now()).is_relay;
-        let names_all = is_relay && named_at.elapsed() >= NAMED_INTERVAL;
-        if names_all {
-            named_at = BootInstant::now();
+        let sends_all = is_relay && all_sent_at.elapsed() >= FULL_STATE_INTERVAL;
+        if sends_all {
+            all_sent_at = BootInstant::now();
         }
         let sent_bytes = if is_relay {
-            send_as_relay(&context, &socket, names_all)
+            send_as_relay(&context, &socket, sends_all)
         } else {
             send_as_member(&context, &socket)
         };
@@ -54,23 +55,23 @@
     }
 }
 
-fn send_as_relay(context: &Context, socket: &UdpSocket, names_all: bool) -> usize {
+fn send_as_relay(context: &Context, socket: &UdpSocket, sends_all: bool) -> usize {
     let queue = &context.dissemination.notices;
     let relays = context.dissemination.exchange_addresses(context.now());
     let relays: Vec<SocketAddr> = relays.into_iter().collect();
     let members = context.dissemination.subscribers.borrow().addresses();
     let for_relays = queue.for_relays.borrow_mut().take();
     let for_members = queue.for_members.borrow_mut().take();
-    let news =
-        tell(context, socket, &relays, &for_relays) + tell(context, socket, &members, &for_members);
-    if !names_all {
+    let news = send_to(context, socket, &relays, &for_relays)
+        + send_to(context, socket, &members, &for_members);
+    if !sends_all {
         return news;
     }
-    let standing = standing(context);
-    // Relays read starts for themselves.
-    news + tell(context, socket, &relays, &standing.heard)
-        + tell(context, socket, &members, &standing.heard)
-        + tell(context, socket, &members, &standing.started)
+    let current_notices = current_notices(context);
+    // Relays read starts from the key-value service.
+    news + send_to(context, socket, &relays, &current_notices.announced)
+        + send_to(context, socket, &members, &current_notices.announced)
+        + send_to(context, socket, &members, &current_notices.started)
 }
 
 fn send_as_member(context: &Context, socket: &UdpSocket) -> usize {
@@ -86,18 +87,18 @@
         ReportTarget::Probe(relays) => relays.iter().map(|relay| relay.address).collect(),
     };
     let notices = queue.for_relays.borrow_mut().take();
-    tell(context, socket, &addresses, &notices)
+    send_to(context, socket, &addresses, &notices)
 }
 
-/// What stands, by turns where it is much.
-struct Standing {
-    /// Engines that drain while their entries say otherwise, and limits.
-    heard: Vec<EngineNotice>,
-    /// When engines started.
+/// The current state, in chunks if it exceeds one message.
+struct CurrentNotices {
+    /// Drain notices that the entries do not show, and rate limits.
+    announced: Vec<EngineNotice>,
+    /// Start times of engines.
     started: Vec<EngineNotice>,
 }
 
-fn standing(context: &Context) -> Standing {
+fn current_notices(context: &Context) -> CurrentNotices {
     let turn = context.dissemination.notices.turn.get();
     context.dissemination.notices.turn.set(turn.wrapping_add(1));
     let fleet = context.fleet();
@@ -112,22 +113,25 @@
     let limits = limits.map(|(engine, _, _)| EngineNotice::Limit(engine));
     let started = signals.starts();
     let started = started.map(|(engine, _)| EngineNotice::Started(start(engine)));
-    let mut heard = turn_of(draining.collect(), turn);
-    heard.extend(turn_of(limits.collect(), turn));
-    Standing {
-        heard,
-        started: turn_of(started.collect(), turn),
+    let mut announced = chunk_for_turn(draining.collect(), turn);
+    announced.extend(chunk_for_turn(limits.collect(), turn));
+    CurrentNotices {
+        announced,
+        started: chunk_for_turn(started.collect(), turn),
     }
 }
 
-/// The part of `all` whose turn it is.
-fn turn_of<T>(all: Vec<T>, turn: usize) -> Vec<T> {
-    let turns = all.len().div_ceil(PER_MESSAGE).max(1);
-    let first = (turn % turns) * PER_MESSAGE;
-    all.into_iter().skip(first).take(PER_MESSAGE).collect()
+/// The chunk of `all` to send in round `turn`.
+fn chunk_for_turn<T>(all: Vec<T>, turn: usize) -> Vec<T> {
+    let turns = all.len().div_ceil(MAX_NOTICES_PER_MESSAGE).max(1);
+    let first = (turn % turns) * MAX_NOTICES_PER_MESSAGE;
+    all.into_iter()
+        .skip(first)
+        .take(MAX_NOTICES_PER_MESSAGE)
+        .collect()
 }
 
-fn tell(
+fn send_to(
     context: &Context,
     socket: &UdpSocket,
     addresses: &[SocketAddr],
@@ -161,8 +165,8 @@
     sent_bytes
 }
 
-/// How another node knows that it hears of something: from a relay, which tells the other relays itself.
-fn source_of(context: &Context, node: NodeNumber) -> NoticeSource {
+/// Whether a notice came from a relay or from a member.
+fn notice_source(context: &Context, node: NodeNumber) -> NoticeSource {
     let mut relays = context.dissemination.other_relays().into_iter();
     if relays.any(|relay| relay.number == node) {
         NoticeSource::Relay
@@ -171,27 +175,27 @@
     }
 }
 
-/// Takes in limits that another node tells.
-pub(crate) fn take_limits(context: &Context, limits: &EngineLimits) {
-    let source = source_of(context, limits.node);
+/// Applies rate limits reported by another node.
+pub(crate) fn handle_limits(context: &Context, limits: &EngineLimits) {
+    let source = notice_source(context, limits.node);
     for limit in &limits.limits {
         apply_reported_limit(context, limit, source);
     }
 }
 
-/// Takes in what another node tells. Engines that this node does not know get nothing from it either;
-/// relays name them again.
-pub(crate) fn take(context: &Context, notices: &EngineNotices) {
-    let source = source_of(context, notices.node);
+/// Applies notices of another node. Notices for unknown engines are dropped, because this node sends
+/// them no requests; relays resend the notices.
+pub(crate) fn handle(context: &Context, notices: &EngineNotices) {
+    let source = notice_source(context, notices.node);
     let is_known = |start: &&EngineStart| {
         let engine = EngineKey(start.engine);
         context.fleet().engine(engine).is_some()
     };
-    // A start goes first: what is said of an engine holds for the start that stands.
+    // Starts first, because a drain notice applies to a particular start.
     for start in notices.starts.iter().filter(is_known) {
-        take_start(context, EngineKey(start.engine), start.born, source);
+        apply_start(context, EngineKey(start.engine), start.born, source);
     }
     for start in notices.draining.iter().filter(is_known) {
-        take_drain(context, EngineKey(start.engine), start.born, source);
+        apply_drain(context, EngineKey(start.engine), start.born, source);
     }
 }
--- a/crates/forwarding/src/dissemination/news_queue.rs
+++ b/crates/forwarding/src/dissemination/news_queue.rs
@@ -1,23 +1,22 @@
-//! News that are to go out with the next message.
+//! News that are to be sent with the next message.
 
 use std::collections::VecDeque;
 
 use dalestand_dissemination::News;
 
-/// A crash takes as many bytes as so many parts of a prompt.
-const CRASH_PARTS: usize = 3;
+/// Encoded size of a crash record, counted in prompt parts.
+const PARTS_PER_CRASH: usize = 3;
 
-/// Parts of prompts in one datagram: 4 KB, so that news, loads and changed entries fit into the
-/// longest datagram together.
-const MAX_PARTS: usize = 300;
+/// Prompt parts per message: 4 KB, so that a message can also carry loads and changed entries.
+const MAX_PARTS_PER_MESSAGE: usize = 300;
 
-/// What a placement takes beside its parts, counted in parts: its engine, its state and its own tokens.
-const PLACEMENT_PARTS: usize = 1;
+/// Encoded size of a placement without its parts, counted in prompt parts.
+const PARTS_PER_PLACEMENT: usize = 1;
 
-/// Most news kept. Placements are hints: what is dropped costs one repeated prefill. It is counted.
-const MAX_NEWS: usize = 1_000;
+/// Limit on the queue length. Dropping a placement costs one repeated prefill at most.
+const MAX_QUEUED_NEWS: usize = 1_000;
 
-/// News in the order in which they came.
+/// News in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct NewsQueue {
     waiting: VecDeque<News>,
@@ -25,11 +24,11 @@
 }
 
 impl NewsQueue {
-    /// Adds news, in pieces that each fit a message: all that a relay learns after a start is one
-    /// node's news, and longer than any datagram. The oldest are dropped where too many wait.
+    /// Adds news, split into pieces that fit a message: after a start, the cached parts that a relay
+    /// recovered are one item. When the queue is full, the oldest items are dropped.
     pub(crate) fn push(&mut self, news: News) {
-        for piece in pieces(news) {
-            if self.waiting.len() >= MAX_NEWS {
+        for piece in split(news) {
+            if self.waiting.len() >= MAX_QUEUED_NEWS {
                 self.waiting.pop_front();
                 self.dropped += 1;
             }
@@ -37,18 +36,18 @@
         }
     }
 
-    /// Number of news that were dropped since this was last asked.
+    /// Number of items dropped since the last call.
     pub(crate) fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
 
-    /// Takes all out, in batches that fit a datagram.
+    /// Takes all items, in batches that fit a datagram.
     pub(crate) fn take_batches(&mut self) -> Vec<Vec<News>> {
         let mut batches: Vec<Vec<News>> = Vec::new();
         let mut parts = 0;
         for news in self.waiting.drain(..) {
-            let added = size(&news);
-            if batches.is_empty() || parts + added > MAX_PARTS {
+            let added = size_in_parts(&news);
+            if batches.is_empty() || parts + added > MAX_PARTS_PER_MESSAGE {
                 batches.push(Vec::new());
                 parts = 0;
             }
@@ -61,19 +60,21 @@
     }
 }
 
-/// What news take in a message, counted in parts.
-fn size(news: &News) -> usize {
+/// Encoded size of news, counted in prompt parts.
+fn size_in_parts(news: &News) -> usize {
     let placed = news.placed.iter();
-    let placed: usize = placed.map(|one| one.parts.len() + PLACEMENT_PARTS).sum();
-    placed + CRASH_PARTS * news.crashes.len() + news.role_changes.len()
+    let placed: usize = placed
+        .map(|one| one.parts.len() + PARTS_PER_PLACEMENT)
+        .sum();
+    placed + PARTS_PER_CRASH * news.crashes.len() + news.role_changes.len()
 }
 
-/// The news in pieces of which each fits a message; none if there are none.
-fn pieces(news: News) -> Vec<News> {
+/// Splits news into pieces that fit a message; none if it is empty.
+fn split(news: News) -> Vec<News> {
     if news.is_empty() {
         return Vec::new();
     }
-    if size(&news) <= MAX_PARTS {
+    if size_in_parts(&news) <= MAX_PARTS_PER_MESSAGE {
         return vec![news];
     }
     let origin = news.origin;
@@ -83,7 +84,9 @@
         ..news.clone()
     };
     for placed in news.placed {
-        if size(&piece) + placed.parts.len() + PLACEMENT_PARTS > MAX_PARTS && !piece.is_empty() {
+        if size_in_parts(&piece) + placed.parts.len() + PARTS_PER_PLACEMENT > MAX_PARTS_PER_MESSAGE
+            && !piece.is_empty()
+        {
             pieces.push(std::mem::replace(&mut piece, News::none(origin)));
         }
         piece.placed.push(placed);
--- a/crates/forwarding/src/dissemination/notice_queue.rs
+++ b/crates/forwarding/src/dissemination/notice_queue.rs
@@ -1,4 +1,4 @@
-//! What engines said of themselves, on its way to other nodes.
+//! Announcements by engines that are to be sent to other nodes.
 
 use std::cell::{Cell, RefCell};
 
@@ -8,57 +8,57 @@
 
 use crate::dissemination::retransmit_queue::{RetransmitPolicy, RetransmitQueue};
 
-/// Engines in one message: 0.9 KB, below what a path carries in one packet.
-pub(super) const PER_MESSAGE: usize = 48;
+/// Engines per message; the message takes 0.9 KB and fits one packet.
+pub(super) const MAX_NOTICES_PER_MESSAGE: usize = 48;
 
-/// Each notice goes out with three messages. Those that wait are the engines of a release of a whole zone;
-/// what is dropped is named again by the relays.
-const TERMS: RetransmitPolicy = RetransmitPolicy {
+/// The queue holds the notices of a rolling update of a whole zone. Relays resend the state of
+/// engines whose notices were dropped.
+const RETRANSMIT_POLICY: RetransmitPolicy = RetransmitPolicy {
     transmissions: 3,
-    max_per_message: PER_MESSAGE,
+    max_per_message: MAX_NOTICES_PER_MESSAGE,
     max_queued: 4_096,
 };
 
-/// How a node learnt what it is to tell.
+/// Where a node learned of a notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoticeSource {
-    /// From the engine's answer to this node.
+    /// An answer of the engine to this node.
     OwnAnswer,
-    /// From the engine's entry in the key-value service.
+    /// The engine's entry in the key-value service.
     Entry,
-    /// From a member of this relay.
+    /// A member of this relay.
     Member,
-    /// From a relay, which tells the other relays itself.
+    /// A relay, which informs the other relays itself.
     Relay,
 }
 
-/// What is told of an engine.
+/// A notice about one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EngineNotice {
-    /// It drains.
+    /// It is draining.
     Drains(EngineStart),
     /// It started.
     Started(EngineStart),
-    /// How many requests it takes has changed; what is known of it goes out.
+    /// Its rate limit changed; the limit known at the time of sending is sent.
     Limit(EngineKey),
 }
 
-/// Notices on their way to other nodes.
+/// Notices that are to be sent to other nodes.
 #[derive(Debug)]
 pub(crate) struct NoticeQueue {
     pub(super) for_relays: RefCell<RetransmitQueue<EngineNotice>>,
     pub(super) for_members: RefCell<RetransmitQueue<EngineNotice>>,
-    /// Rung when there are some.
+    /// Signalled when a notice is added.
     pub(super) changed: Notify,
-    /// Messages in which this relay has named what stands, so that all comes by turns.
+    /// Counts the rounds in which this relay sent the current state.
     pub(super) turn: Cell<usize>,
 }
 
 impl Default for NoticeQueue {
     fn default() -> Self {
         Self {
-            for_relays: RefCell::new(RetransmitQueue::new(TERMS)),
-            for_members: RefCell::new(RetransmitQueue::new(TERMS)),
+            for_relays: RefCell::new(RetransmitQueue::new(RETRANSMIT_POLICY)),
+            for_members: RefCell::new(RetransmitQueue::new(RETRANSMIT_POLICY)),
             changed: Notify::new(),
             turn: Cell::new(0),
         }
@@ -66,7 +66,7 @@
 }
 
 impl NoticeQueue {
-    /// Has a notice told.
+    /// Queues a notice.
     pub(crate) fn push(&self, notice: EngineNotice, source: NoticeSource) {
         if source != NoticeSource::Relay {
             self.for_relays.borrow_mut().push(notice);
@@ -75,7 +75,6 @@
         self.changed.notify_one();
     }
 
-    /// Whether nothing is to be told.
     pub(super) fn is_empty(&self) -> bool {
         self.for_relays.borrow().is_empty() && self.for_members.borrow().is_empty()
     }
--- a/crates/forwarding/src/dissemination/own_figures.rs
+++ b/crates/forwarding/src/dissemination/own_figures.rs
@@ -1,10 +1,10 @@
-//! What this node counts for the figures of all nodes, and what it works out from them.
+//! This node's contribution to fleet-wide statistics, and the tenant shares derived from them.
 
 use dalestand_types::{MonotonicTime, PoolName};
 
 use crate::context::Context;
 
-/// Replaces this node's own rows among the figures of all nodes.
+/// Replaces this node's own rows in the fleet-wide statistics.
 pub(crate) fn update_own_figures(context: &Context, now: MonotonicTime) {
     let classes = context.classes.figures(now);
     context.sums.classes.borrow_mut().set_own(classes);
@@ -12,7 +12,7 @@
     context.sums.tenants.borrow_mut().set_own(tenants);
 }
 
-/// Works the shares of tenants out from the figures of all nodes.
+/// Computes the shares of tenants from the fleet-wide statistics.
 pub(crate) fn refresh_tenant_shares(context: &Context, now: MonotonicTime) {
     if let Some(table) = context.table() {
         let fleet = context.fleet();
@@ -23,7 +23,7 @@
     }
 }
 
-/// Notes that a tenant's request found no room: shares that decide nothing yet are worked out at once.
+/// Called when a request found no capacity: computes tenant shares at once if none are in effect.
 pub(crate) fn on_shortage(context: &Context, now: MonotonicTime) {
     if context.tenant_shares.wants_figures(now) {
         update_own_figures(context, now);
--- a/crates/forwarding/src/dissemination/own_reports.rs
+++ b/crates/forwarding/src/dissemination/own_reports.rs
@@ -1,14 +1,13 @@
-//! What this node reported to its relay, so that it can take its own work off the relay's sums.
+//! This node's reports to its relay, so that it can subtract its own work from the relay's sums.
 
 use std::collections::VecDeque;
 
 use dalestand_dissemination::EngineLoad;
 
-/// Reports that are remembered: those of two seconds. A table that includes an older one is too old
-/// to be of use.
-const REMEMBERED: usize = 40;
+/// Number of reports to remember; they cover two seconds. Tables that include older ones are stale.
+const MAX_REMEMBERED_REPORTS: usize = 40;
 
-/// Reports by their sequence.
+/// Sent reports by sequence number.
 #[derive(Debug, Default)]
 pub(crate) struct OwnReports {
     sequence: u32,
@@ -18,32 +17,32 @@
 }
 
 impl OwnReports {
-    /// Remembers the work of the next report; yields the report's sequence.
+    /// Stores the work of the next report; returns the report's sequence number.
     pub(crate) fn next(&mut self, work: Vec<EngineLoad>) -> u32 {
         self.sequence = self.sequence.wrapping_add(1);
         self.sent.push_back((self.sequence, work));
-        if self.sent.len() > REMEMBERED {
+        if self.sent.len() > MAX_REMEMBERED_REPORTS {
             self.sent.pop_front();
         }
         self.sequence
     }
 
-    /// The work of the newest report; `None` before the first.
+    /// Work of the latest report; `None` before the first.
     pub(crate) fn last_work(&self) -> Option<&[EngineLoad]> {
         self.sent.back().map(|(_, work)| work.as_slice())
     }
 
-    /// Notes which report the relay's last table includes; `None` if it includes none.
+    /// Sets which report the relay's last table includes; `None` if it includes none.
     pub(crate) fn set_included(&mut self, sequence: Option<u32>) {
         self.included = sequence;
     }
 
-    /// The work of this node that the relay's last sums include.
+    /// Work of this node that the relay's last table includes.
     pub(crate) fn included_work(&self) -> &[EngineLoad] {
         self.included.map_or(&[], |sequence| self.work_of(sequence))
     }
 
-    /// The work that the report of this sequence told; none if it is not known any more.
+    /// Work of the report with this sequence number; empty if it is no longer known.
     pub(crate) fn work_of(&self, sequence: u32) -> &[EngineLoad] {
         let found = self.sent.iter().find(|(sent, _)| *sent == sequence);
         found.map_or(&[], |(_, work)| work.as_slice())
--- a/crates/forwarding/src/dissemination/receive/declaration.rs
+++ b/crates/forwarding/src/dissemination/receive/declaration.rs
@@ -1,4 +1,4 @@
-//! The declaration on its way between nodes.
+//! Transfer of the declaration between nodes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,8 +10,8 @@
 use crate::dissemination::transmit::{encode, send as send_message};
 use crate::fleet::declaration;
 
-/// Asks a relay for the declaration that it has in force, if that is newer than this node's.
-pub(super) fn ask_if_newer(
+/// Requests a relay's active declaration if it is newer than this node's.
+pub(super) fn request_if_newer(
     context: &Context,
     socket: &UdpSocket,
     relay: SocketAddr,
@@ -30,9 +30,9 @@
     }
 }
 
-/// Sends a node the declaration in force, if this one passes it on.
-pub(super) fn send(context: &Context, asker: SocketAddr, request: &DeclarationRequest) {
-    if context.dissemination.bulk.has(asker) {
+/// Sends the active declaration to a node, unless it is too long to be sent.
+pub(super) fn send(context: &Context, requester: SocketAddr, request: &DeclarationRequest) {
+    if context.dissemination.bulk.has_pending(requester) {
         return;
     }
     let Some(in_force) = context.dissemination.declaration.borrow().clone() else {
@@ -40,19 +40,22 @@
     };
     for part in declaration_parts(in_force.revision, &in_force.text, request) {
         if let Some(datagram) = encode(context, &Message::Declaration(part)) {
-            context.dissemination.bulk.push(asker, Rc::new(datagram));
+            context
+                .dissemination
+                .bulk
+                .push(requester, Rc::new(datagram));
         }
     }
 }
 
-/// Takes a part in.
-pub(super) fn take(context: &Context, part: DeclarationPart) {
+/// Adds a received part; applies the declaration once it is complete.
+pub(super) fn handle(context: &Context, part: DeclarationPart) {
     let whole = context
         .dissemination
         .declaration_sync
         .borrow_mut()
         .add_part(part);
     if let Some(text) = whole {
-        declaration::take(context, &text);
+        declaration::apply(context, &text);
     }
 }
--- a/crates/forwarding/src/dissemination/receive/entries.rs
+++ b/crates/forwarding/src/dissemination/receive/entries.rs
@@ -1,4 +1,4 @@
-//! Engines' entries on their way from a relay to a member.
+//! Transfer of engine entries from a relay to a member.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,20 +10,19 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
+use crate::dissemination::page_cache::PageCache;
 use crate::dissemination::recent_changes::ChangeSource;
-use crate::dissemination::sent_pages::SentPages;
 use crate::dissemination::transmit::{encode, send as send_message};
 use crate::fleet::engine_entries;
 
-/// Entries that a member asks for at once take its link this long at most: callers' requests wait
-/// behind them.
+/// Link time that one answer may use, because callers' requests wait behind it.
 const ENTRIES_LINK_TIME: Duration = Duration::from_millis(50);
 
-/// Most bytes of entries asked for at once, however fast the link.
+/// Limit on the bytes of entries per answer, however fast the link.
 const MAX_ENTRIES_BYTES: u32 = 256 << 10;
 
-/// Asks a relay for the entries that differ, if it is time.
-pub(super) fn ask_if_due(context: &Context, socket: &UdpSocket, relay: SocketAddr) {
+/// Requests the entries that differ from a relay's, if a request is due.
+pub(super) fn request_if_due(context: &Context, socket: &UdpSocket, relay: SocketAddr) {
     if !context
         .dissemination
         .entry_sync
@@ -46,15 +45,15 @@
 /// Sends a member the entries that differ from its own.
 pub(super) fn send(context: &Context, member: SocketAddr, request: EntriesRequest) {
     let dissemination = &context.dissemination;
-    if !dissemination.role(context.now()).is_relay || dissemination.bulk.has(member) {
+    if !dissemination.role(context.now()).is_relay || dissemination.bulk.has_pending(member) {
         return;
     }
     let entries = context.dissemination.entries.borrow();
     let table_digest = entries.digest();
-    let mut sent = context.dissemination.sent_pages.borrow_mut();
+    let mut sent = context.dissemination.page_cache.borrow_mut();
     let known = sent
         .take()
-        .filter(|sent| sent.answers(table_digest, &request));
+        .filter(|sent| sent.matches(table_digest, &request));
     let answer = known.unwrap_or_else(|| {
         let pages = entries_pages(
             context.dissemination.node,
@@ -63,7 +62,7 @@
             rand::random(),
         );
         let pages = pages.into_iter().map(Message::Entries);
-        SentPages {
+        PageCache {
             request,
             table_digest,
             pages: pages
@@ -77,8 +76,8 @@
     *sent = Some(answer);
 }
 
-/// Takes a page in, if it is from the relay that this node listens to.
-pub(super) fn take_page(context: &Context, page: EntriesPage) {
+/// Applies a page if it comes from the followed relay.
+pub(super) fn handle_page(context: &Context, page: EntriesPage) {
     let is_followed = {
         let subscription = context.dissemination.subscription.borrow();
         let current = subscription.current();
@@ -89,7 +88,7 @@
     }
     let records = context
         .dissemination
-        .without_held(context.now(), page.records);
+        .without_withheld(context.now(), page.records);
     let changes = {
         let mut entries = context.dissemination.entries.borrow_mut();
         entries.apply_range(page.revision, page.first..=page.last, records)
@@ -97,5 +96,5 @@
     if !changes.is_empty() {
         context.dissemination.entry_sync.borrow_mut().reset_delay();
     }
-    engine_entries::apply(context, changes, ChangeSource::Relay);
+    engine_entries::apply_changes(context, changes, ChangeSource::Relay);
 }
--- a/crates/forwarding/src/dissemination/receive/exchange.rs
+++ b/crates/forwarding/src/dissemination/receive/exchange.rs
@@ -1,4 +1,4 @@
-//! The sums of another relay.
+//! Handles exchanges of other relays.
 
 use std::net::SocketAddr;
 
@@ -7,23 +7,22 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::dissemination::receive::declaration::ask_if_newer;
-use crate::dissemination::receive::loads::{take_demand, take_slice};
-use crate::dissemination::receive::news::pass_to_members;
+use crate::dissemination::receive::declaration::request_if_newer;
+use crate::dissemination::receive::loads::{apply_demand, apply_slice};
+use crate::dissemination::receive::news::apply_and_forward;
 use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::engine_entries;
 use crate::quarantine::evidence::take_all;
 
-/// Takes an exchange in.
-pub(super) fn take(context: &Context, socket: &UdpSocket, relay: SocketAddr, exchange: Exchange) {
+pub(super) fn handle(context: &Context, socket: &UdpSocket, relay: SocketAddr, exchange: Exchange) {
     let dissemination = &context.dissemination;
-    dissemination.addressed(context.now(), relay);
+    dissemination.record_exchange(context.now(), relay);
     let source = LoadSource::Relay(exchange.node.0);
-    take_slice(context, source, exchange.age_ms, &exchange.work);
-    take_demand(context, source, exchange.demand);
+    apply_slice(context, source, exchange.age_ms, &exchange.work);
+    apply_demand(context, source, exchange.demand);
     dissemination.set_lease_holder(exchange.holder);
-    pass_to_members(context, exchange.news);
+    apply_and_forward(context, exchange.news);
     take_all(context, &exchange.stopped);
-    engine_entries::take(context, exchange.changes, ChangeSource::Relay);
-    ask_if_newer(context, socket, relay, exchange.declaration);
+    engine_entries::merge(context, exchange.changes, ChangeSource::Relay);
+    request_if_newer(context, socket, relay, exchange.declaration);
 }
--- a/crates/forwarding/src/dissemination/receive/loads.rs
+++ b/crates/forwarding/src/dissemination/receive/loads.rs
@@ -1,4 +1,4 @@
-//! Work and demand that other nodes report.
+//! Applies work and demand reported by other nodes.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use crate::context::Context;
 use crate::fleet::engines::Fleet;
 
-/// Takes loads in that did not fit into a table or an exchange.
-pub(super) fn take_message(context: &Context, message: LoadsMessage) {
+/// Applies loads that did not fit into a table or an exchange.
+pub(super) fn handle_message(context: &Context, message: LoadsMessage) {
     match message.scope {
         LoadScope::Members => {
             let source = LoadSource::Relay(message.node.0);
-            take_slice(context, source, message.age_ms, &message.work);
+            apply_slice(context, source, message.age_ms, &message.work);
         }
         LoadScope::Fleet => {
             let is_followed = {
@@ -24,14 +24,14 @@
                 current.is_some_and(|relay| relay.number == message.node)
             };
             if is_followed && !context.dissemination.role(context.now()).is_relay {
-                take_fleet_slice(context, message.age_ms, &message.work);
+                apply_fleet_slice(context, message.age_ms, &message.work);
             }
         }
     }
 }
 
-/// Takes a slice of the fleet's work in, without what this node itself reported.
-pub(super) fn take_fleet_slice(context: &Context, age_ms: u32, work: &LoadSlice) {
+/// Applies a slice of the fleet's work, minus this node's own work.
+pub(super) fn apply_fleet_slice(context: &Context, age_ms: u32, work: &LoadSlice) {
     if !work.is_valid() {
         return;
     }
@@ -46,15 +46,15 @@
         .reported_slice(reported_at, LoadSource::Fleet, report_slice(work), others);
 }
 
-/// Takes a slice of what `source` reported in.
-pub(super) fn take_slice(context: &Context, source: LoadSource, age_ms: u32, work: &LoadSlice) {
+/// Applies a slice of the work reported by `source`.
+pub(super) fn apply_slice(context: &Context, source: LoadSource, age_ms: u32, work: &LoadSlice) {
     if work.is_valid() {
-        take_work(context, source, report_slice(work), age_ms, &work.loads);
+        apply_work(context, source, report_slice(work), age_ms, &work.loads);
     }
 }
 
-/// Takes what `source` reported in.
-pub(super) fn take_work(
+/// Applies work reported by `source`.
+pub(super) fn apply_work(
     context: &Context,
     source: LoadSource,
     slice: ReportSlice,
@@ -72,8 +72,7 @@
         .reported_slice(reported_at, source, slice, engines);
 }
 
-/// Takes demand in.
-pub(super) fn take_demand(context: &Context, source: LoadSource, demand: Vec<PoolDemand>) {
+pub(super) fn apply_demand(context: &Context, source: LoadSource, demand: Vec<PoolDemand>) {
     let now = context.now();
     let mut meter = context.demand.borrow_mut();
     for pool in demand {
@@ -85,7 +84,7 @@
     }
 }
 
-/// The sums without what this node itself reported.
+/// The sums minus this node's own reported work.
 fn work_of_others(
     fleet: &Fleet,
     sums: &[EngineLoad],
@@ -96,7 +95,7 @@
         if let Some(own) = own.iter().find(|own| own.engine == load.engine) {
             work.take_off(&self::work(own));
         }
-        // An engine that this node does not know gets no requests from it either.
+        // Unknown engines are skipped: this node sends them no requests.
         let engines = fleet.engines_of(load.engine);
         engines.map(move |key| (key, work))
     });
@@ -118,7 +117,7 @@
     }
 }
 
-/// When work of this age was as it was reported.
+/// Converts the age of reported work to a time.
 fn reported_at(context: &Context, age_ms: u32) -> MonotonicTime {
     let age = Duration::from_millis(u64::from(age_ms));
     context.now().saturating_sub(age)
--- a/crates/forwarding/src/dissemination/receive/mod.rs
+++ b/crates/forwarding/src/dissemination/receive/mod.rs
@@ -1,4 +1,4 @@
-//! Takes in what other nodes send, one module a kind of message.
+//! Receives messages of other nodes; one module per kind of message.
 
 mod declaration;
 pub(crate) mod entries;
@@ -24,14 +24,14 @@
 use crate::fleet::engine_entries;
 use crate::permits::{asking, issuing};
 
-/// Longest datagram there is: one that were cut would be unreadable, and a relay whose tables are
+/// Size of the longest datagram. A truncated one would be unreadable, and a relay whose tables are
 /// unreadable counts as lost.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Pause after the socket failed.
+/// Pause after a socket error.
 const FAILURE_PAUSE: Duration = Duration::from_millis(100);
 
-/// Takes in messages for as long as it is polled.
+/// Receives messages until dropped.
 pub(crate) async fn receive_state(context: Rc<Context>, socket: Rc<UdpSocket>) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -48,36 +48,36 @@
             Ok((MESSAGE_VERSION, message)) => {
                 let kind = kind_label(&message);
                 context.metrics.datagram(kind, "received", length);
-                take(&context, &socket, sender, message);
+                handle(&context, &socket, sender, message);
             }
-            // Of another version, damaged, or from a stranger.
+            // Another version, damaged, or from an unrelated sender.
             Ok(_) | Err(_) => context.metrics.datagram("unknown", "unreadable", length),
         }
     }
 }
 
-fn take(context: &Context, socket: &UdpSocket, sender: SocketAddr, message: Message) {
+fn handle(context: &Context, socket: &UdpSocket, sender: SocketAddr, message: Message) {
     match message {
-        Message::Report(report) => report::take(context, sender, report),
-        Message::Exchange(exchange) => exchange::take(context, socket, sender, exchange),
-        Message::Table(table) => table::take(context, socket, sender, table),
-        Message::News(batch) => news::pass_to_members(context, batch.news),
-        Message::Loads(message) => loads::take_message(context, message),
+        Message::Report(report) => report::handle(context, sender, report),
+        Message::Exchange(exchange) => exchange::handle(context, socket, sender, exchange),
+        Message::Table(table) => table::handle(context, socket, sender, table),
+        Message::News(batch) => news::apply_and_forward(context, batch.news),
+        Message::Loads(message) => loads::handle_message(context, message),
         Message::Changes(records) => {
-            engine_entries::take(context, records, ChangeSource::Relay);
+            engine_entries::merge(context, records, ChangeSource::Relay);
         }
-        Message::PartsRequest(_) => news::note_parts_request(context, sender),
+        Message::PartsRequest(_) => news::queue_parts_request(context, sender),
         Message::EntriesRequest(request) => entries::send(context, sender, request),
-        Message::Entries(page) => entries::take_page(context, page),
+        Message::Entries(page) => entries::handle_page(context, page),
         Message::DeclarationRequest(request) => {
             declaration::send(context, sender, &request);
         }
-        Message::Declaration(part) => declaration::take(context, part),
-        Message::Engines(notices) => engine_notices::take(context, &notices),
-        Message::Limits(limits) => engine_notices::take_limits(context, &limits),
+        Message::Declaration(part) => declaration::handle(context, part),
+        Message::Engines(notices) => engine_notices::handle(context, &notices),
+        Message::Limits(limits) => engine_notices::handle_limits(context, &limits),
         Message::PermitRequest(request) => issuing::answer(context, socket, sender, &request),
         Message::PermitAnswer(answer) => asking::take(context, answer),
-        Message::Sums(sums) => sums::take(context, sums),
+        Message::Sums(sums) => sums::handle(context, sums),
         Message::Usage(report) => context.usage.take_report(report),
     }
 }
--- a/crates/forwarding/src/dissemination/receive/news.rs
+++ b/crates/forwarding/src/dissemination/receive/news.rs
@@ -1,4 +1,4 @@
-//! News of other nodes.
+//! Applies news of other nodes.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,25 +13,25 @@
 use crate::fleet::part_recovery::known_parts;
 use crate::quarantine::evidence::take_all;
 
-/// Most nodes that wait for known parts; one that is left out reads some parts again.
-const MOST_ASKERS: usize = 1_000;
+/// Limit on nodes waiting for cached prompt parts. A node beyond it prefills some parts again.
+const MAX_WAITING_REQUESTERS: usize = 1_000;
 
-/// News from a relay: taken in, and passed to members if this node is a relay.
-pub(super) fn pass_to_members(context: &Context, all: Vec<News>) {
+/// Applies news from a relay and forwards it to this relay's members.
+pub(super) fn apply_and_forward(context: &Context, all: Vec<News>) {
     for news in all {
-        take_news(context, &news);
+        apply_news(context, &news);
         context.dissemination.table_news.borrow_mut().push(news);
     }
 }
 
-/// Notes what happened at other nodes.
-pub(super) fn take_news(context: &Context, news: &News) {
+/// Applies events of another node.
+pub(super) fn apply_news(context: &Context, news: &News) {
     if news.origin == context.dissemination.node {
         return;
     }
     take_all(context, &news.crashes);
     for placement in &news.placed {
-        take_placement(context, placement);
+        apply_placement(context, placement);
     }
     let now = context.now();
     let mut router = context.router.borrow_mut();
@@ -41,8 +41,8 @@
     }
 }
 
-fn take_placement(context: &Context, placement: &Placement) {
-    // An engine that this node does not know gets no requests from it either.
+fn apply_placement(context: &Context, placement: &Placement) {
+    // Unknown engines are skipped: this node sends them no requests.
     let fleet = context.fleet();
     let engines: Vec<EngineKey> = fleet.engines_of(placement.engine).collect();
     let parts = placement.parts.iter().map(|part| PromptPart {
@@ -73,19 +73,19 @@
     }
 }
 
-/// Notes that a node which has just started asks for known parts.
-pub(super) fn note_parts_request(context: &Context, asker: SocketAddr) {
-    let mut askers = context.dissemination.parts_askers.borrow_mut();
-    if askers.len() < MOST_ASKERS && !askers.contains(&asker) {
-        askers.push(asker);
+/// Queues the request of a starting node for the known cached prompt parts.
+pub(super) fn queue_parts_request(context: &Context, requester: SocketAddr) {
+    let mut requesters = context.dissemination.parts_requesters.borrow_mut();
+    if requesters.len() < MAX_WAITING_REQUESTERS && !requesters.contains(&requester) {
+        requesters.push(requester);
     }
 }
 
-/// Answers the nodes that asked for known parts, all of them at once: after a start of the whole fleet
-/// they are all members of this relay, and to gather the parts for each held it up for 0.3 s.
+/// Answers all queued requests for cached prompt parts together. The parts are collected once: after
+/// a start of the whole fleet all members of this relay request them.
 pub(crate) fn answer_parts_requests(context: &Context) {
-    let askers = std::mem::take(&mut *context.dissemination.parts_askers.borrow_mut());
-    if askers.is_empty() {
+    let requesters = std::mem::take(&mut *context.dissemination.parts_requesters.borrow_mut());
+    if requesters.is_empty() {
         return;
     }
     let mut queue = NewsQueue::default();
@@ -99,11 +99,11 @@
         let Some(datagram) = encode(context, &message).map(Rc::new) else {
             continue;
         };
-        for asker in &askers {
+        for requester in &requesters {
             context
                 .dissemination
                 .bulk
-                .push(*asker, Rc::clone(&datagram));
+                .push(*requester, Rc::clone(&datagram));
         }
     }
 }
--- a/crates/forwarding/src/dissemination/receive/report.rs
+++ b/crates/forwarding/src/dissemination/receive/report.rs
@@ -1,4 +1,4 @@
-//! A member's report.
+//! Handles reports of members.
 
 use std::net::SocketAddr;
 
@@ -6,11 +6,11 @@
 use dalestand_routing::staged::{LoadSource, ReportSlice};
 
 use crate::context::Context;
-use crate::dissemination::receive::loads::{take_demand, take_work};
-use crate::dissemination::receive::news::take_news;
+use crate::dissemination::receive::loads::{apply_demand, apply_work};
+use crate::dissemination::receive::news::apply_news;
 
-/// Takes a report in. A node that is no relay stays silent, so that the member looks for another.
-pub(super) fn take(context: &Context, sender: SocketAddr, report: Report) {
+/// Applies a report. A node that is not a relay does not answer, so that the member probes others.
+pub(super) fn handle(context: &Context, sender: SocketAddr, report: Report) {
     let now = context.now();
     let dissemination = &context.dissemination;
     if !dissemination.role(now).is_relay {
@@ -26,15 +26,15 @@
         return;
     }
     if report.is_probe {
-        // The member waits for a table.
+        // Triggers a table, which answers the probe.
         context.work_changed.notify_one();
         return;
     }
     let source = LoadSource::Member(report.node.0);
-    take_work(context, source, ReportSlice::WHOLE, 0, &report.work);
-    take_demand(context, source, report.demand);
+    apply_work(context, source, ReportSlice::WHOLE, 0, &report.work);
+    apply_demand(context, source, report.demand);
     context.work_changed.notify_one();
-    take_news(context, &report.news);
+    apply_news(context, &report.news);
     dissemination
         .exchange_news
         .borrow_mut()
--- a/crates/forwarding/src/dissemination/receive/table.rs
+++ b/crates/forwarding/src/dissemination/receive/table.rs
@@ -1,4 +1,4 @@
-//! What a member's relay knows of the fleet.
+//! Handles tables of a member's relay.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::dissemination::receive::declaration::ask_if_newer;
-use crate::dissemination::receive::entries::ask_if_due;
-use crate::dissemination::receive::loads::take_fleet_slice;
-use crate::dissemination::receive::news::take_news;
+use crate::dissemination::receive::declaration::request_if_newer;
+use crate::dissemination::receive::entries::request_if_due;
+use crate::dissemination::receive::loads::apply_fleet_slice;
+use crate::dissemination::receive::news::apply_news;
 use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::engine_entries;
 use crate::quarantine::evidence::take_all;
 
-/// Takes a table in, if it is from the relay that this node listens to from now on.
-pub(super) fn take(context: &Context, socket: &UdpSocket, relay: SocketAddr, table: Table) {
+/// Applies a table if it comes from the relay that this node follows.
+pub(super) fn handle(context: &Context, socket: &UdpSocket, relay: SocketAddr, table: Table) {
     let now = context.now();
     let dissemination = &context.dissemination;
     if dissemination.role(now).is_relay {
@@ -35,7 +35,7 @@
             "nodes" => table.node_count);
     }
     context.set_nodes(table.node_count as usize);
-    dissemination.set_fleet_nodes(table.node_count as usize);
+    dissemination.set_reported_node_count(table.node_count as usize);
     dissemination.set_lease_holder(table.holder);
     if !table.relays.is_empty() {
         dissemination
@@ -50,16 +50,16 @@
         .own_reports
         .borrow_mut()
         .set_included(sequence);
-    take_fleet_slice(context, table.age_ms, &table.work);
+    apply_fleet_slice(context, table.age_ms, &table.work);
     for news in &table.news {
-        take_news(context, news);
+        apply_news(context, news);
     }
     take_all(context, &table.stopped);
-    engine_entries::take(context, table.changes, ChangeSource::Relay);
-    ask_if_newer(context, socket, relay, table.declaration);
+    engine_entries::merge(context, table.changes, ChangeSource::Relay);
+    request_if_newer(context, socket, relay, table.declaration);
     if dissemination.entries.borrow().digest() == table.entries_digest {
         dissemination.entry_sync.borrow_mut().reset_delay();
     } else {
-        ask_if_due(context, socket, relay);
+        request_if_due(context, socket, relay);
     }
 }
--- a/crates/forwarding/src/dissemination/retransmit_queue.rs
+++ b/crates/forwarding/src/dissemination/retransmit_queue.rs
@@ -1,19 +1,18 @@
-//! News that each go out with several messages, as datagrams get lost.
+//! A queue that sends each item several times, because datagrams may be lost.
 
 use std::collections::VecDeque;
 
-/// How news are repeated.
+/// Limits of a [`RetransmitQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RetransmitPolicy {
-    /// Messages that carry each of them.
+    /// Number of messages that carry each item.
     pub(crate) transmissions: u8,
-    /// Most in one message.
     pub(crate) max_per_message: usize,
-    /// Most that wait; the oldest are dropped.
+    /// When the queue is full, the oldest items are dropped.
     pub(crate) max_queued: usize,
 }
 
-/// News in the order in which they came, each with the messages that are still to carry it.
+/// Items in order of arrival, each with its remaining transmissions.
 #[derive(Debug)]
 pub(crate) struct RetransmitQueue<T> {
     policy: RetransmitPolicy,
@@ -21,7 +20,6 @@
 }
 
 impl<T: Copy> RetransmitQueue<T> {
-    /// No news.
     pub(crate) fn new(policy: RetransmitPolicy) -> Self {
         Self {
             policy,
@@ -29,7 +27,6 @@
         }
     }
 
-    /// Adds one.
     pub(crate) fn push(&mut self, news: T) {
         if self.queue.len() >= self.policy.max_queued {
             self.queue.pop_front();
@@ -37,7 +34,7 @@
         self.queue.push_back((news, self.policy.transmissions));
     }
 
-    /// Those for the next message. What is to be sent again goes behind what waits.
+    /// Items for the next message. Those to be sent again move to the end of the queue.
     pub(crate) fn take(&mut self) -> Vec<T> {
         let count = self.queue.len().min(self.policy.max_per_message);
         let taken: Vec<_> = self.queue.drain(..count).collect();
@@ -47,12 +44,11 @@
         taken.into_iter().map(|(news, _)| news).collect()
     }
 
-    /// Whether none waits.
     pub(crate) fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// Drops all: nobody listens.
+    /// Drops all items.
     pub(crate) fn clear(&mut self) {
         self.queue.clear();
     }
--- a/crates/forwarding/src/dissemination/send.rs
+++ b/crates/forwarding/src/dissemination/send.rs
@@ -1,4 +1,4 @@
-//! Sends this node's state: a member to its relay, a relay to the other relays.
+//! Sends reports of a member to its relay, and exchanges of a relay to the other relays.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,31 +13,32 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::dissemination::contents::{demand, prompt_loads, summed_loads, take_news, taken_news};
-use crate::dissemination::pacing::{REPORT_INTERVAL, exchange_interval, pause};
+use crate::dissemination::contents::{
+    demand, prompt_loads, summed_loads, take_batches_of, take_own_news,
+};
+use crate::dissemination::pacing::{REPORT_INTERVAL, exchange_interval, pause_after};
 use crate::dissemination::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
 use crate::dissemination::{DisseminationRole, TABLE_INTERVAL};
 use crate::quarantine::evidence::told;
 
-/// How often demand is sent.
 const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A node without anything new sends this often, so that others know that it lives.
+/// Longest interval between messages of a node without changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Changes within this time go out together.
-const GATHER: Duration = Duration::from_millis(4);
+/// Changes within this time are sent together.
+const COALESCE_DELAY: Duration = Duration::from_millis(4);
 
-/// Relays that a node which has started asks for kept parts.
-const RELAYS_ASKED: usize = 2;
+/// Number of relays that a starting node asks for cached prompt parts.
+const RELAYS_ASKED_FOR_PARTS: usize = 2;
 
-/// When the things that are sent now and then were last sent.
+/// When demand and any message were last sent.
 struct LastSent {
     demand: BootInstant,
     message: BootInstant,
 }
 
-/// Sends this node's own state, and as a relay its members' too, for as long as it is polled.
+/// Sends this node's state, and as a relay also its members', until dropped.
 pub(crate) async fn send_state(context: Rc<Context>, socket: Rc<UdpSocket>) {
     let started = BootInstant::now();
     let mut last = LastSent {
@@ -48,11 +49,11 @@
     loop {
         let changed = context.work_changed.notified();
         if tokio::time::timeout(TABLE_INTERVAL, changed).await.is_ok() {
-            actix_rt::time::sleep(GATHER).await;
+            actix_rt::time::sleep(COALESCE_DELAY).await;
         }
         let role = context.dissemination.role(context.now());
         if former != Some(role) {
-            take_role(&context, role);
+            apply_role(&context, role);
             former = Some(role);
         }
         ask_for_parts(&context, &socket);
@@ -65,12 +66,12 @@
     }
 }
 
-fn take_role(context: &Context, role: DisseminationRole) {
-    context.dissemination.follow_as(role);
+fn apply_role(context: &Context, role: DisseminationRole) {
+    context.dissemination.apply_role(role);
     log_event!(context.logger, Event::SpreadRoleTaken, "relay" => role.is_relay,
         "reads_store" => role.reads_store, "nodes" => context.node_count());
     if role.is_relay {
-        // A relay has the sums of its own members and of the other relays instead.
+        // Replaced by the reports of its members and of the other relays.
         context.router.borrow_mut().work.forget(LoadSource::Fleet);
     }
 }
@@ -84,10 +85,10 @@
     let zone = &context.settings.zone;
     let others = subscription.relays().iter();
     let others = others.filter(|relay| subscription.current() != Some(relay));
-    // What they answer is long: it is not to pass between zones where the own zone has it.
+    // Prefers the own zone, because the answers are long.
     let (own, foreign): (Vec<&Relay>, Vec<&Relay>) = others.partition(|relay| relay.zone == *zone);
     let asked = current.chain(own).chain(foreign);
-    let asked: Vec<&Relay> = asked.take(RELAYS_ASKED).collect();
+    let asked: Vec<&Relay> = asked.take(RELAYS_ASKED_FOR_PARTS).collect();
     let request = PartsRequest {
         node: context.dissemination.node,
     };
@@ -95,12 +96,12 @@
     send(context, socket, &addresses, &Message::PartsRequest(request));
 }
 
-/// One exchange, if there is something to send; yields the time until the next.
+/// Sends one exchange if there is anything to send; returns the time until the next.
 fn send_to_relays(context: &Context, socket: &UdpSocket, last: &mut LastSent) -> Duration {
     let now = context.now();
     let dissemination = &context.dissemination;
     context.router.borrow_mut().work.sweep(now);
-    let own_news = take_news(context);
+    let own_news = take_own_news(context);
     dissemination
         .exchange_news
         .borrow_mut()
@@ -123,7 +124,7 @@
     } else {
         Duration::ZERO
     };
-    pause(&context.settings, sent_bytes).max(least)
+    pause_after(&context.settings, sent_bytes).max(least)
 }
 
 fn send_exchange(
@@ -142,7 +143,7 @@
         .work
         .summed(context.now(), is_member);
     let loads = summed_loads(context, summed);
-    let mut batches = taken_news(context, &dissemination.exchange_news).into_iter();
+    let mut batches = take_batches_of(context, &dissemination.exchange_news).into_iter();
     let news = batches.next().unwrap_or_default();
     let mut further_changes = dissemination
         .changes
@@ -174,7 +175,7 @@
             Vec::new()
         },
         holder: dissemination.lease_holder(),
-        declaration: dissemination.declaration_offered(),
+        declaration: dissemination.offered_declaration_revision(),
     };
     let header = LoadHeader {
         scope: LoadScope::Members,
@@ -186,7 +187,7 @@
         + send_news(context, socket, &others, batches)
 }
 
-/// Asks a relay of the own zone whether it lives, where this node listens to one of another zone.
+/// Probes a relay of the own zone if one is due while following a relay of another zone.
 fn probe_own_zone(context: &Context, socket: &UdpSocket) {
     let dissemination = &context.dissemination;
     let probed = dissemination
@@ -208,7 +209,7 @@
     context.sent(sent_bytes);
 }
 
-/// One report, if there is something to report; yields the time until the next.
+/// Sends one report if there is anything to report; returns the time until the next.
 fn send_as_member(context: &Context, socket: &UdpSocket, last: &mut LastSent) -> Duration {
     let dissemination = &context.dissemination;
     probe_own_zone(context, socket);
@@ -230,11 +231,11 @@
         prompt_loads(context, own)
     };
     let is_new = dissemination.own_reports.borrow().last_work() != Some(&work);
-    // A probe takes no news with it: relays that are not chosen would pass them on a second time.
+    // Probes carry no news: each probed relay would relay them again.
     let news = if is_probe {
         News::none(dissemination.node)
     } else {
-        take_news(context)
+        take_own_news(context)
     };
     let demand_is_due = !is_probe && last.demand.elapsed() >= DEMAND_INTERVAL;
     let heartbeat_is_due = last.message.elapsed() >= HEARTBEAT_INTERVAL;
@@ -260,5 +261,5 @@
     };
     let sent_bytes = send(context, socket, &addresses, &Message::Report(report));
     context.sent(sent_bytes);
-    pause(&context.settings, sent_bytes).max(REPORT_INTERVAL)
+    pause_after(&context.settings, sent_bytes).max(REPORT_INTERVAL)
 }
--- a/crates/forwarding/src/dissemination/sums.rs
+++ b/crates/forwarding/src/dissemination/sums.rs
@@ -1,5 +1,5 @@
-//! Sends figures that add up over all nodes, and takes in those of others: members to their relay, relays to each
-//! other and to their members.
+//! Sends and receives statistics that are summed over all nodes: from members to their relay, from
+//! relays to each other and to their members.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,71 +18,72 @@
 use crate::dissemination::transmit::send;
 use crate::fleet_sums::FleetSums;
 
-/// Time between two messages. Shares and room follow demand that turns within three seconds.
-const INTERVAL: Duration = Duration::from_millis(250);
+/// Shortest interval between two rounds. Tenant shares must follow a change of demand within three
+/// seconds.
+const SEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest time between two messages: a row of demand outlasts two of them.
-const LONGEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Longest interval between two rounds; rows of demand remain valid for more than two of them.
+const MAX_SEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bytes a second that a node sends of these figures at most: a quarter of what the users allow a node for control.
+/// Limit on the bytes per second sent for these statistics, a quarter of a node's control traffic.
 const BYTES_PER_S: f64 = 7_250.0;
 
-/// Rows of pools, of tenants or of engines in one message: 1.2 KB, what a path carries in one packet.
+/// Rows per message; a message fits one packet of 1.2 KB.
 const ROWS_PER_MESSAGE: usize = 32;
 
-/// Engines reported in one round; larger fleets go by turns.
+/// Slowness rows per round; larger fleets take several rounds.
 const ENGINES_PER_ROUND: usize = 128;
 
-/// Sends figures for as long as it is polled.
+/// Sends statistics until dropped.
 pub(crate) async fn send_sums(context: Rc<Context>, socket: Rc<UdpSocket>) {
-    let mut turn = 0;
+    let mut round_number = 0;
     let mut was_relay = None;
-    let mut pause = INTERVAL;
+    let mut pause = SEND_INTERVAL;
     loop {
         actix_rt::time::sleep(pause).await;
         let now = context.now();
         let is_relay = context.dissemination.role(now).is_relay;
         if was_relay.replace(is_relay) == Some(false) && is_relay {
-            // A relay has the sums of its own members and of the other relays instead.
+            // Replaced by the statistics of its members and of the other relays.
             context.sums.forget(LoadSource::Fleet);
         }
         update_own_figures(&context, now);
         context.sums.refresh(now);
         refresh_tenant_shares(&context, now);
         let sent_bytes = if is_relay {
-            send_as_relay(&context, &socket, turn)
+            send_as_relay(&context, &socket, round_number)
         } else {
-            send_as_member(&context, &socket, turn)
+            send_as_member(&context, &socket, round_number)
         };
-        turn += 1;
+        round_number += 1;
         context.sent(sent_bytes);
         let paced = Duration::from_secs_f64(sent_bytes as f64 / BYTES_PER_S);
-        pause = paced.clamp(INTERVAL, LONGEST_INTERVAL);
+        pause = paced.clamp(SEND_INTERVAL, MAX_SEND_INTERVAL);
     }
 }
 
-fn send_as_member(context: &Context, socket: &UdpSocket, turn: usize) -> usize {
+fn send_as_member(context: &Context, socket: &UdpSocket, round_number: usize) -> usize {
     let target = context
         .dissemination
         .subscription
         .borrow()
         .target(context.now());
     let ReportTarget::Subscribed(relay) = target else {
-        // Relays that are only looked for would count the figures a second time.
+        // Each probed relay would count the statistics again.
         return 0;
     };
-    let rows = rows(context, turn, |_| false);
+    let rows = rows(context, round_number, |_| false);
     send_rows(context, socket, &[relay.address], SumScope::Node, rows)
 }
 
-fn send_as_relay(context: &Context, socket: &UdpSocket, turn: usize) -> usize {
+fn send_as_relay(context: &Context, socket: &UdpSocket, round_number: usize) -> usize {
     let relays = context.dissemination.exchange_addresses(context.now());
     let relays: Vec<SocketAddr> = relays.into_iter().collect();
     let members = context.dissemination.subscribers.borrow().addresses();
-    let of_members = rows(context, turn, |source| {
+    let of_members = rows(context, round_number, |source| {
         matches!(source, LoadSource::Member(_))
     });
-    let of_fleet = rows(context, turn, |_| true);
+    let of_fleet = rows(context, round_number, |_| true);
     send_rows(context, socket, &relays, SumScope::Members, of_members)
         + send_rows(context, socket, &members, SumScope::Fleet, of_fleet)
 }
@@ -105,21 +106,21 @@
     sent.sum()
 }
 
-/// The sums of this node and of the sources that `counts` names, in messages.
+/// Messages with the sums over this node and the sources that `includes` selects.
 fn rows(
     context: &Context,
-    turn: usize,
-    counts: impl Fn(LoadSource) -> bool + Copy,
+    round_number: usize,
+    includes: impl Fn(LoadSource) -> bool + Copy,
 ) -> Vec<SummedRows> {
-    let mut messages = class_rows(context, counts);
-    messages.extend(tenant_rows(context, counts));
-    messages.extend(slowness_rows(context, turn, counts));
+    let mut messages = class_rows(context, includes);
+    messages.extend(tenant_rows(context, includes));
+    messages.extend(slowness_rows(context, round_number, includes));
     messages
 }
 
-fn class_rows(context: &Context, counts: impl Fn(LoadSource) -> bool) -> Vec<SummedRows> {
+fn class_rows(context: &Context, includes: impl Fn(LoadSource) -> bool) -> Vec<SummedRows> {
     let classes = context.sums.classes.borrow();
-    let sums = classes.sum_of(context.now(), counts).into_iter();
+    let sums = classes.sum_of(context.now(), includes).into_iter();
     let rows = sums.map(|((pool, priority), figures)| ClassRow {
         pool,
         priority,
@@ -132,10 +133,10 @@
         .collect()
 }
 
-fn tenant_rows(context: &Context, counts: impl Fn(LoadSource) -> bool) -> Vec<SummedRows> {
+fn tenant_rows(context: &Context, includes: impl Fn(LoadSource) -> bool) -> Vec<SummedRows> {
     let tenants = context.sums.tenants.borrow();
     let mut classes = std::collections::BTreeMap::new();
-    for ((class, tenant), figures) in tenants.sum_of(context.now(), counts) {
+    for ((class, tenant), figures) in tenants.sum_of(context.now(), includes) {
         let rows: &mut Vec<_> = classes.entry(class).or_default();
         rows.push((tenant, figures));
     }
@@ -158,11 +159,11 @@
 
 fn slowness_rows(
     context: &Context,
-    turn: usize,
-    counts: impl Fn(LoadSource) -> bool,
+    round_number: usize,
+    includes: impl Fn(LoadSource) -> bool,
 ) -> Vec<SummedRows> {
     let slowness = context.sums.slowness.borrow();
-    let sums = slowness.sum_of(context.now(), counts).into_iter();
+    let sums = slowness.sum_of(context.now(), includes).into_iter();
     let rows = sums.map(|((engine, kind), figures)| SlownessRow {
         engine,
         kind,
@@ -170,8 +171,8 @@
     });
     let mut rows: Vec<SlownessRow> = rows.collect();
     rows.sort_by_key(|row| (row.engine, row.kind));
-    let turns = rows.len().div_ceil(ENGINES_PER_ROUND).max(1);
-    let first = (turn % turns) * ENGINES_PER_ROUND;
+    let rounds = rows.len().div_ceil(ENGINES_PER_ROUND).max(1);
+    let first = (round_number % rounds) * ENGINES_PER_ROUND;
     let round: Vec<SlownessRow> = rows
         .into_iter()
         .skip(first)
@@ -183,8 +184,8 @@
         .collect()
 }
 
-/// Takes in figures of another node. Rows that no node can have counted are passed over.
-pub(super) fn take(context: &Context, message: SumsMessage) {
+/// Applies statistics of another node. Invalid rows are skipped and counted.
+pub(super) fn handle(context: &Context, message: SumsMessage) {
     let now = context.now();
     let is_relay = context.dissemination.role(now).is_relay;
     let source = match message.scope {
@@ -192,24 +193,24 @@
         SumScope::Members => LoadSource::Relay(message.node.0),
         SumScope::Fleet => LoadSource::Fleet,
     };
-    let counts_here = match source {
-        LoadSource::Fleet => !is_relay && is_followed(context, &message),
+    let is_relevant = match source {
+        LoadSource::Fleet => !is_relay && is_from_followed_relay(context, &message),
         LoadSource::Member(_) | LoadSource::Relay(_) => is_relay,
     };
-    if counts_here {
-        let unsound = take_rows(&context.sums, now, source, message.rows);
-        context.metrics.rows_unsound(unsound);
+    if is_relevant {
+        let invalid = apply_rows(&context.sums, now, source, message.rows);
+        context.metrics.rows_unsound(invalid);
     }
 }
 
-fn is_followed(context: &Context, message: &SumsMessage) -> bool {
+fn is_from_followed_relay(context: &Context, message: &SumsMessage) -> bool {
     let subscription = context.dissemination.subscription.borrow();
     let current = subscription.current();
     current.is_some_and(|relay| relay.number == message.node)
 }
 
-/// Takes rows in; yields how many were passed over.
-fn take_rows(
+/// Applies rows; returns how many were invalid.
+fn apply_rows(
     sums: &FleetSums,
     now: dalestand_types::MonotonicTime,
     source: LoadSource,
@@ -217,38 +218,38 @@
 ) -> usize {
     match rows {
         SummedRows::Classes(rows) => {
-            let told = rows.len();
+            let received = rows.len();
             let rows = rows.into_iter().filter(|row| row.figures.is_sound());
             let rows: Vec<_> = rows
                 .map(|row| ((row.pool, row.priority), row.figures))
                 .collect();
-            let unsound = told - rows.len();
+            let invalid = received - rows.len();
             sums.classes.borrow_mut().reported(now, source, rows);
-            unsound
+            invalid
         }
         SummedRows::Tenants(TenantRows {
             pool,
             priority,
             rows,
         }) => {
-            let told = rows.len();
+            let received = rows.len();
             let rows = rows.into_iter().filter(|row| row.figures.is_sound());
             let rows: Vec<_> = rows
                 .map(|row| (((pool.clone(), priority), row.tenant), row.figures))
                 .collect();
-            let unsound = told - rows.len();
+            let invalid = received - rows.len();
             sums.tenants.borrow_mut().reported(now, source, rows);
-            unsound
+            invalid
         }
         SummedRows::Slowness(rows) => {
-            let told = rows.len();
+            let received = rows.len();
             let rows = rows.into_iter().filter(|row| row.figures.is_sound());
             let rows: Vec<_> = rows
                 .map(|row| ((row.engine, row.kind), row.figures))
                 .collect();
-            let unsound = told - rows.len();
+            let invalid = received - rows.len();
             sums.slowness.borrow_mut().reported(now, source, rows);
-            unsound
+            invalid
         }
     }
 }
--- a/crates/forwarding/src/dissemination/tables.rs
+++ b/crates/forwarding/src/dissemination/tables.rs
@@ -1,4 +1,4 @@
-//! A relay's tables for its members.
+//! Sends a relay's tables to its members.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,53 +10,53 @@
 
 use crate::context::Context;
 use crate::dissemination::TABLE_INTERVAL;
-use crate::dissemination::contents::{summed_loads, taken_news};
-use crate::dissemination::pacing::pause;
+use crate::dissemination::contents::{summed_loads, take_batches_of};
+use crate::dissemination::pacing::pause_after;
 use crate::dissemination::receive::news::answer_parts_requests;
 use crate::dissemination::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
 use crate::quarantine::evidence::told;
 
-/// How often the relays are named to members.
+/// How often tables include the list of relays.
 const RELAYS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How often nodes that ask for known parts are answered.
+/// How often requests for cached prompt parts are answered.
 const PARTS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Bytes a second that a member is to receive at most: what the users allow a node for control.
+/// Limit on the bytes per second that a member receives, the allowance for control traffic.
 const MEMBER_BYTES_PER_S: f64 = 29_000.0;
 
-/// Sends what a relay knows to its members, for as long as it is polled.
+/// Sends tables to members until dropped.
 pub(crate) async fn send_tables(context: Rc<Context>, socket: Rc<UdpSocket>) {
-    let mut relays_named = BootInstant::now();
-    let mut parts_told = BootInstant::now();
+    let mut relays_sent_at = BootInstant::now();
+    let mut parts_sent_at = BootInstant::now();
     loop {
         let now = context.now();
         let dissemination = &context.dissemination;
         dissemination.subscribers.borrow_mut().remove_silent(now);
-        if parts_told.elapsed() >= PARTS_INTERVAL && dissemination.role(now).is_relay {
-            parts_told = BootInstant::now();
+        if parts_sent_at.elapsed() >= PARTS_INTERVAL && dissemination.role(now).is_relay {
+            parts_sent_at = BootInstant::now();
             answer_parts_requests(&context);
         }
         let members = dissemination.subscribers.borrow().addresses();
         if members.is_empty() || !dissemination.role(now).is_relay {
-            // Nobody listens.
+            // No recipients.
             dissemination.table_news.borrow_mut().take_batches();
             dissemination.changes.borrow_mut().clear_tables();
             actix_rt::time::sleep(TABLE_INTERVAL).await;
             continue;
         }
-        let names_relays = relays_named.elapsed() >= RELAYS_INTERVAL;
-        if names_relays {
-            relays_named = BootInstant::now();
+        let includes_relays = relays_sent_at.elapsed() >= RELAYS_INTERVAL;
+        if includes_relays {
+            relays_sent_at = BootInstant::now();
         }
-        let sent_bytes = send_table(&context, &socket, &members, names_relays);
+        let sent_bytes = send_table(&context, &socket, &members, includes_relays);
         context.sent(sent_bytes);
         let member_bytes = sent_bytes as f64 / members.len() as f64;
         let member_pause = Duration::from_secs_f64(member_bytes / MEMBER_BYTES_PER_S);
-        // News beyond what members may receive are no reason to let them wait for loads: on a large
-        // site that took tables from 100 ms to 1 s, and members took their relays for lost.
+        // Exceeding the limit must not delay the next table so much that members consider their
+        // relay lost.
         let member_pause = member_pause.min(TABLE_INTERVAL);
-        let pause = pause(&context.settings, sent_bytes).max(member_pause);
+        let pause = pause_after(&context.settings, sent_bytes).max(member_pause);
         actix_rt::time::sleep(pause).await;
     }
 }
@@ -65,12 +65,12 @@
     context: &Context,
     socket: &UdpSocket,
     members: &[SocketAddr],
-    names_relays: bool,
+    includes_relays: bool,
 ) -> usize {
     let dissemination = &context.dissemination;
     let summed = context.router.borrow().work.summed(context.now(), |_| true);
     let loads = summed_loads(context, summed);
-    let mut batches = taken_news(context, &dissemination.table_news).into_iter();
+    let mut batches = take_batches_of(context, &dissemination.table_news).into_iter();
     let mut changes = dissemination.changes.borrow_mut().for_table().into_iter();
     let table = Table {
         node: dissemination.node,
@@ -81,18 +81,18 @@
         news: batches.next().unwrap_or_default(),
         changes: changes.next().unwrap_or_default(),
         entries_digest: dissemination.entries.borrow().digest(),
-        stopped: if names_relays {
+        stopped: if includes_relays {
             told(context)
         } else {
             Vec::new()
         },
-        relays: if names_relays {
+        relays: if includes_relays {
             dissemination.relays.borrow().clone()
         } else {
             Vec::new()
         },
         holder: dissemination.lease_holder(),
-        declaration: dissemination.declaration_offered(),
+        declaration: dissemination.offered_declaration_revision(),
     };
     let header = LoadHeader {
         scope: LoadScope::Fleet,
--- a/crates/forwarding/src/dissemination/tests.rs
+++ b/crates/forwarding/src/dissemination/tests.rs
@@ -1,4 +1,4 @@
-//! The share of a node's link that messages take, and what is kept to be sent on.
+//! Pacing of messages, roles, and the queues of outgoing messages.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,7 +18,7 @@
 use super::own_reports::OwnReports;
 use super::recent_changes::{ChangeSource, RecentChanges};
 
-use super::pacing::{LONGEST_PAUSE, MESSAGES_LINK_SHARE, pause};
+use super::pacing::{MAX_LINK_SHARE, MAX_PAUSE, pause_after};
 use crate::node::settings::{ForwardingSettings, SettingsFault};
 
 fn settings(link: &str) -> ForwardingSettings {
@@ -35,28 +35,27 @@
     ForwardingSettings::parse(&text)
 }
 
-/// Found on a grown site: a notice to 65 peers was some 40 KB, one went out for each change of work,
-/// and links of 10 Mbit/s carried nothing else.
+/// Long messages must not use the whole of a slow link.
 #[rstest]
 fn messages_leave_callers_their_share_of_the_link() {
-    const NOTICES_BYTES: usize = 40_000;
+    const SENT_BYTES: usize = 40_000;
     let settings = settings("link_mbps = 10.0\n");
-    let carried = settings.link_time(NOTICES_BYTES);
+    let carried = settings.link_time(SENT_BYTES);
     assert_eq!(carried, Duration::from_millis(32));
-    let pause = pause(&settings, NOTICES_BYTES);
-    assert!(carried.as_secs_f64() / pause.as_secs_f64() <= MESSAGES_LINK_SHARE + 1e-9);
+    let pause = pause_after(&settings, SENT_BYTES);
+    assert!(carried.as_secs_f64() / pause.as_secs_f64() <= MAX_LINK_SHARE + 1e-9);
 }
 
 #[rstest]
 #[case::a_link_without_bounds("", 40_000, Duration::ZERO)]
 #[case::nothing_sent("link_mbps = 10.0\n", 0, Duration::ZERO)]
-#[case::a_link_that_hardly_carries("link_mbps = 0.001\n", 40_000, LONGEST_PAUSE)]
+#[case::a_link_that_hardly_carries("link_mbps = 0.001\n", 40_000, MAX_PAUSE)]
 fn the_pause_is_bounded(#[case] link: &str, #[case] bytes: usize, #[case] expected: Duration) {
-    assert_eq!(pause(&settings(link), bytes), expected);
+    assert_eq!(pause_after(&settings(link), bytes), expected);
 }
 
 #[rstest]
-fn a_link_without_speed_is_a_fault() {
+fn a_link_speed_of_zero_is_rejected() {
     let faults = parsed("link_mbps = 0.0\n").expect_err("a fault");
     assert!(
         matches!(
@@ -79,7 +78,7 @@
 }
 
 #[rstest]
-fn a_change_goes_out_several_times_and_only_readers_tell_relays() {
+fn changes_are_retransmitted_and_relays_get_only_those_read_from_the_store() {
     let mut changes = RecentChanges::default();
     changes.push(&[record("read", 5)], ChangeSource::Store);
     changes.push(&[record("heard", 6)], ChangeSource::Relay);
@@ -114,13 +113,12 @@
     }
     let batches = queue.take_batches();
     let sizes: Vec<usize> = batches.iter().map(Vec::len).collect();
-    // Each is 50 parts and the head of a placement.
+    // 50 parts each, plus the encoded size of a placement without parts.
     assert_eq!(sizes, [5, 5]);
     assert!(queue.take_batches().is_empty());
 }
 
-/// Found on a grown site: news of role changes alone were dropped, and nodes went on to send requests to
-/// engines that changed their roles.
+/// News with role changes only must be sent: they stop requests to engines that change roles.
 #[rstest]
 fn news_without_placements_go_out() {
     let mut queue = NewsQueue::default();
@@ -135,7 +133,7 @@
 }
 
 #[rstest]
-fn a_node_knows_the_work_of_the_report_that_a_table_includes() {
+fn the_work_of_an_included_report_is_known() {
     let load = |requests| EngineLoad {
         engine: EngineCode(1),
         requests,
@@ -149,10 +147,10 @@
     assert_eq!(reports.work_of(77), []);
 }
 
-/// Found on a site of 63 nodes: a batch of 21 engines that left at once was dropped, and members went
-/// on to send requests to them for 9 s.
+/// Changes that do not fit one message must not be dropped: members would send requests to engines
+/// that have left.
 #[rstest]
-fn changes_beyond_one_message_go_with_the_next() {
+fn changes_beyond_one_message_are_sent_with_the_next() {
     let records: Vec<EntryRecord> = (0..40).map(|key| record(&key.to_string(), 7)).collect();
     let mut changes = RecentChanges::default();
     changes.push(&records, ChangeSource::Store);
@@ -164,15 +162,15 @@
     assert_eq!(sent.len(), records.len());
 }
 
-/// While no relay is heard and none is known a node reads for itself, after a time; relays that send
-/// their sums to a node make it one of them, for a time.
+/// A node without a relay reads the key-value service after a delay; an exchange from a relay makes it
+/// a relay for a limited time.
 #[rstest]
-fn a_node_reads_while_it_is_a_relay_or_hears_none() {
+fn a_node_reads_the_store_while_it_is_a_relay_or_hears_none() {
     let dissemination = Dissemination::new(&settings("link_mbps = 10.0\n"));
     let at = MonotonicTime::from_millis;
     assert!(!dissemination.role(at(1_000)).reads_store);
     assert!(dissemination.role(at(2_100)).reads_store);
-    dissemination.addressed(at(5_000), ([127, 0, 0, 1], 9).into());
+    dissemination.record_exchange(at(5_000), ([127, 0, 0, 1], 9).into());
     assert!(dissemination.role(at(7_900)).is_relay);
     assert!(!dissemination.role(at(8_100)).is_relay);
     let entry = |link_mbps| NodeEntry {
@@ -180,17 +178,16 @@
         zone: "z".into(),
         link_mbps,
     };
-    dissemination.change_directory(|nodes| nodes.set("n", Some(entry(10))));
+    dissemination.update_directory(|nodes| nodes.set("n", Some(entry(10))));
     assert!(dissemination.role(at(9_000)).is_relay);
     for faster in ["a", "b", "c"] {
-        dissemination.change_directory(|nodes| nodes.set(faster, Some(entry(200))));
+        dissemination.update_directory(|nodes| nodes.set(faster, Some(entry(200))));
     }
     assert!(!dissemination.role(at(9_000)).is_relay);
     assert_eq!(dissemination.node_count(), 4);
 }
 
-/// Found at 9,560 engines: all that a relay read of kept parts after a start went out as one node's news,
-/// which no datagram holds.
+/// After a start, the cached parts recovered by one relay exceed a datagram.
 #[rstest]
 fn news_of_thousands_of_engines_go_out_in_messages_that_fit() {
     let mut queue = NewsQueue::default();
@@ -211,7 +208,7 @@
 }
 
 #[rstest]
-fn news_that_are_dropped_are_counted() {
+fn dropped_news_are_counted() {
     let mut queue = NewsQueue::default();
     for _ in 0..1_010 {
         queue.push(placed(1));
@@ -221,10 +218,10 @@
     assert_eq!(queue.take_dropped(), 0);
 }
 
-/// The pattern of half of 9,560 engines replaced at once: all changes are told before any is told again,
-/// and within a second.
+/// Each change is sent once before any is repeated, and all within a second, also when half of a
+/// fleet of 9,560 engines is replaced at once.
 #[rstest]
-fn the_changes_of_half_a_fleet_are_told_within_a_second() {
+fn the_changes_of_half_a_fleet_are_sent_within_a_second() {
     const TABLES_PER_S: usize = 40;
     let records: Vec<EntryRecord> = (0..4_300).map(|key| record(&key.to_string(), 7)).collect();
     let mut changes = RecentChanges::default();
@@ -247,10 +244,10 @@
     })
 }
 
-/// The pattern of a start: fifty members ask for a hundred pages each. Found at 986 nodes: all were sent at
-/// once, faster than the link carries, and tables and changes were lost with them.
+/// After a start all members request all pages. Answers are interleaved, so that one member's pages
+/// do not delay those of the others.
 #[rstest]
-fn long_answers_go_to_all_by_turns() {
+fn long_answers_are_interleaved() {
     let queue = BulkQueue::default();
     let nodes: Vec<SocketAddr> = (1..=50).map(|port| ([127, 0, 0, 1], port).into()).collect();
     for node in &nodes {
@@ -258,7 +255,7 @@
             queue.push(*node, datagram(page));
         }
     }
-    assert!(queue.has(nodes[0]));
+    assert!(queue.has_pending(nodes[0]));
     for page in 0..100 {
         for node in &nodes {
             let (address, sent) = queue.pop().expect("a page");
@@ -266,12 +263,12 @@
         }
     }
     assert!(queue.pop().is_none());
-    assert!(!queue.has(nodes[0]));
+    assert!(!queue.has_pending(nodes[0]));
     assert_eq!(queue.take_dropped(), 0);
 }
 
 #[rstest]
-fn a_long_answer_has_a_bound() {
+fn the_bulk_queue_is_bounded() {
     let queue = BulkQueue::default();
     let node: SocketAddr = ([127, 0, 0, 1], 1).into();
     for _ in 0..9_000 {
@@ -282,11 +279,10 @@
     assert_eq!(left, 8_192);
 }
 
-/// Found at 986 nodes: the key-value service turned a third of the nodes away and revoked their leases. A
-/// relay among them went on as one, while the others no longer sent it their sums: its members sent a
-/// request to an engine 5.5 s after that had said that it leaves.
+/// A relay whose entry expired because the key-value service refused it still has members. The other
+/// relays must keep sending it exchanges, or its members miss engines that drain.
 #[rstest]
-fn a_relay_that_lost_its_entry_is_still_sent_what_changes() {
+fn a_relay_without_an_entry_still_receives_exchanges() {
     let dissemination = Dissemination::new(&settings("link_mbps = 10.0\n"));
     let at = MonotonicTime::from_millis;
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
@@ -295,22 +291,22 @@
         zone: "z".into(),
         link_mbps: 10,
     };
-    dissemination.change_directory(|nodes| {
+    dissemination.update_directory(|nodes| {
         nodes.set("a", Some(entry(1)));
         nodes.set("b", Some(entry(2)));
     });
-    dissemination.addressed(at(1_000), address(1));
-    dissemination.change_directory(|nodes| nodes.set("a", None));
+    dissemination.record_exchange(at(1_000), address(1));
+    dissemination.update_directory(|nodes| nodes.set("a", None));
     let sent_to: Vec<SocketAddr> = dissemination
         .exchange_addresses(at(1_100))
         .into_iter()
         .collect();
     assert_eq!(sent_to, [address(1), address(2)]);
-    dissemination.addressed(at(3_000), address(1));
+    dissemination.record_exchange(at(3_000), address(1));
     assert_eq!(dissemination.exchange_addresses(at(5_900)).len(), 2);
     assert_eq!(
         dissemination.exchange_addresses(at(6_100)).len(),
         1,
-        "it fell silent"
+        "the silent relay has expired"
     );
 }
--- a/crates/forwarding/src/dissemination/transmit.rs
+++ b/crates/forwarding/src/dissemination/transmit.rs
@@ -1,4 +1,4 @@
-//! Sends datagrams.
+//! Encodes and sends datagrams.
 
 use std::net::SocketAddr;
 
@@ -11,10 +11,10 @@
 use crate::context::Context;
 use crate::dissemination::datagram::{Datagram, kind_label};
 
-/// Bytes of a datagram beside what it carries: the headers of IP and UDP.
+/// Size of the IP and UDP headers.
 const DATAGRAM_HEADER_BYTES: usize = 28;
 
-/// Sends a message to each address; yields the bytes sent.
+/// Sends a message to each address; returns the bytes sent.
 pub(crate) fn send(
     context: &Context,
     socket: &UdpSocket,
@@ -27,7 +27,7 @@
     }
 }
 
-/// Encodes a message; one that cannot be is logged.
+/// Encodes a message; logs a failure.
 pub(super) fn encode(context: &Context, message: &Message) -> Option<Datagram> {
     let kind = kind_label(message);
     match rmp_serde::to_vec(&(MESSAGE_VERSION, message)) {
@@ -40,7 +40,7 @@
     }
 }
 
-/// Sends a datagram to each address; yields the bytes sent.
+/// Sends a datagram to each address; returns the bytes sent.
 pub(super) fn send_encoded(
     context: &Context,
     socket: &UdpSocket,
@@ -49,7 +49,7 @@
 ) -> usize {
     let Datagram { kind, bytes } = datagram;
     for address in addresses {
-        // A datagram that cannot be sent is counted and lost: the next one says more.
+        // Failures are only counted: the next message supersedes this one.
         let outcome = match socket.try_send_to(bytes, *address) {
             Ok(_) => "sent",
             Err(_) => "unsent",
@@ -88,10 +88,10 @@
     sent.sum()
 }
 
-/// What the slices of one sum of loads have in common.
+/// Fields common to the slices of one load report.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadHeader {
-    /// Whose loads they are.
+    /// Which nodes the loads cover.
     pub(super) scope: LoadScope,
     /// Mean age of the work, in milliseconds.
     pub(super) age_ms: u32,
--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -13,7 +13,7 @@
 use crate::fleet::follow::Follower;
 
 /// Brings a declaration into force, unless a newer one is.
-pub(crate) fn take(context: &Context, text: &str) {
+pub(crate) fn apply(context: &Context, text: &str) {
     let read = context.form.read_configuration(text);
     let table = read.and_then(|file| {
         RouteTable::new(file).map_err(|faults| {
@@ -52,7 +52,7 @@
         let key = self.0.form.configuration_key();
         let entries = listing.entries.iter();
         for entry in entries.filter(|entry| entry.key == key) {
-            take(&self.0, &entry.value);
+            apply(&self.0, &entry.value);
         }
     }
 
@@ -60,7 +60,7 @@
         let key = self.0.form.configuration_key();
         for event in events.iter().filter(|event| event.key == key) {
             if let Some(value) = &event.value {
-                take(&self.0, value);
+                apply(&self.0, value);
             }
         }
     }
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -18,7 +18,7 @@
 use crate::fleet::entry_text;
 use crate::fleet::follow::Follower;
 use crate::fleet::restored_entries::RESTORED_ENTRIES_LAPSE;
-use crate::fleet::signals::take_start;
+use crate::fleet::signals::apply_start;
 use crate::quarantine::engine_end::{EndProof, engine_ended};
 
 /// Relays ask for changes of engines' entries again after up to this time for each relay, at random.
@@ -51,12 +51,12 @@
 const READ_CHANGES_SENT: usize = 256;
 
 /// Takes changed entries in; what is newer than what was known is brought into force.
-pub(crate) fn take(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
+pub(crate) fn merge(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
     let records = match source {
         ChangeSource::Store => records,
-        ChangeSource::Listing | ChangeSource::Relay => {
-            context.dissemination.without_held(context.now(), records)
-        }
+        ChangeSource::Listing | ChangeSource::Relay => context
+            .dissemination
+            .without_withheld(context.now(), records),
     };
     let mut entries = context.dissemination.entries.borrow_mut();
     let taken = records
@@ -64,11 +64,11 @@
         .filter(|record| entries.insert_if_newer(record.clone()));
     let taken: Vec<EntryRecord> = taken.collect();
     drop(entries);
-    apply(context, taken, source);
+    apply_changes(context, taken, source);
 }
 
 /// Brings changed entries into force at this node, and has them sent to other nodes.
-pub(crate) fn apply(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
+pub(crate) fn apply_changes(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
     if records.is_empty() {
         return;
     }
@@ -157,7 +157,7 @@
     let (engine, born) = (EngineKey::of(&entry.run), entry.born.unwrap_or_default());
     let known = context.router.borrow().signals.born(engine);
     if source == ChangeSource::Store || born > known {
-        take_start(context, engine, born, NoticeSource::Entry);
+        apply_start(context, engine, born, NoticeSource::Entry);
     }
 }
 
@@ -192,11 +192,13 @@
 
 /// Takes a whole reading of the key-value service in.
 fn apply_listing(context: &Context, revision: u64, records: Vec<EntryRecord>) {
-    let records = context.dissemination.without_held(context.now(), records);
+    let records = context
+        .dissemination
+        .without_withheld(context.now(), records);
     let mut entries = context.dissemination.entries.borrow_mut();
     let changes = entries.apply_listing(revision, records);
     drop(entries);
-    apply(context, changes, ChangeSource::Listing);
+    apply_changes(context, changes, ChangeSource::Listing);
 }
 
 /// Takes engines' entries from the key-value service.
@@ -236,7 +238,7 @@
         let records = records.filter(|record| record.value.is_some());
         let records: Vec<EntryRecord> = records.collect();
         self.listed.borrow_mut().extend_from_slice(&records);
-        take(&self.context, records, ChangeSource::Listing);
+        merge(&self.context, records, ChangeSource::Listing);
     }
 
     fn listed(&self, listing: Listing, after_outage: bool) {
@@ -260,7 +262,7 @@
             apply_listing(&context, listing.revision.0, records);
             // Those that do not lapse are engines like any other.
             sleep(RESTORED_ENTRIES_LAPSE).await;
-            take(&context, held, ChangeSource::Listing);
+            merge(&context, held, ChangeSource::Listing);
         });
     }
 
@@ -275,7 +277,7 @@
         });
         let records: Vec<EntryRecord> = records.collect();
         if !is_lapse(&context, &records) {
-            take(&context, records, ChangeSource::Store);
+            merge(&context, records, ChangeSource::Store);
             let mut entries = context.dissemination.entries.borrow_mut();
             entries.advance_complete_to(newest.unwrap_or_default());
             return;
@@ -285,11 +287,11 @@
         let (present, gone) = records
             .into_iter()
             .partition(|record| record.value.is_some());
-        take(&context, present, ChangeSource::Store);
+        merge(&context, present, ChangeSource::Store);
         let wait = LAPSED_ENTRIES_RETURN.min(context.settings.engine_drain() / 2);
         actix_rt::spawn(async move {
             sleep(wait).await;
-            take(&context, gone, ChangeSource::Store);
+            merge(&context, gone, ChangeSource::Store);
             let mut entries = context.dissemination.entries.borrow_mut();
             entries.advance_complete_to(newest.unwrap_or_default());
         });
--- a/crates/forwarding/src/fleet/registration.rs
+++ b/crates/forwarding/src/fleet/registration.rs
@@ -79,7 +79,7 @@
     async fn forget_lapsed(self) {
         sleep(LAPSED_NODES_RETURN).await;
         let lapsed = std::mem::take(&mut *self.lapsed.borrow_mut());
-        self.context.dissemination.change_directory(|directory| {
+        self.context.dissemination.update_directory(|directory| {
             for name in &lapsed {
                 directory.set(name, None);
             }
@@ -146,7 +146,7 @@
     fn listed(&self, listing: Listing, after_outage: bool) {
         self.authority.set_taken(false);
         self.holder.replace(None);
-        self.context.dissemination.change_directory(|directory| {
+        self.context.dissemination.update_directory(|directory| {
             if after_outage {
                 self.lapsed.borrow_mut().extend(directory.names());
             } else {
@@ -164,7 +164,7 @@
     }
 
     fn changed(&self, events: Vec<WatchEvent>) {
-        self.context.dissemination.change_directory(|directory| {
+        self.context.dissemination.update_directory(|directory| {
             for event in &events {
                 let value = event.value.as_deref();
                 self.set(directory, &event.key, value, event.revision.0);
@@ -191,7 +191,7 @@
     while !context.dissemination.role(context.now()).reads_store {
         match store.range(&prefix).await {
             Ok(listing) => {
-                context.dissemination.change_directory(|directory| {
+                context.dissemination.update_directory(|directory| {
                     for entry in &listing.entries {
                         set_node(&context, directory, &entry.key, Some(&entry.value));
                     }
--- a/crates/forwarding/src/fleet/restored_entries.rs
+++ b/crates/forwarding/src/fleet/restored_entries.rs
@@ -16,11 +16,11 @@
 /// Entries of engines that had gone and stand again since the service was restored, with when each was first
 /// seen: nothing is sent to them while they may have lapsed.
 #[derive(Debug, Default)]
-pub(crate) struct HeldEntries(HashMap<String, MonotonicTime>);
+pub(crate) struct WithheldEntries(HashMap<String, MonotonicTime>);
 
-impl HeldEntries {
+impl WithheldEntries {
     /// What of `records` is to be taken, as they stand in a reading or at another node, where `entries` are known.
-    pub(crate) fn without_held(
+    pub(crate) fn without_withheld(
         &mut self,
         entries: &EntryTable,
         now: MonotonicTime,
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -23,7 +23,7 @@
     take_limit(context, engine, said.limit, request_sent_at);
     if said.drains {
         let born = context.router.borrow().signals.born(engine.key);
-        take_drain(context, engine.key, born, NoticeSource::OwnAnswer);
+        apply_drain(context, engine.key, born, NoticeSource::OwnAnswer);
     }
     if let Some(backoff) = said.backoff {
         let now = context.now();
@@ -122,7 +122,7 @@
 
 /// Takes an engine out that has said to this node or to another that it drains, unless it was another start
 /// of it that did.
-pub(crate) fn take_drain(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
+pub(crate) fn apply_drain(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
     let known_born = context.router.borrow().signals.born(engine);
     if born != known_born && born != 0 && known_born != 0 {
         return;
@@ -145,7 +145,7 @@
 
 /// Notes when an engine started. Where it had started before, nothing holds that was known of it. Of what
 /// other nodes tell only a later start counts: messages of the former one may be on their way.
-pub(crate) fn take_start(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
+pub(crate) fn apply_start(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
     let known = context.router.borrow().signals.born(engine);
     let is_told = source != NoticeSource::Entry;
     if born == known || born == 0 || (is_told && born < known) {
