--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -214,24 +214,24 @@
 
     /// Whether the engine's run has said in an answer that it drains.
     fn drains(&self, engine: EngineKey) -> bool {
-        self.router.borrow().signals.drains(engine)
+        self.router.borrow().signals.is_draining(engine)
     }
 
     /// When the engine started, as its entry or another node told.
     fn born(&self, engine: EngineKey) -> Option<u64> {
-        let born = self.router.borrow().signals.born(engine);
+        let born = self.router.borrow().signals.started_at_ms(engine);
         Some(born).filter(|born| *born > 0)
     }
 
     /// Takes an engine out that has said that it drains; whether that is news here.
     pub(crate) fn engine_drains(&self, engine: EngineKey) -> bool {
-        let is_news = self.router.borrow_mut().signals.note_draining(engine);
+        let is_news = self.router.borrow_mut().signals.record_draining(engine);
         is_news && self.fleet.borrow_mut().drain(engine)
     }
 
     /// Forgets all that was known of an engine but where it is: it has started again.
     pub(crate) fn engine_restarted(&self, engine: EngineKey) {
-        self.router.borrow_mut().forget(engine);
+        self.router.borrow_mut().forget_engine(engine);
         let born = self.born(engine);
         self.fleet.borrow_mut().set_born(engine, born);
         if !self.fleet().draining().any(|draining| draining == engine) {
@@ -262,7 +262,7 @@
                 && former.role != entry.role
             {
                 let engine = EngineKey::of(&entry.run);
-                self.router.borrow_mut().health.has_changed_role(engine);
+                self.router.borrow_mut().health.end_role_change(engine);
             }
             if let Some(former) = &former {
                 fleet.remove(former);
@@ -277,7 +277,7 @@
         }
         let mut router = self.router.borrow_mut();
         for engine in gone {
-            router.forget(engine);
+            router.forget_engine(engine);
         }
     }
 
@@ -333,14 +333,17 @@
     /// Notes bytes that are written to this node's link.
     pub(crate) fn sent(&self, bytes: usize) {
         let time = self.settings.link_time(bytes);
-        self.uplink.borrow_mut().sent(self.now(), time);
+        self.uplink.borrow_mut().push(self.now(), time);
     }
 
     /// Notes that an engine was ordered to change its role: it is avoided, here and at the other
     /// nodes, until its entry shows the change, for `at_most` this time.
     pub(crate) fn changes_role(&self, engine: EngineKey, at_most: Duration) {
         let until = self.now() + at_most;
-        self.router.borrow_mut().health.changes_role(engine, until);
+        self.router
+            .borrow_mut()
+            .health
+            .begin_role_change(engine, until);
         self.role_changes.borrow_mut().push((engine, at_most));
         self.work_changed.notify_one();
     }
@@ -376,7 +379,7 @@
         let now = self.now();
         self.nodes.borrow_mut().set(now, nodes);
         self.budget.borrow_mut().set_nodes(now, nodes);
-        self.router.borrow_mut().unreported.set_nodes(nodes);
+        self.router.borrow_mut().unreported.set_node_count(nodes);
     }
 
     /// Nodes known, this one among them.
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -145,7 +145,7 @@
 
 /// Time to prefill one token, as learnt, in seconds.
 fn prefill_token_s(context: &Context) -> f64 {
-    let speeds = &context.router.borrow().speeds;
+    let speeds = &context.router.borrow().prefill_speeds;
     speeds.usual_s(Stage::Prefill, 1.0) - speeds.usual_s(Stage::Prefill, 0.0)
 }
 
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -105,7 +105,7 @@
         }
         let (engine, era) = (EngineKey::of(&entry.run), Revision(record.revision).era());
         let mut router = context.router.borrow_mut();
-        router.signals.note_entry(engine, entry.accepting, era);
+        router.signals.record_entry(engine, entry.accepting, era);
         drop(router);
         changes.push((record.key, Some(entry)));
     }
@@ -151,7 +151,7 @@
 /// service, which tells of a former start.
 fn note_born(context: &Context, entry: &EngineEntry, source: ChangeSource) {
     let (engine, born) = (EngineKey::of(&entry.run), entry.born.unwrap_or_default());
-    let known = context.router.borrow().signals.born(engine);
+    let known = context.router.borrow().signals.started_at_ms(engine);
     if source == ChangeSource::Store || born > known {
         take_start(context, engine, born, NoticeSource::Entry);
     }
--- a/crates/forwarding/src/fleet/engines.rs
+++ b/crates/forwarding/src/fleet/engines.rs
@@ -99,7 +99,7 @@
             born: entry.born,
         };
         let pool = self.pools.entry(entry.pool.clone()).or_default();
-        pool.set(staged);
+        pool.insert(staged);
         self.engines.insert(key, engine);
         self.codes.insert((EngineCode::of(key), key));
     }
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -60,7 +60,7 @@
 pub(crate) fn known_parts(context: &Context) -> Vec<Placement> {
     let mut by_engine: HashMap<EngineKey, Vec<PromptPart>> = HashMap::new();
     let router = context.router.borrow();
-    let last = router.parts.last_read(SMALLEST_PART_TOKENS);
+    let last = router.parts.recently_confirmed(SMALLEST_PART_TOKENS);
     for (engine, part) in last.take(PARTS_TOLD) {
         by_engine.entry(engine).or_default().push(part);
     }
@@ -108,8 +108,10 @@
     log_event!(context.logger, Event::PartsRecovered, "engine" => &*engine.run,
         "parts" => parts.len());
     let mut router = context.router.borrow_mut();
-    router.parts.sent(engine.key, engine.memory_tokens, &parts);
-    router.parts.read(engine.key, &parts);
+    router
+        .parts
+        .record_sent(engine.key, engine.memory_tokens, &parts);
+    router.parts.confirm_cached(engine.key, &parts);
     let mut placements = context.placements.borrow_mut();
     for parts in parts.chunks(PARTS_TOLD_AT_ONCE) {
         placements.push_kept(engine.key, parts);
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -22,14 +22,17 @@
 ) {
     take_limit(context, engine, said.limit, request_sent_at);
     if said.drains {
-        let born = context.router.borrow().signals.born(engine.key);
+        let born = context.router.borrow().signals.started_at_ms(engine.key);
         take_drain(context, engine.key, born, NoticeSource::OwnAnswer);
     }
     if let Some(backoff) = said.backoff {
         let now = context.now();
         let place = rand::random_range(0.0..1.0);
         let mut router = context.router.borrow_mut();
-        if router.signals.note_backoff(now, engine.key, backoff, place) {
+        if router
+            .signals
+            .record_backoff(now, engine.key, backoff, place)
+        {
             log_event!(context.logger, Event::EngineBacksOff, "engine" => &*engine.run,
                 "backoff_ms" => backoff.as_millis() as u64);
         }
@@ -48,7 +51,7 @@
     let now = context.now();
     let mut router = context.router.borrow_mut();
     let signals = &mut router.signals;
-    let change = signals.note_limit(now, engine.key, said, request_sent_at);
+    let change = signals.record_limit(now, engine.key, said, request_sent_at);
     drop(router);
     if let Some(change) = change {
         limit_changed(
@@ -69,13 +72,13 @@
     };
     let now = context.now();
     let mut router = context.router.borrow_mut();
-    let (born, known_born) = (limit.start.born, router.signals.born(engine));
+    let (born, known_born) = (limit.start.born, router.signals.started_at_ms(engine));
     if born != known_born && born != 0 && known_born != 0 {
         return;
     }
     let heard_at = now.saturating_sub(Duration::from_millis(limit.age_ms.into()));
     let signals = &mut router.signals;
-    let change = signals.note_told_limit(now, engine, limit.rate, heard_at);
+    let change = signals.record_peer_limit(now, engine, limit.rate, heard_at);
     drop(router);
     if let Some(change) = change {
         limit_changed(context, engine, &run, change, source);
@@ -90,7 +93,7 @@
     EngineLimit {
         start: EngineStart {
             engine: engine.0,
-            born: router.signals.born(engine),
+            born: router.signals.started_at_ms(engine),
         },
         rate: limits.get(engine).map(|(rate, _)| rate),
         age_ms: u32::try_from(limits.age(now, engine).as_millis()).unwrap_or(u32::MAX),
@@ -110,7 +113,7 @@
         None => "none".to_owned(),
     };
     log_event!(context.logger, Event::EngineLimit, "engine" => run,
-        "limit" => text(change.now), "former" => text(change.former), "source" => ?source);
+        "limit" => text(change.current), "former" => text(change.previous), "source" => ?source);
     let notices = &context.spread.notices;
     notices.push(EngineNotice::Limit(engine), source);
 }
@@ -123,7 +126,7 @@
 /// Takes an engine out that has said to this node or to another that it drains, unless it was another start
 /// of it that did.
 pub(crate) fn take_drain(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
-    let known_born = context.router.borrow().signals.born(engine);
+    let known_born = context.router.borrow().signals.started_at_ms(engine);
     if born != known_born && born != 0 && known_born != 0 {
         return;
     }
@@ -146,7 +149,7 @@
 /// Notes when an engine started. Where it had started before, nothing holds that was known of it. Of what
 /// other nodes tell only a later start counts: messages of the former one may be on their way.
 pub(crate) fn take_start(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
-    let known = context.router.borrow().signals.born(engine);
+    let known = context.router.borrow().signals.started_at_ms(engine);
     let is_told = source != NoticeSource::Entry;
     if born == known || born == 0 || (is_told && born < known) {
         return;
@@ -156,7 +159,11 @@
         let name = run.as_deref().unwrap_or_default();
         engine_ended(context, engine, name, EndProof::StartedAgain);
     }
-    context.router.borrow_mut().signals.note_start(engine, born);
+    context
+        .router
+        .borrow_mut()
+        .signals
+        .record_start(engine, born);
     if known == 0 {
         return;
     }
--- a/crates/forwarding/src/node/metrics/engine_signals.rs
+++ b/crates/forwarding/src/node/metrics/engine_signals.rs
@@ -1,7 +1,7 @@
 //! Figures of what engines say of themselves, and of what follows from it.
 
 use dalestand_edge::unknown_headers::UnknownSender;
-use dalestand_routing::staged::ClosedFor;
+use dalestand_routing::staged::ClosedReason;
 use prometheus::{IntCounter, IntCounterVec, IntGauge};
 
 use super::figures::Figures;
@@ -81,9 +81,9 @@
     pub(super) fn call(&self, call: &CallRecord) {
         if let Some(closed) = call.signals.closed {
             let signal = match closed {
-                ClosedFor::Draining => "draining",
-                ClosedFor::Backoff(_) | ClosedFor::Returning => "backoff",
-                ClosedFor::Limit(_) => "limit",
+                ClosedReason::Draining => "draining",
+                ClosedReason::Backoff(_) | ClosedReason::Probing => "backoff",
+                ClosedReason::Limit(_) => "limit",
             };
             self.calls_withheld.with_label_values(&[signal]).inc();
         }
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -40,7 +40,7 @@
         let role = context.spread.role(now);
         self.is_relay.set(i64::from(role.is_relay));
         self.reads_store.set(i64::from(role.reads_store));
-        let report_age = context.router.borrow().work.mean_age(now, |_| true);
+        let report_age = context.router.borrow().work.mean_report_age(now, |_| true);
         let held = context.authority.held_token();
         self.authority_token.set(held.unwrap_or_default() as i64);
         self.usage_counted.set(context.usage.counted() as i64);
@@ -86,7 +86,7 @@
     let router = context.router.borrow();
     StandingSignals {
         draining: context.fleet().draining().len(),
-        backing_off: router.signals.backing_off(context.now()),
+        backing_off: router.signals.backing_off_count(context.now()),
         limited: router.signals.limits().iter().count(),
         issued_for: context.permits.issued_for(),
     }
--- a/crates/forwarding/src/permits/asking.rs
+++ b/crates/forwarding/src/permits/asking.rs
@@ -4,7 +4,7 @@
 
 use dalestand_dissemination::{Message, PermitAnswer, PermitNeed, PermitRequest, Relay};
 use dalestand_routing::shared_rate::{PERMIT_LIFE, Permit};
-use dalestand_routing::staged::{ClosedFor, EngineKey};
+use dalestand_routing::staged::{ClosedReason, EngineKey};
 use dalestand_types::MonotonicTime;
 use tokio::sync::oneshot;
 
@@ -27,7 +27,7 @@
 const MANY_ASKED: usize = 256;
 
 /// Leave to send one request to an engine with a limit, or why there is none.
-pub(super) async fn permit(context: &Context, engine: EngineKey) -> Result<Permit, ClosedFor> {
+pub(super) async fn permit(context: &Context, engine: EngineKey) -> Result<Permit, ClosedReason> {
     if let Some(permit) = take_held(context, engine) {
         return Ok(permit);
     }
@@ -43,7 +43,7 @@
         let now = context.now();
         let router = context.router.borrow();
         let closed = router.signals.closed(now, engine);
-        closed.unwrap_or(ClosedFor::Limit(now))
+        closed.unwrap_or(ClosedReason::Limit(now))
     })
 }
 
--- a/crates/forwarding/src/permits/passage.rs
+++ b/crates/forwarding/src/permits/passage.rs
@@ -1,7 +1,7 @@
 //! What a call needs before it may go out to an engine.
 
 use dalestand_routing::shared_rate::Permit;
-use dalestand_routing::staged::{ClosedFor, EngineKey};
+use dalestand_routing::staged::{ClosedReason, EngineKey};
 use dalestand_types::MonotonicTime;
 
 use crate::context::Context;
@@ -20,7 +20,7 @@
     pub(crate) async fn for_request(
         context: &'a Context,
         engine: EngineKey,
-    ) -> Result<Self, ClosedFor> {
+    ) -> Result<Self, ClosedReason> {
         let permit = if has_limit(context, engine) {
             Some(asking::permit(context, engine).await?)
         } else {
--- a/crates/forwarding/src/quarantine/engine_runs.rs
+++ b/crates/forwarding/src/quarantine/engine_runs.rs
@@ -8,7 +8,7 @@
 /// The number under which nodes speak of an engine's run: an engine that starts again under its name ends
 /// another time.
 pub(super) fn engine_run(context: &Context, engine: EngineKey) -> EngineRun {
-    match context.router.borrow().signals.born(engine) {
+    match context.router.borrow().signals.started_at_ms(engine) {
         0 => EngineRun(engine.0),
         born => EngineRun(rendezvous_weight(engine.0, born)),
     }
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -158,7 +158,7 @@
 ) -> StageUse {
     let router = context.router.borrow();
     let token_s = |stage| {
-        let speeds = &router.speeds;
+        let speeds = &router.prefill_speeds;
         speeds.usual_s(stage, 1.0) - speeds.usual_s(stage, 0.0)
     };
     let decode = || {
@@ -188,7 +188,8 @@
         let queued: Vec<f64> = of_stage
             .map(|engine| {
                 let unread = router.work.total(engine.key).unread_tokens as f64;
-                let prefill_s = |tokens| router.speeds.expected_s(engine.key, wanted, tokens);
+                let prefill_s =
+                    |tokens| router.prefill_speeds.expected_s(engine.key, wanted, tokens);
                 prefill_s(unread) - prefill_s(0.0)
             })
             .collect();
--- a/crates/forwarding/src/serve/account.rs
+++ b/crates/forwarding/src/serve/account.rs
@@ -32,7 +32,7 @@
         "configuration" => progress.table.revision().0,
         "took_ms" => progress.started.elapsed().as_millis() as u64,
         "engines" => context.fleet().len(),
-        "expected_ms" => progress.expected.map(|expected| milliseconds(expected.whole_s)),
+        "expected_ms" => progress.expected.map(|expected| milliseconds(expected.total_s)),
         "queue_ms" => progress.expected.map(|expected| milliseconds(expected.queue_s)),
         "tenant" => progress.caller.tenant().map(|tenant| tenant.name.as_str()),
         "tenant_share" => share.map(|share| share.share_per_s),
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -148,14 +148,14 @@
     let fleet = context.fleet();
     let router = context.router.borrow();
     let engines = fleet.pool(pool).iter();
-    let engines =
-        engines.filter(|engine| engine.stage == stage && !router.health.is_silent(now, engine.key));
+    let engines = engines
+        .filter(|engine| engine.stage == stage && !router.health.is_unresponsive(now, engine.key));
     for engine in engines {
         load.engines += 1;
         load.slots += engine.slots;
         load.taken += router.work.total(engine.key).requests;
     }
-    load.taken_age = router.work.mean_age(now, |_| true);
+    load.taken_age = router.work.mean_report_age(now, |_| true);
     let own = context.classes.figures(now);
     let own = own.iter().filter(|((of, _), _)| of == pool);
     let asked = own.clone();
--- a/crates/forwarding/src/serve/admitted_plan.rs
+++ b/crates/forwarding/src/serve/admitted_plan.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dalestand_routing::room::ShareStanding;
-use dalestand_routing::staged::{TimeBounds, refused_for};
+use dalestand_routing::staged::{TimeBounds, rejection_retry_after};
 
 use crate::context::Context;
 use crate::serve::admission::{Admission, get_place};
@@ -52,7 +52,9 @@
 fn next_plan(context: &Context, progress: &mut Progress) -> Result<Plan, Failure> {
     let plan = choose(context, progress).ok_or_else(|| final_failure(context, progress))?;
     let link_s = context.uplink.borrow().wait(context.now()).as_secs_f64();
-    progress.expected = plan.expected.map(|expected| expected.behind(link_s));
+    progress.expected = plan
+        .expected
+        .map(|expected| expected.with_added_queue(link_s));
     Ok(plan)
 }
 
@@ -84,5 +86,5 @@
         left: progress.time_left(),
         objective: Duration::from_millis(progress.route.objective_ms),
     };
-    refused_for(progress.expected?, bounds).map(Failure::Overloaded)
+    rejection_retry_after(progress.expected?, bounds).map(Failure::Overloaded)
 }
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -10,7 +10,7 @@
 use dalestand_edge::routed::EngineTerms;
 use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
 use dalestand_quarantine::CRASHES_ALLOWED;
-use dalestand_routing::staged::{AttemptResult, ClosedFor, EngineChoice, EngineKey};
+use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
 use dalestand_routing::{CallArrival, CallPurpose, RepeatedSend};
 use dalestand_types::{PoolName, RequestRate};
 
@@ -152,7 +152,7 @@
             let result = if exchange.head.status.is_server_error() {
                 AttemptResult::Failed
             } else {
-                AttemptResult::Sound(took)
+                AttemptResult::Success(took)
             };
             work.begun();
             if let Some(tenant) = progress.tenant.clone()
@@ -186,12 +186,16 @@
         }
         Judged::NotSent => {
             watch.over();
-            (AttemptEnd::NotSent, "not sent", Some(AttemptResult::Silent))
+            (
+                AttemptEnd::NotSent,
+                "not sent",
+                Some(AttemptResult::NoResponse),
+            )
         }
         Judged::NoListener => {
             watch.over();
             engine_ended(context, engine.key, &engine.run, EndProof::NoListener);
-            let silent = Some(AttemptResult::Silent);
+            let silent = Some(AttemptResult::NoResponse);
             (AttemptEnd::NotSent, "no listener", silent)
         }
         Judged::Withheld => {
@@ -208,13 +212,17 @@
         }
         Judged::Silent => {
             watch.unfinished(Unfinished::Silent);
-            (AttemptEnd::Unknown, "silent", Some(AttemptResult::Silent))
+            (
+                AttemptEnd::Unknown,
+                "silent",
+                Some(AttemptResult::NoResponse),
+            )
         }
     };
     if let Some(result) = result {
         let now = context.now();
         let mut router = context.router.borrow_mut();
-        router.health.note(now, engine.key, result);
+        router.health.record(now, engine.key, result);
     }
     if call.purpose == CallPurpose::Run && matches!(end, AttemptEnd::Refused | AttemptEnd::NotSent)
     {
@@ -242,7 +250,7 @@
     context: &Context,
     progress: &mut Progress,
     call: &Call<'_>,
-    closed: ClosedFor,
+    closed: ClosedReason,
 ) -> AttemptEnd {
     let (none, signals) = (Duration::ZERO, closed.into());
     let record = progress.record(call.purpose, &call.choice, "withheld", none, signals);
--- a/crates/forwarding/src/serve/deliver.rs
+++ b/crates/forwarding/src/serve/deliver.rs
@@ -66,7 +66,7 @@
             let now = context.now();
             let mut router = context.router.borrow_mut();
             let engine = answer.choice.engine.key;
-            router.health.note(now, engine, AttemptResult::Failed);
+            router.health.record(now, engine, AttemptResult::Failed);
             None
         }
     }
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -12,7 +12,7 @@
 use dalestand_edge::routed::AnswerFacts;
 use dalestand_edge::unknown_headers::UnknownSender;
 use dalestand_engine_link::{Exchange, LinkTarget, SendError};
-use dalestand_routing::staged::{CallEnd, ClosedFor, EngineKey, ReturningCall, StagedEngine};
+use dalestand_routing::staged::{ClosedReason, EngineKey, ProbeCall, ProbeOutcome, StagedEngine};
 use dalestand_types::{EngineSignals, PoolName};
 
 use crate::context::Context;
@@ -50,8 +50,8 @@
     }
 
     /// Whether a closed engine gets it all the same.
-    fn is_let_through(&self, closed: ClosedFor) -> bool {
-        *self == Self::Own && closed == ClosedFor::Draining
+    fn is_let_through(&self, closed: ClosedReason) -> bool {
+        *self == Self::Own && closed == ClosedReason::Draining
     }
 }
 
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
     /// The engine is closed to the call; nothing went out.
-    Closed(ClosedFor),
+    Closed(ClosedReason),
     /// The exchange failed.
     Link(SendError),
 }
@@ -88,7 +88,7 @@
     context: &Context,
     engine: &StagedEngine,
     content: &CallContent,
-) -> Option<ClosedFor> {
+) -> Option<ClosedReason> {
     let router = context.router.borrow();
     let closed = router.signals.closed(context.now(), engine.key);
     closed.filter(|closed| !content.is_let_through(*closed))
@@ -111,7 +111,7 @@
     // What leave is for, the call has.
     let closed = || {
         let closed = closed(context, engine, &content);
-        closed.filter(|closed| !matches!(closed, ClosedFor::Limit(_)))
+        closed.filter(|closed| !matches!(closed, ClosedReason::Limit(_)))
     };
     if let Some(closed) = closed() {
         return Err(CallError::Closed(closed));
@@ -121,7 +121,7 @@
     let max_connections = context.max_connections(pool);
     // Once it is on its way it is one of those that ask whether the engine takes calls again.
     let is_open = || {
-        let is_open = closed().is_none_or(|closed| closed == ClosedFor::Returning)
+        let is_open = closed().is_none_or(|closed| closed == ClosedReason::Probing)
             && passage.holds(context.now());
         if is_open {
             passage.used();
@@ -132,7 +132,7 @@
     let sent = link.send_while(target, max_connections, head, body, is_open);
     let exchange = sent.await.map_err(|error| match error {
         SendError::Withheld => {
-            CallError::Closed(closed().unwrap_or(ClosedFor::Limit(context.now())))
+            CallError::Closed(closed().unwrap_or(ClosedReason::Limit(context.now())))
         }
         error => CallError::Link(error),
     })?;
@@ -160,30 +160,30 @@
 /// Dropped, it was not taken up.
 struct Returning<'a> {
     context: &'a Context,
-    call: Option<ReturningCall>,
+    call: Option<ProbeCall>,
 }
 
 impl<'a> Returning<'a> {
     fn new(context: &'a Context, engine: EngineKey) -> Self {
         let now = context.now();
-        let call = context.router.borrow_mut().signals.called(now, engine);
+        let call = context.router.borrow_mut().signals.begin_call(now, engine);
         Self { context, call }
     }
 
     fn taken_up(mut self) {
-        self.end(CallEnd::TakenUp);
+        self.end(ProbeOutcome::Accepted);
     }
 
-    fn end(&mut self, end: CallEnd) {
+    fn end(&mut self, end: ProbeOutcome) {
         if let Some(call) = self.call.take() {
             let mut router = self.context.router.borrow_mut();
-            router.signals.came_out(call, end);
+            router.signals.finish_probe(call, end);
         }
     }
 }
 
 impl Drop for Returning<'_> {
     fn drop(&mut self) {
-        self.end(CallEnd::NotTakenUp);
+        self.end(ProbeOutcome::NotAccepted);
     }
 }
--- a/crates/forwarding/src/serve/final_failure.rs
+++ b/crates/forwarding/src/serve/final_failure.rs
@@ -35,5 +35,5 @@
     if pools.any(|pool| fleet.pool(pool).iter().any(wants_calls)) {
         return None;
     }
-    router.signals.opens_in(now, is_of)
+    router.signals.time_until_open(now, is_of)
 }
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -227,7 +227,7 @@
         let now = context.now();
         let mut router = context.router.borrow_mut();
         let holder = held.engine.key;
-        router.health.note(now, holder, AttemptResult::Refused);
+        router.health.record(now, holder, AttemptResult::Refused);
     }
     match ended {
         // Nothing is left to go on with the memory.
@@ -263,7 +263,7 @@
 /// Learns from an answer how long engines take to begin one.
 fn note_start(context: &Context, answer: &EngineAnswer) {
     let mut router = context.router.borrow_mut();
-    let starts = &mut router.starts;
+    let starts = &mut router.decode_start_times;
     let moving_s = answer.choice.expected_s - starts.expected_s(answer.before);
     let took_s = answer.sent_at.elapsed().as_secs_f64();
     starts.observe(answer.before, took_s - moving_s);
--- a/crates/forwarding/src/serve/patience.rs
+++ b/crates/forwarding/src/serve/patience.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dalestand_routing::staged::{EngineChoice, StagedEngine, patience};
+use dalestand_routing::staged::{EngineChoice, StagedEngine, response_timeout};
 use dalestand_types::PoolName;
 
 use crate::context::Context;
@@ -44,7 +44,7 @@
     } else {
         objective
     };
-    left.min(patience(choice.expected_s, least.max(MIN_PATIENCE)))
+    left.min(response_timeout(choice.expected_s, least.max(MIN_PATIENCE)))
 }
 
 /// Whether another engine could take a request that `current` has: if not, to leave it ends the request.
@@ -56,5 +56,5 @@
 ) -> bool {
     let fleet = context.fleet();
     let router = context.router.borrow();
-    router.has_other(context.now(), fleet.pool(pool), current, &progress.tried)
+    router.has_alternative(context.now(), fleet.pool(pool), current, &progress.tried)
 }
--- a/crates/forwarding/src/serve/plan.rs
+++ b/crates/forwarding/src/serve/plan.rs
@@ -2,7 +2,7 @@
 
 use dalestand_clock::BootInstant;
 use dalestand_routing::staged::{
-    EngineChoice, EnginePool, Expectation, PromptPlan, Stage, StagedRouter,
+    EngineChoice, EnginePool, LatencyEstimate, PromptPlan, Stage, StagedRouter,
 };
 use dalestand_types::PoolName;
 
@@ -20,7 +20,7 @@
     /// The first call.
     pub(crate) step: Step,
     /// What is expected until the answer begins, where it was worked out.
-    pub(crate) expected: Option<Expectation>,
+    pub(crate) expected: Option<LatencyEstimate>,
 }
 
 /// The first call of a plan.
@@ -83,14 +83,14 @@
     let plan = if may_split {
         router.plan_prompt(now, zone, engines, &request)?
     } else {
-        PromptPlan::Whole(router.choose_whole(now, zone, engines, &request)?)
+        PromptPlan::Colocated(router.choose_colocated(now, zone, engines, &request)?)
     };
-    let load_age = router.work.mean_age(now, |_| true);
+    let load_age = router.work.mean_report_age(now, |_| true);
     context.metrics.chosen(began.elapsed(), load_age);
-    let expected = Some(plan.expectation());
+    let expected = Some(plan.latency_estimate());
     let step = match plan {
-        PromptPlan::Whole(choice) => Step::Whole(choice),
-        PromptPlan::Split { prefill, .. } => Step::Prefill(prefill),
+        PromptPlan::Colocated(choice) => Step::Whole(choice),
+        PromptPlan::Disaggregated { prefill, .. } => Step::Prefill(prefill),
     };
     if progress.calls.is_empty() {
         note_demand(context, &router, pool, &step);
@@ -107,7 +107,7 @@
     let (Step::Whole(choice) | Step::Prefill(choice)) = step;
     let tokens = choice.unread_tokens;
     let key = choice.engine.key;
-    let reading_s = |tokens| router.speeds.expected_s(key, Stage::Decode, tokens);
+    let reading_s = |tokens| router.prefill_speeds.expected_s(key, Stage::Decode, tokens);
     let colocated_s = reading_s(f64::from(tokens)) - reading_s(0.0);
     let place = if colocated_s > WORTH_DISAGGREGATING_S {
         PrefillPlace::Disaggregated
--- a/crates/forwarding/src/serve/prefill.rs
+++ b/crates/forwarding/src/serve/prefill.rs
@@ -145,11 +145,13 @@
     let now = context.now();
     let mut router = context.router.borrow_mut();
     let Some(memory) = memory else {
-        router.health.note(now, engine.key, AttemptResult::Failed);
+        router.health.record(now, engine.key, AttemptResult::Failed);
         return PrefillEnd::Failed;
     };
     let seen_s = answer.sent_at.elapsed().as_secs_f64();
-    router.speeds.observe(engine.key, tokens_ahead, seen_s);
+    router
+        .prefill_speeds
+        .observe(engine.key, tokens_ahead, seen_s);
     PrefillEnd::Held(Box::new(HeldPrompt {
         context: Rc::clone(context),
         pool: pool.clone(),
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -12,7 +12,7 @@
 use dalestand_quarantine::RequestFingerprint;
 use dalestand_routes::{Caller, RouteTable, RouteTerms};
 use dalestand_routing::staged::{
-    ClosedFor, EngineChoice, EngineKey, Expectation, PromptPart, StagedRequest,
+    ClosedReason, EngineChoice, EngineKey, LatencyEstimate, PromptPart, StagedRequest,
 };
 use dalestand_routing::{CallCounts, CallPurpose};
 use dalestand_types::{EngineSignals, LimitSignal, PoolName, RequestRate};
@@ -63,15 +63,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CallSignals {
     /// Why the call did not go out.
-    pub(crate) closed: Option<ClosedFor>,
+    pub(crate) closed: Option<ClosedReason>,
     /// The limit that the engine was known to have when it was called.
     pub(crate) known_limit: Option<RequestRate>,
     /// What the answer said.
     pub(crate) said: EngineSignals,
 }
 
-impl From<ClosedFor> for CallSignals {
-    fn from(closed: ClosedFor) -> Self {
+impl From<ClosedReason> for CallSignals {
+    fn from(closed: ClosedReason) -> Self {
         Self {
             closed: Some(closed),
             ..Self::default()
@@ -84,10 +84,10 @@
     fn account(self) -> String {
         let mut text = String::new();
         match self.closed {
-            Some(ClosedFor::Draining) => text.push_str(", it drains"),
-            Some(ClosedFor::Backoff(_)) => text.push_str(", in its backoff"),
-            Some(ClosedFor::Returning) => text.push_str(", just after its backoff"),
-            Some(ClosedFor::Limit(_)) => text.push_str(", no permit"),
+            Some(ClosedReason::Draining) => text.push_str(", it drains"),
+            Some(ClosedReason::Backoff(_)) => text.push_str(", in its backoff"),
+            Some(ClosedReason::Probing) => text.push_str(", just after its backoff"),
+            Some(ClosedReason::Limit(_)) => text.push_str(", no permit"),
             None => {}
         }
         if self.said.drains {
@@ -185,7 +185,7 @@
     pub(crate) call_counts: CallCounts,
     pub(crate) calls: Vec<CallRecord>,
     /// What was last expected of it, where its time is worked out.
-    pub(crate) expected: Option<Expectation>,
+    pub(crate) expected: Option<LatencyEstimate>,
     /// Its place in a pool that is short, until it is sent.
     pub(crate) place: Option<Place>,
     /// What decided whether it got one.
--- a/crates/forwarding/src/serve/relay.rs
+++ b/crates/forwarding/src/serve/relay.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use dalestand_clock::{timeout, timeout_at};
-use dalestand_routing::staged::{AttemptResult, patience};
+use dalestand_routing::staged::{AttemptResult, response_timeout};
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::PoolName;
 use futures_util::stream::{self, Stream};
@@ -134,7 +134,7 @@
                     }
                 }
                 Err(_) => {
-                    if let Err(error) = self.go_on_elsewhere(AttemptResult::Silent).await {
+                    if let Err(error) = self.go_on_elsewhere(AttemptResult::NoResponse).await {
                         return Some(Err(error));
                     }
                 }
@@ -187,7 +187,7 @@
         let objective = Duration::from_millis(route.objective_ms) * FIRST_EVENT_FACTOR;
         let since_sent = self.answer.sent_at.elapsed();
         let expected_s = self.answer.choice.expected_s;
-        patience(expected_s, objective.max(MIN_PAUSE)).saturating_sub(since_sent)
+        response_timeout(expected_s, objective.max(MIN_PAUSE)).saturating_sub(since_sent)
     }
 
     /// Takes the stream up at another engine after the last event that the caller has.
@@ -198,9 +198,9 @@
             .router
             .borrow_mut()
             .health
-            .note(now, failed, result);
+            .record(now, failed, result);
         self.answer.watch.unfinished(match result {
-            AttemptResult::Silent => Unfinished::Silent,
+            AttemptResult::NoResponse => Unfinished::Silent,
             _ => Unfinished::BrokenOff,
         });
         // The former run ends before another begins.
--- a/crates/forwarding/src/serve/work_guard.rs
+++ b/crates/forwarding/src/serve/work_guard.rs
@@ -34,11 +34,15 @@
     ) -> Self {
         {
             let mut router = context.router.borrow_mut();
-            router.work.sent(engine.key, unread_tokens);
+            router.work.record_sent(engine.key, unread_tokens);
             let now = context.now();
-            router.unreported.sent(now, engine.stage, unread_tokens);
+            router
+                .unreported
+                .record_sent(now, engine.stage, unread_tokens);
             if !parts.is_empty() {
-                router.parts.sent(engine.key, engine.memory_tokens, parts);
+                router
+                    .parts
+                    .record_sent(engine.key, engine.memory_tokens, parts);
                 let mut placements = context.placements.borrow_mut();
                 placements.push(engine.key, PlacementState::Sent, parts);
             }
@@ -59,7 +63,11 @@
     /// Notes that the answer has begun, or never will.
     pub(crate) fn begun(&mut self) {
         if !std::mem::replace(&mut self.has_begun, true) {
-            self.context.router.borrow_mut().work.begun(self.engine);
+            self.context
+                .router
+                .borrow_mut()
+                .work
+                .record_started(self.engine);
         }
     }
 
@@ -72,7 +80,7 @@
     pub(crate) fn prompt_read(&mut self) {
         if !std::mem::replace(&mut self.is_read, true) && !self.parts.is_empty() {
             let mut router = self.context.router.borrow_mut();
-            let is_news = router.parts.read(self.engine, &self.parts);
+            let is_news = router.parts.confirm_cached(self.engine, &self.parts);
             drop(router);
             // Others know already what was read before. The last part belongs to this request.
             if is_news {
@@ -90,7 +98,7 @@
             return;
         }
         let mut router = self.context.router.borrow_mut();
-        router.work.read(self.engine, tokens);
+        router.work.record_prefilled(self.engine, tokens);
         drop(router);
         if tokens >= TOLD_AT_ONCE_TOKENS {
             self.context.work_changed.notify_one();
@@ -108,7 +116,7 @@
     fn drop(&mut self) {
         if !self.is_read && !self.parts.is_empty() {
             let mut router = self.context.router.borrow_mut();
-            let is_news = router.parts.not_read(self.engine, &self.parts);
+            let is_news = router.parts.remove_unconfirmed(self.engine, &self.parts);
             drop(router);
             if is_news {
                 let mut placements = self.context.placements.borrow_mut();
@@ -117,6 +125,10 @@
         }
         self.settle();
         self.begun();
-        self.context.router.borrow_mut().work.ended(self.engine);
+        self.context
+            .router
+            .borrow_mut()
+            .work
+            .record_ended(self.engine);
     }
 }
--- a/crates/forwarding/src/spread/engine_notices.rs
+++ b/crates/forwarding/src/spread/engine_notices.rs
@@ -101,12 +101,12 @@
     let signals = &router.signals;
     let start = |engine: EngineKey| EngineStart {
         engine: engine.0,
-        born: signals.born(engine),
+        born: signals.started_at_ms(engine),
     };
     let draining = fleet.draining().map(start).map(EngineNotice::Drains);
     let limits = signals.limits().iter();
     let limits = limits.map(|(engine, _, _)| EngineNotice::Limit(engine));
-    let started = signals.starts();
+    let started = signals.start_times();
     let started = started.map(|(engine, _)| EngineNotice::Started(start(engine)));
     let mut heard = turn_of(draining.collect(), turn);
     heard.extend(turn_of(limits.collect(), turn));
--- a/crates/forwarding/src/spread/receive/loads.rs
+++ b/crates/forwarding/src/spread/receive/loads.rs
@@ -43,7 +43,7 @@
     let mut router = context.router.borrow_mut();
     router
         .work
-        .reported_slice(reported_at, LoadSource::Fleet, report_slice(work), others);
+        .set_reported_slice(reported_at, LoadSource::Fleet, report_slice(work), others);
 }
 
 /// Takes a slice of what `source` reported in.
@@ -69,7 +69,7 @@
     let reported_at = reported_at(context, age_ms);
     router
         .work
-        .reported_slice(reported_at, source, slice, engines);
+        .set_reported_slice(reported_at, source, slice, engines);
 }
 
 /// Takes demand in.
@@ -94,7 +94,7 @@
     let others = sums.iter().flat_map(|load| {
         let mut work = work(load);
         if let Some(own) = own.iter().find(|own| own.engine == load.engine) {
-            work.take_off(&self::work(own));
+            work.subtract(&self::work(own));
         }
         // An engine that this node does not know gets no requests from it either.
         let engines = fleet.engines_of(load.engine);
--- a/crates/forwarding/src/spread/receive/news.rs
+++ b/crates/forwarding/src/spread/receive/news.rs
@@ -37,7 +37,9 @@
     let mut router = context.router.borrow_mut();
     for change in &news.role_changes {
         let until = now + Duration::from_millis(change.at_most_ms);
-        router.health.changes_role(EngineKey(change.engine), until);
+        router
+            .health
+            .begin_role_change(EngineKey(change.engine), until);
     }
 }
 
@@ -55,19 +57,19 @@
         let memory_tokens = fleet.memory_tokens(engine);
         match placement.state {
             PlacementState::Sent => {
-                router.parts.sent(engine, memory_tokens, &parts);
+                router.parts.record_sent(engine, memory_tokens, &parts);
                 let own = PromptPart {
                     id: rand::random(),
                     tokens: placement.own_tokens,
                 };
-                router.parts.sent(engine, memory_tokens, &[own]);
+                router.parts.record_sent(engine, memory_tokens, &[own]);
             }
             PlacementState::Read => {
-                router.parts.sent(engine, memory_tokens, &parts);
-                router.parts.read(engine, &parts);
+                router.parts.record_sent(engine, memory_tokens, &parts);
+                router.parts.confirm_cached(engine, &parts);
             }
             PlacementState::NotRead => {
-                router.parts.not_read(engine, &parts);
+                router.parts.remove_unconfirmed(engine, &parts);
             }
         }
     }
--- a/crates/forwarding/src/spread/send.rs
+++ b/crates/forwarding/src/spread/send.rs
@@ -71,7 +71,11 @@
         "reads_store" => role.reads_store, "nodes" => context.node_count());
     if role.is_relay {
         // A relay has the sums of its own members and of the other relays instead.
-        context.router.borrow_mut().work.forget(LoadSource::Fleet);
+        context
+            .router
+            .borrow_mut()
+            .work
+            .forget_source(LoadSource::Fleet);
     }
 }
 
--- a/crates/routing/benches/staged.rs
+++ b/crates/routing/benches/staged.rs
@@ -65,9 +65,11 @@
             part(100 + place % 1_060, 4_500),
             part(place + 10_000, 8_000),
         ];
-        router.parts.sent(engine.key, MEMORY_TOKENS, &kept);
-        router.parts.read(engine.key, &kept);
-        router.work.sent(engine.key, (place % 13) as u32 * 500);
+        router.parts.record_sent(engine.key, MEMORY_TOKENS, &kept);
+        router.parts.confirm_cached(engine.key, &kept);
+        router
+            .work
+            .record_sent(engine.key, (place % 13) as u32 * 500);
     }
     router
 }
@@ -95,8 +97,8 @@
             bencher.iter(|| {
                 let old = engine(next % size);
                 engines.remove(old.key);
-                router.forget(old.key);
-                engines.set(old);
+                router.forget_engine(old.key);
+                engines.insert(old);
                 next += 1;
             });
         });
--- a/crates/routing/src/room/pool_room.rs
+++ b/crates/routing/src/room/pool_room.rs
@@ -9,7 +9,7 @@
 use super::order::{Claim, LEAST_SHARE};
 use super::queue::{RoomQueue, WaitNumber};
 use super::returns::{RETURN_SHARE, ReturnBounds, ReturnSchedule, ReturnSlot};
-use crate::staged::{Expectation, TimeBounds};
+use crate::staged::{LatencyEstimate, TimeBounds};
 
 /// Share of the time left that may be planned with: expectations err, and an answer that comes after the deadline has
 /// cost an engine's work for nothing.
@@ -38,7 +38,7 @@
     /// The time that it has.
     pub bounds: TimeBounds,
     /// What is expected of it at an engine.
-    pub expected: Expectation,
+    pub expected: LatencyEstimate,
     /// First tries a second of more urgent requests, at this node.
     pub urgent_per_s: f64,
 }
@@ -47,13 +47,13 @@
     /// The claim that it has at `now`. Its objective is that of an answer, so what it takes at the engine is taken
     /// off. One that takes longer than that by itself is not late because of the load: it may wait as long as others.
     fn claim(&self, now: MonotonicTime) -> Claim {
-        let left_s = self.bounds.left.as_secs_f64() * PLANNED_SHARE - self.expected.whole_s;
+        let left_s = self.bounds.left.as_secs_f64() * PLANNED_SHARE - self.expected.total_s;
         let wanted_s = self.bounds.objective.as_secs_f64() * IN_TIME_SHARE;
-        let own_s = self.expected.whole_s - self.expected.queue_s;
+        let own_s = self.expected.total_s - self.expected.queue_s;
         let in_time_s = if wanted_s <= 0.0 {
             left_s
         } else if own_s <= wanted_s {
-            wanted_s - self.expected.whole_s
+            wanted_s - self.expected.total_s
         } else {
             wanted_s
         };
--- a/crates/routing/src/staged/admission.rs
+++ b/crates/routing/src/staged/admission.rs
@@ -32,19 +32,19 @@
 
 /// What is expected of a request before it is begun.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Expectation {
+pub struct LatencyEstimate {
     /// Seconds until its answer begins.
-    pub whole_s: f64,
+    pub total_s: f64,
     /// Those of them that go to work which is there before.
     pub queue_s: f64,
 }
 
-impl Expectation {
+impl LatencyEstimate {
     /// The same behind a further queue of `queue_s` seconds.
     #[must_use]
-    pub fn behind(self, queue_s: f64) -> Self {
+    pub fn with_added_queue(self, queue_s: f64) -> Self {
         Self {
-            whole_s: self.whole_s + queue_s,
+            total_s: self.total_s + queue_s,
             queue_s: self.queue_s + queue_s,
         }
     }
@@ -55,13 +55,13 @@
 ///
 /// Late is what comes after the objective because of queues. A request that takes longer by itself
 /// is not to blame on the load, so it is refused only if the queues alone are as long.
-pub fn refused_for(expected: Expectation, bounds: TimeBounds) -> Option<Duration> {
+pub fn rejection_retry_after(expected: LatencyEstimate, bounds: TimeBounds) -> Option<Duration> {
     let left_s = bounds.left.as_secs_f64();
     let objective_s = bounds.objective.as_secs_f64();
-    let own_s = expected.whole_s - expected.queue_s;
+    let own_s = expected.total_s - expected.queue_s;
     let wanted_s = objective_s * BEGUN_WITHIN_OBJECTIVES;
     // Without a queue it is begun whatever is expected: only answers show that engines are faster.
-    let is_hopeless = expected.queue_s > 0.0 && expected.whole_s > left_s * SHARE_OF_TIME_LEFT;
+    let is_hopeless = expected.queue_s > 0.0 && expected.total_s > left_s * SHARE_OF_TIME_LEFT;
     let allowed_s = if own_s <= wanted_s {
         wanted_s - own_s
     } else {
@@ -71,13 +71,13 @@
     if !is_hopeless && !is_late {
         return None;
     }
-    let queue_s = (expected.whole_s - objective_s).min(left_s * RETURN_SHARE);
+    let queue_s = (expected.total_s - objective_s).min(left_s * RETURN_SHARE);
     Some(Duration::from_secs_f64(queue_s.max(0.0)).max(SHORTEST_RETURN))
 }
 
 /// How long an engine may leave a call without an answer: `least`, or longer where longer was
 /// expected when it was chosen.
-pub fn patience(expected_s: f64, least: Duration) -> Duration {
+pub fn response_timeout(expected_s: f64, least: Duration) -> Duration {
     let expected = Duration::try_from_secs_f64(expected_s * PATIENCE_FACTOR);
     expected.unwrap_or(Duration::MAX).max(least)
 }
--- a/crates/routing/src/staged/candidates.rs
+++ b/crates/routing/src/staged/candidates.rs
@@ -40,15 +40,15 @@
 
 /// Draws the engines that are compared.
 #[derive(Clone, Debug)]
-pub struct CandidateDraws(RefCell<ChaCha8Rng>);
+pub struct CandidateSampler(RefCell<ChaCha8Rng>);
 
-impl Default for CandidateDraws {
+impl Default for CandidateSampler {
     fn default() -> Self {
         Self::seeded(0)
     }
 }
 
-impl CandidateDraws {
+impl CandidateSampler {
     /// Draws that differ from those of another seed.
     pub fn seeded(seed: u64) -> Self {
         Self(RefCell::new(ChaCha8Rng::seed_from_u64(seed)))
--- a/crates/routing/src/staged/chooser.rs
+++ b/crates/routing/src/staged/chooser.rs
@@ -3,18 +3,18 @@
 
 use dalestand_types::{MonotonicTime, ZoneName};
 
-use super::candidates::{CandidateDraws, KnownCandidates};
+use super::candidates::{CandidateSampler, KnownCandidates};
 use super::cost::EngineCost;
 use super::health::EngineHealth;
 use super::levelled::{Costed, draw_levelled};
 use super::parts::PartDirectory;
 use super::pool::EnginePool;
-use super::reading::ReadingSpeeds;
-use super::signals::SignalLedger;
-use super::starts::StartSpeeds;
+use super::reading::PrefillSpeeds;
+use super::signals::SignalTable;
+use super::starts::DecodeStartTimes;
 use super::unreported::{ExpectedSends, UnreportedSends};
 use super::work::WorkTable;
-use super::{EngineKey, Expectation, Stage, StagedEngine, StagedRequest};
+use super::{EngineKey, LatencyEstimate, Stage, StagedEngine, StagedRequest};
 
 /// An engine with what is expected of it.
 #[derive(Clone, Debug, PartialEq)]
@@ -46,9 +46,9 @@
         }
     }
 
-    fn expectation(&self) -> Expectation {
-        Expectation {
-            whole_s: self.expected_s,
+    fn latency_estimate(&self) -> LatencyEstimate {
+        LatencyEstimate {
+            total_s: self.expected_s,
             queue_s: self.queue_s,
         }
     }
@@ -58,9 +58,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PromptPlan {
     /// Read and answered on one engine.
-    Whole(EngineChoice),
+    Colocated(EngineChoice),
     /// Read on the first, answered on the second.
-    Split {
+    Disaggregated {
         prefill: EngineChoice,
         decode: EngineChoice,
     },
@@ -76,24 +76,24 @@
     /// How engines fail.
     pub health: EngineHealth,
     /// What they say of themselves.
-    pub signals: SignalLedger,
+    pub signals: SignalTable,
     /// How fast they read.
-    pub speeds: ReadingSpeeds,
+    pub prefill_speeds: PrefillSpeeds,
     /// How fast they begin answers.
-    pub starts: StartSpeeds,
+    pub decode_start_times: DecodeStartTimes,
     /// What others may have sent since they reported.
     pub unreported: UnreportedSends,
     /// Which engines are compared.
-    pub draws: CandidateDraws,
+    pub sampler: CandidateSampler,
 }
 
 impl PromptPlan {
     /// Expected time to the answer's begin, with what of it goes to work that is there before.
-    pub fn expectation(&self) -> Expectation {
+    pub fn latency_estimate(&self) -> LatencyEstimate {
         match self {
-            Self::Whole(choice) => choice.expectation(),
-            Self::Split { prefill, decode } => Expectation {
-                whole_s: prefill.expected_s + decode.expected_s,
+            Self::Colocated(choice) => choice.latency_estimate(),
+            Self::Disaggregated { prefill, decode } => LatencyEstimate {
+                total_s: prefill.expected_s + decode.expected_s,
                 queue_s: prefill.queue_s + decode.queue_s,
             },
         }
@@ -105,7 +105,7 @@
     pub fn seeded(seed: u64) -> Self {
         Self {
             unreported: UnreportedSends::seeded(seed),
-            draws: CandidateDraws::seeded(seed),
+            sampler: CandidateSampler::seeded(seed),
             ..Self::default()
         }
     }
@@ -119,7 +119,7 @@
         request: &StagedRequest,
     ) -> Option<EngineChoice> {
         let engines = self
-            .draws
+            .sampler
             .for_opaque(pool, zone, request, self.is_open(now));
         let costs = self.opaque_costs(now, zone, &engines);
         best(engines.into_iter().zip(costs))
@@ -133,25 +133,25 @@
         pool: &EnginePool,
         request: &StagedRequest,
     ) -> Option<PromptPlan> {
-        let whole = self.choose_whole(now, zone, pool, request);
+        let whole = self.choose_colocated(now, zone, pool, request);
         let split = self.choose_split(now, zone, pool, request);
         match (whole, split) {
             (Some(whole), Some((prefill, decode))) => {
                 let split_s = prefill.cost_s + decode.cost_s;
                 Some(if split_s < whole.cost_s {
-                    PromptPlan::Split { prefill, decode }
+                    PromptPlan::Disaggregated { prefill, decode }
                 } else {
-                    PromptPlan::Whole(whole)
+                    PromptPlan::Colocated(whole)
                 })
             }
-            (Some(whole), None) => Some(PromptPlan::Whole(whole)),
-            (None, Some((prefill, decode))) => Some(PromptPlan::Split { prefill, decode }),
+            (Some(whole), None) => Some(PromptPlan::Colocated(whole)),
+            (None, Some((prefill, decode))) => Some(PromptPlan::Disaggregated { prefill, decode }),
             (None, None) => None,
         }
     }
 
     /// The best engine that reads and answers by itself.
-    pub fn choose_whole(
+    pub fn choose_colocated(
         &self,
         now: MonotonicTime,
         zone: &ZoneName,
@@ -188,7 +188,7 @@
             target: terms.target,
         };
         let engines = self
-            .draws
+            .sampler
             .for_prompt(pool, stage, zone, request, known, self.is_open(now));
         let costs = engines
             .into_iter()
@@ -216,7 +216,7 @@
         };
         let zone = &prefill.zone;
         let engines =
-            self.draws
+            self.sampler
                 .for_prompt(pool, Stage::Decode, zone, request, known, self.is_open(now));
         let costs = engines.into_iter().map(|engine| {
             let cost = self.decode_cost(now, request, prefill, unreported, engine);
@@ -228,13 +228,13 @@
     /// One of the engines, which fill up to one level with the requests that others may have sent.
     fn levelled(&self, costs: Vec<Costed<'_>>, unreported: ExpectedSends) -> Option<EngineChoice> {
         let sends = unreported.mean * costs.len() as f64;
-        let (engine, cost) = draw_levelled(costs, sends, self.draws.chance())?;
+        let (engine, cost) = draw_levelled(costs, sends, self.sampler.chance())?;
         Some(EngineChoice::new(engine, &cost))
     }
 
     /// Whether another engine of its stage could take a request that `current` has. One with a limit may have no
     /// permit for it: a request that left its engine for that one would be lost.
-    pub fn has_other(
+    pub fn has_alternative(
         &self,
         now: MonotonicTime,
         pool: &EnginePool,
@@ -253,10 +253,10 @@
     }
 
     /// Forgets an engine that is gone.
-    pub fn forget(&mut self, engine: EngineKey) {
-        self.parts.forget(engine);
+    pub fn forget_engine(&mut self, engine: EngineKey) {
+        self.parts.forget_engine(engine);
         self.health.forget(engine);
-        self.speeds.forget(engine);
+        self.prefill_speeds.forget(engine);
     }
 }
 
--- a/crates/routing/src/staged/cost.rs
+++ b/crates/routing/src/staged/cost.rs
@@ -116,8 +116,8 @@
         let mut tokens = 0_u32;
         shared.iter().find_map(|part| {
             tokens = tokens.saturating_add(part.tokens);
-            let takes_s =
-                self.speeds.usual_s(stage, f64::from(tokens)) - self.speeds.usual_s(stage, 0.0);
+            let takes_s = self.prefill_speeds.usual_s(stage, f64::from(tokens))
+                - self.prefill_speeds.usual_s(stage, 0.0);
             (takes_s >= NOT_TARGET_S).then_some(part.id)
         })
     }
@@ -129,7 +129,7 @@
         engine: &StagedEngine,
     ) -> EngineCost {
         let request = terms.request;
-        let mut kept = self.parts.kept_tokens(engine.key, &request.parts);
+        let mut kept = self.parts.cached_tokens(engine.key, &request.parts);
         let missing = |(_, tokens): (EngineKey, u32)| tokens.saturating_sub(kept);
         let fetched = terms.holder.map_or(0, missing);
         let fetched = if fetched >= FETCHED_FROM_TOKENS {
@@ -141,11 +141,11 @@
         let fetch_s = move_s(request, fetched, false);
         let unread = request.prompt_tokens.saturating_sub(kept);
         let work = self.work.total(engine.key);
-        let slowness = self.speeds.slowness(engine.key);
-        let reading_s = |tokens| self.speeds.usual_s(engine.stage, tokens) * slowness;
+        let slowness = self.prefill_speeds.slowness(engine.key);
+        let reading_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
         let ahead = work.unread_tokens as f64 + f64::from(unread);
         let starts_s = |starting| match engine.stage {
-            Stage::Decode => self.starts.queue_s(starting),
+            Stage::Decode => self.decode_start_times.queue_s(starting),
             Stage::Prefill | Stage::Opaque => 0.0,
         };
         let own_starts_s = starts_s(work.starting);
@@ -154,16 +154,16 @@
         let nothing_s = reading_s(0.0);
         let expected_s = request.send_s + ahead_s + own_starts_s + fetch_s;
         let displaced_s = (reading_s(f64::from(fetched)) - nothing_s) * READ_AGAIN_FOR_FETCHED;
-        let chance = self.unreported.chance(engine.key, terms.affinity);
+        let chance = self.unreported.quantile(engine.key, terms.affinity);
         let drawn = match terms.affinity {
             Some(_) => terms.unreported.draw(work, chance),
             None => work,
         };
         let drawn_ahead = drawn.unread_tokens as f64 + f64::from(unread);
-        let drawn_request_s =
-            reading_s(terms.unreported.tokens_each) - nothing_s + self.starts.queue_s(1);
+        let drawn_request_s = reading_s(terms.unreported.tokens_each) - nothing_s
+            + self.decode_start_times.queue_s(1);
         let drawn_part = match terms.affinity {
-            Some(_) => terms.unreported.draw_part(chance),
+            Some(_) => terms.unreported.draw_fraction(chance),
             None => 0.0,
         };
         let others_s = match engine.stage {
@@ -203,19 +203,19 @@
         unreported: ExpectedSends,
         engine: &StagedEngine,
     ) -> EngineCost {
-        let kept = self.parts.kept_tokens(engine.key, &request.parts);
+        let kept = self.parts.cached_tokens(engine.key, &request.parts);
         let moved = request.prompt_tokens.saturating_sub(kept);
         let work = self.work.total(engine.key);
-        let slowness = self.speeds.slowness(engine.key);
-        let reading_s = |tokens| self.speeds.usual_s(engine.stage, tokens) * slowness;
+        let slowness = self.prefill_speeds.slowness(engine.key);
+        let reading_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
         let waiting_s = reading_s(work.unread_tokens as f64);
-        let queue_s = self.starts.queue_s(work.starting);
+        let queue_s = self.decode_start_times.queue_s(work.starting);
         let expected_s = request.send_s
-            + self.starts.expected_s(work.starting)
+            + self.decode_start_times.expected_s(work.starting)
             + move_s(request, moved, engine.zone == prefill.zone)
             + waiting_s.min(STEP_WITH_READING_S);
         let added_s = reading_s(unreported.tokens_each) - reading_s(0.0)
-            + self.starts.queue_s(1)
+            + self.decode_start_times.queue_s(1)
             + batch_s(engine, work.requests + 1)
             - batch_s(engine, work.requests);
         let cost_s = expected_s
@@ -273,7 +273,7 @@
         stage: Stage,
         pool: &EnginePool,
     ) -> ExpectedSends {
-        let age = self.work.mean_age(now, |_| true);
+        let age = self.work.mean_report_age(now, |_| true);
         self.unreported.expected(now, stage, pool.count(stage), age)
     }
 
--- a/crates/routing/src/staged/health.rs
+++ b/crates/routing/src/staged/health.rs
@@ -30,13 +30,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     /// A sound answer after this time.
-    Sound(Duration),
+    Success(Duration),
     /// An answer that says the engine failed, or one that broke off.
     Failed,
     /// A refusal: the engine is full.
     Refused,
     /// No connection, or no answer in time.
-    Silent,
+    NoResponse,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -60,10 +60,10 @@
 
 impl EngineHealth {
     /// Notes how an attempt came out.
-    pub fn note(&mut self, now: MonotonicTime, engine: EngineKey, result: AttemptResult) {
+    pub fn record(&mut self, now: MonotonicTime, engine: EngineKey, result: AttemptResult) {
         let record = self.engines.entry(engine).or_default();
         let failed = match result {
-            AttemptResult::Sound(latency) => {
+            AttemptResult::Success(latency) => {
                 record.silences = 0;
                 record.refusals = 0;
                 record.avoided_until = now;
@@ -84,7 +84,7 @@
                 }
                 1.0
             }
-            AttemptResult::Silent => {
+            AttemptResult::NoResponse => {
                 let doublings = record.silences.min(8);
                 let avoidance = FIRST_AVOIDANCE * 2_u32.pow(doublings);
                 record.silences += 1;
@@ -99,13 +99,13 @@
 
     /// Notes that an engine changes its role and refuses requests meanwhile: it is avoided until it
     /// has changed, or until a time, in case the change never shows.
-    pub fn changes_role(&mut self, engine: EngineKey, until: MonotonicTime) {
+    pub fn begin_role_change(&mut self, engine: EngineKey, until: MonotonicTime) {
         let record = self.engines.entry(engine).or_default();
         record.changes_until = until;
     }
 
     /// Notes that an engine has changed its role: what is known of its refusals is over.
-    pub fn has_changed_role(&mut self, engine: EngineKey) {
+    pub fn end_role_change(&mut self, engine: EngineKey) {
         if let Some(record) = self.engines.get_mut(&engine) {
             record.changes_until = MonotonicTime::ZERO;
             record.avoided_until = MonotonicTime::ZERO;
@@ -120,7 +120,7 @@
     }
 
     /// Whether an engine gave no answer when it was last called, and that is not long ago.
-    pub fn is_silent(&self, now: MonotonicTime, engine: EngineKey) -> bool {
+    pub fn is_unresponsive(&self, now: MonotonicTime, engine: EngineKey) -> bool {
         let record = self.engines.get(&engine);
         record.is_some_and(|record| {
             record.silences > 0 && now.since(record.updated_at) < LONGEST_AVOIDANCE
--- a/crates/routing/src/staged/link_queue.rs
+++ b/crates/routing/src/staged/link_queue.rs
@@ -15,7 +15,7 @@
 
 impl LinkQueue {
     /// Notes what the link carries in `time`.
-    pub fn sent(&mut self, now: MonotonicTime, time: Duration) {
+    pub fn push(&mut self, now: MonotonicTime, time: Duration) {
         self.empty_at = self.empty_at.max(now) + time;
     }
 
--- a/crates/routing/src/staged/mod.rs
+++ b/crates/routing/src/staged/mod.rs
@@ -4,7 +4,7 @@
 //! Callers name the parts that their prompts are made of, and engines keep the parts they have
 //! read. The router remembers which engine was sent which parts ([`PartDirectory`]), counts the
 //! work that this node and its peers have at each engine ([`WorkTable`]), notes how engines fail
-//! ([`EngineHealth`]) and learns how fast they read ([`ReadingSpeeds`]). It has no clock and sends
+//! ([`EngineHealth`]) and learns how fast they read ([`PrefillSpeeds`]). It has no clock and sends
 //! nothing.
 
 mod admission;
@@ -25,17 +25,17 @@
 mod work;
 
 pub use crate::prefix::rendezvous_weight;
-pub use admission::{Expectation, TimeBounds, patience, refused_for};
-pub use candidates::CandidateDraws;
+pub use admission::{LatencyEstimate, TimeBounds, rejection_retry_after, response_timeout};
+pub use candidates::CandidateSampler;
 pub use chooser::{EngineChoice, PromptPlan, StagedRouter};
 pub use health::{AttemptResult, EngineHealth};
 pub use link_queue::LinkQueue;
-pub use named_limits::{LimitChange, NamedLimits};
+pub use named_limits::{EngineRateLimits, LimitChange};
 pub use parts::PartDirectory;
 pub use pool::{EnginePool, SampleSize};
-pub use reading::ReadingSpeeds;
-pub use signals::{CallEnd, ClosedFor, ReturningCall, SignalLedger};
-pub use starts::StartSpeeds;
+pub use reading::PrefillSpeeds;
+pub use signals::{ClosedReason, ProbeCall, ProbeOutcome, SignalTable};
+pub use starts::DecodeStartTimes;
 pub use unreported::{ExpectedSends, UnreportedSends};
 pub use work::{EngineWork, LoadSource, ReportSlice, SummedWork, WorkTable};
 
--- a/crates/routing/src/staged/named_limits.rs
+++ b/crates/routing/src/staged/named_limits.rs
@@ -28,25 +28,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitChange {
     /// The limit before; `None` where there was none.
-    pub former: Option<RequestRate>,
+    pub previous: Option<RequestRate>,
     /// The limit now; `None` where it has ended.
-    pub now: Option<RequestRate>,
+    pub current: Option<RequestRate>,
 }
 
 /// The limits of engines, as far as they are known.
 #[derive(Clone, Debug, Default)]
-pub struct NamedLimits {
+pub struct EngineRateLimits {
     known: Remembered<KnownLimit>,
 }
 
-impl NamedLimits {
+impl EngineRateLimits {
     /// Notes what an answer says that was heard at `now`. `request_sent_at` is when the request went out that
     /// it takes up, if it takes one up.
     ///
     /// An answer that names no limit ends a known one only if it takes up a request that went out after the
     /// limit was heard: an older one may have been answered before the engine was in need, and a refusal or an
     /// answer to a question need not name it.
-    pub fn note_answer(
+    pub fn record_answer(
         &mut self,
         now: MonotonicTime,
         engine: EngineKey,
@@ -68,7 +68,7 @@
     }
 
     /// Notes what another node heard at `heard_at`: a limit, or that it has ended.
-    pub fn note_told(
+    pub fn record_peer(
         &mut self,
         engine: EngineKey,
         rate: Option<RequestRate>,
@@ -118,7 +118,10 @@
             announced: if is_news { rate } else { former },
         };
         self.known.set(engine, known);
-        is_news.then_some(LimitChange { former, now: rate })
+        is_news.then_some(LimitChange {
+            previous: former,
+            current: rate,
+        })
     }
 }
 
--- a/crates/routing/src/staged/parts.rs
+++ b/crates/routing/src/staged/parts.rs
@@ -57,7 +57,7 @@
 
 impl PartDirectory {
     /// Notes that an engine of `memory_tokens` was sent a prompt.
-    pub fn sent(&mut self, engine: EngineKey, memory_tokens: u64, parts: &[PromptPart]) {
+    pub fn record_sent(&mut self, engine: EngineKey, memory_tokens: u64, parts: &[PromptPart]) {
         for part in parts {
             self.use_part(engine, *part);
         }
@@ -117,7 +117,7 @@
 
     /// Leading tokens of the prompt that the engine is taken to keep. A part counts only if every
     /// part before it is kept.
-    pub fn kept_tokens(&self, engine: EngineKey, parts: &[PromptPart]) -> u32 {
+    pub fn cached_tokens(&self, engine: EngineKey, parts: &[PromptPart]) -> u32 {
         let Some(known) = self.engines.get(&engine) else {
             return 0;
         };
@@ -128,7 +128,7 @@
 
     /// Notes that the engine has read a prompt that it was sent; whether that was not known of a
     /// part which other prompts may share: any but the last.
-    pub fn read(&mut self, engine: EngineKey, parts: &[PromptPart]) -> bool {
+    pub fn confirm_cached(&mut self, engine: EngineKey, parts: &[PromptPart]) -> bool {
         let Some(known) = self.engines.get_mut(&engine) else {
             return false;
         };
@@ -144,7 +144,7 @@
 
     /// Notes that a prompt which the engine was sent was not read there; whether that takes back a
     /// part which other prompts may share: any but the last.
-    pub fn not_read(&mut self, engine: EngineKey, parts: &[PromptPart]) -> bool {
+    pub fn remove_unconfirmed(&mut self, engine: EngineKey, parts: &[PromptPart]) -> bool {
         let mut is_news = false;
         for (place, part) in parts.iter().enumerate() {
             if self.kept(engine, part.id).is_some_and(|kept| !kept.read) {
@@ -214,7 +214,10 @@
 
     /// Parts of `least_tokens` or more that engines have read and are taken to keep, those used last
     /// first.
-    pub fn last_read(&self, least_tokens: u32) -> impl Iterator<Item = (EngineKey, PromptPart)> {
+    pub fn recently_confirmed(
+        &self,
+        least_tokens: u32,
+    ) -> impl Iterator<Item = (EngineKey, PromptPart)> {
         let last = self.by_use.values().rev();
         last.filter_map(move |(engine, id)| {
             let kept = self.kept(*engine, *id)?;
@@ -235,7 +238,7 @@
     }
 
     /// Forgets an engine.
-    pub fn forget(&mut self, engine: EngineKey) {
+    pub fn forget_engine(&mut self, engine: EngineKey) {
         let known = self.engines.get(&engine);
         let parts = known.map(|known| known.kept.keys().copied().collect::<Vec<_>>());
         for part in parts.into_iter().flatten() {
--- a/crates/routing/src/staged/pool.rs
+++ b/crates/routing/src/staged/pool.rs
@@ -61,7 +61,7 @@
     fn from_iter<I: IntoIterator<Item = StagedEngine>>(engines: I) -> Self {
         let mut pool = Self::default();
         for engine in engines {
-            pool.set(engine);
+            pool.insert(engine);
         }
         pool
     }
@@ -69,7 +69,7 @@
 
 impl EnginePool {
     /// Adds an engine, in place of the one with the same key.
-    pub fn set(&mut self, engine: StagedEngine) {
+    pub fn insert(&mut self, engine: StagedEngine) {
         self.remove(engine.key);
         let stage = self.stages.entry(engine.stage).or_default();
         let zone = stage.zones.entry(engine.zone.clone()).or_default();
--- a/crates/routing/src/staged/reading.rs
+++ b/crates/routing/src/staged/reading.rs
@@ -25,12 +25,12 @@
 
 /// Speeds of one pool.
 #[derive(Clone, Debug)]
-pub struct ReadingSpeeds {
+pub struct PrefillSpeeds {
     reading: LinearFit,
     slowness: HashMap<EngineKey, f64>,
 }
 
-impl Default for ReadingSpeeds {
+impl Default for PrefillSpeeds {
     fn default() -> Self {
         Self {
             reading: LinearFit::prior(PRIOR_START_S, PRIOR_TOKEN_S, PRIOR_SPAN_TOKENS),
@@ -39,7 +39,7 @@
     }
 }
 
-impl ReadingSpeeds {
+impl PrefillSpeeds {
     /// Expected seconds until an engine has read `tokens`, with those queued before.
     pub fn expected_s(&self, engine: EngineKey, stage: Stage, tokens: f64) -> f64 {
         self.usual_s(stage, tokens) * self.slowness(engine)
--- a/crates/routing/src/staged/signals.rs
+++ b/crates/routing/src/staged/signals.rs
@@ -11,7 +11,7 @@
 use dalestand_types::{LimitSignal, MonotonicTime, RequestRate};
 
 use super::EngineKey;
-use super::named_limits::{LimitChange, NamedLimits};
+use super::named_limits::{EngineRateLimits, LimitChange};
 use super::remembered::Remembered;
 use crate::shared_rate::PermitWallet;
 
@@ -39,13 +39,13 @@
 
 /// Why an engine is to get no request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClosedFor {
+pub enum ClosedReason {
     /// It has said that it drains.
     Draining,
     /// It wants no calls until this time.
     Backoff(MonotonicTime),
     /// Its backoff is over, and as many calls as may be are asking whether it takes any again.
-    Returning,
+    Probing,
     /// It takes only so many requests of all nodes together, and this node is to ask for none until this time.
     Limit(MonotonicTime),
 }
@@ -65,46 +65,46 @@
 /// A call to an engine whose backoff has ended a short time ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub struct ReturningCall {
+pub struct ProbeCall {
     engine: EngineKey,
     backoff: u64,
 }
 
 /// How a call to an engine came out, as far as that tells whether it takes calls again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum ProbeOutcome {
     /// The engine took it up.
-    TakenUp,
+    Accepted,
     /// The engine refused it, or said nothing.
-    NotTakenUp,
+    NotAccepted,
 }
 
 /// What engines said of themselves. All of it is said of one start of an engine: nothing of it holds for
 /// another start under the same name.
 #[derive(Clone, Debug, Default)]
-pub struct SignalLedger {
+pub struct SignalTable {
     draining: Remembered<()>,
     /// Engines whose entries say that they drain, with the era of the key-value service that told it.
     listed_draining: Remembered<u64>,
     /// When engines started, by their own clocks, in milliseconds since 1970.
     starts: Remembered<u64>,
-    limits: NamedLimits,
+    limits: EngineRateLimits,
     /// Leave to send requests to engines that take only so many.
     pub permits: PermitWallet,
     backoffs: HashMap<EngineKey, Backoff>,
     backoffs_noted: u64,
 }
 
-impl SignalLedger {
+impl SignalTable {
     /// Notes that an engine drains; whether that is news.
-    pub fn note_draining(&mut self, engine: EngineKey) -> bool {
+    pub fn record_draining(&mut self, engine: EngineKey) -> bool {
         self.draining.set(engine, ())
     }
 
     /// Notes what an engine's entry says, as the key-value service told it in an era. In one era an engine that
     /// drained takes work again only if it started anew, or if another writer had said that it drains; the
     /// copy from which a later era began may be older than what it said.
-    pub fn note_entry(&mut self, engine: EngineKey, accepting: bool, era: u64) {
+    pub fn record_entry(&mut self, engine: EngineKey, accepting: bool, era: u64) {
         let known = self.listed_draining.get(engine);
         if !accepting {
             self.listed_draining.set(engine, era);
@@ -114,7 +114,7 @@
     }
 
     /// Notes when an engine started. What it said before holds no longer, if it had started before.
-    pub fn note_start(&mut self, engine: EngineKey, born: u64) {
+    pub fn record_start(&mut self, engine: EngineKey, born: u64) {
         if !self.starts.set(engine, born) {
             self.draining.remove(engine);
             self.listed_draining.remove(engine);
@@ -125,13 +125,13 @@
     }
 
     /// When the engine started, in milliseconds since 1970; 0 where that is not known.
-    pub fn born(&self, engine: EngineKey) -> u64 {
+    pub fn started_at_ms(&self, engine: EngineKey) -> u64 {
         let born = self.starts.get(engine);
         born.copied().unwrap_or_default()
     }
 
     /// Engines of which it is known when they started.
-    pub fn starts(&self) -> impl Iterator<Item = (EngineKey, u64)> {
+    pub fn start_times(&self) -> impl Iterator<Item = (EngineKey, u64)> {
         let starts = self.starts.iter();
         starts.map(|(engine, born)| (engine, *born))
     }
@@ -140,7 +140,7 @@
     /// before. `place`, from 0 to 1, is this node's place among those that return.
     ///
     /// Each refusal binds for as long as it asks: a shorter one that comes later takes nothing back.
-    pub fn note_backoff(
+    pub fn record_backoff(
         &mut self,
         now: MonotonicTime,
         engine: EngineKey,
@@ -166,8 +166,8 @@
         is_news
     }
 
-    /// Notes what an answer says of its engine's limit; see [`NamedLimits::note_answer`].
-    pub fn note_limit(
+    /// Notes what an answer says of its engine's limit; see [`EngineRateLimits::record_answer`].
+    pub fn record_limit(
         &mut self,
         now: MonotonicTime,
         engine: EngineKey,
@@ -176,33 +176,33 @@
     ) -> Option<LimitChange> {
         let change = self
             .limits
-            .note_answer(now, engine, said, request_sent_at)?;
+            .record_answer(now, engine, said, request_sent_at)?;
         self.limit_changed(now, engine, change);
         Some(change)
     }
 
-    /// Notes what another node heard of an engine's limit; see [`NamedLimits::note_told`].
-    pub fn note_told_limit(
+    /// Notes what another node heard of an engine's limit; see [`EngineRateLimits::record_peer`].
+    pub fn record_peer_limit(
         &mut self,
         now: MonotonicTime,
         engine: EngineKey,
         rate: Option<RequestRate>,
         heard_at: MonotonicTime,
     ) -> Option<LimitChange> {
-        let change = self.limits.note_told(engine, rate, heard_at)?;
+        let change = self.limits.record_peer(engine, rate, heard_at)?;
         self.limit_changed(now, engine, change);
         Some(change)
     }
 
     /// How many requests engines take.
-    pub fn limits(&self) -> &NamedLimits {
+    pub fn limits(&self) -> &EngineRateLimits {
         &self.limits
     }
 
     /// An engine whose limit has ended is returned to as after a backoff: all nodes hear of the end within a
     /// moment, and each has held requests back.
     fn limit_changed(&mut self, now: MonotonicTime, engine: EngineKey, change: LimitChange) {
-        if change.now.is_some() {
+        if change.current.is_some() {
             return;
         }
         self.permits.forget(engine);
@@ -217,35 +217,35 @@
     }
 
     /// Whether the engine's run has said that it drains, in an answer or in its entry.
-    pub fn drains(&self, engine: EngineKey) -> bool {
+    pub fn is_draining(&self, engine: EngineKey) -> bool {
         self.draining.get(engine).is_some() || self.listed_draining.get(engine).is_some()
     }
 
     /// Why the engine is to get no request at `now`.
-    pub fn closed(&self, now: MonotonicTime, engine: EngineKey) -> Option<ClosedFor> {
-        if self.drains(engine) {
-            return Some(ClosedFor::Draining);
+    pub fn closed(&self, now: MonotonicTime, engine: EngineKey) -> Option<ClosedReason> {
+        if self.is_draining(engine) {
+            return Some(ClosedReason::Draining);
         }
         self.closed_by_backoff(now, engine)
             .or_else(|| self.closed_by_limit(now, engine))
     }
 
-    fn closed_by_backoff(&self, now: MonotonicTime, engine: EngineKey) -> Option<ClosedFor> {
+    fn closed_by_backoff(&self, now: MonotonicTime, engine: EngineKey) -> Option<ClosedReason> {
         let backoff = self.backoffs.get(&engine)?;
         if now < backoff.until {
-            return Some(ClosedFor::Backoff(backoff.until));
+            return Some(ClosedReason::Backoff(backoff.until));
         }
-        (backoff.unanswered >= backoff.allowed).then_some(ClosedFor::Returning)
+        (backoff.unanswered >= backoff.allowed).then_some(ClosedReason::Probing)
     }
 
-    fn closed_by_limit(&self, now: MonotonicTime, engine: EngineKey) -> Option<ClosedFor> {
+    fn closed_by_limit(&self, now: MonotonicTime, engine: EngineKey) -> Option<ClosedReason> {
         self.limits.get(engine)?;
         let until = self.permits.closed_until(now, engine);
-        until.map(ClosedFor::Limit)
+        until.map(ClosedReason::Limit)
     }
 
     /// After how long one of `engines` may take calls again; `None` if none is backing off or limited.
-    pub fn opens_in(
+    pub fn time_until_open(
         &self,
         now: MonotonicTime,
         engines: impl Fn(EngineKey) -> bool,
@@ -253,38 +253,38 @@
         let closed = self.backoffs.keys().copied().chain(self.permits.closed());
         let closed = closed.filter(|engine| engines(*engine));
         let waits = closed.filter_map(|engine| match self.closed(now, engine)? {
-            ClosedFor::Draining => None,
-            ClosedFor::Backoff(until) | ClosedFor::Limit(until) => {
+            ClosedReason::Draining => None,
+            ClosedReason::Backoff(until) | ClosedReason::Limit(until) => {
                 Some(until.since(now).max(RETURNING_SOON))
             }
-            ClosedFor::Returning => Some(RETURNING_SOON),
+            ClosedReason::Probing => Some(RETURNING_SOON),
         });
         waits.min()
     }
 
     /// Notes a call that is about to go out; what it yields tells later how it came out.
-    pub fn called(&mut self, now: MonotonicTime, engine: EngineKey) -> Option<ReturningCall> {
+    pub fn begin_call(&mut self, now: MonotonicTime, engine: EngineKey) -> Option<ProbeCall> {
         let backoff = self.backoffs.get_mut(&engine)?;
         if now < backoff.until {
             return None;
         }
         backoff.unanswered += 1;
-        Some(ReturningCall {
+        Some(ProbeCall {
             engine,
             backoff: backoff.number,
         })
     }
 
-    /// Notes how a call came out that [`Self::called`] noted.
-    pub fn came_out(&mut self, call: ReturningCall, end: CallEnd) {
+    /// Notes how a call came out that [`Self::begin_call`] noted.
+    pub fn finish_probe(&mut self, call: ProbeCall, end: ProbeOutcome) {
         let backoff = self.backoffs.get_mut(&call.engine);
         let Some(backoff) = backoff.filter(|backoff| backoff.number == call.backoff) else {
             return;
         };
         backoff.unanswered -= 1;
         match end {
-            CallEnd::TakenUp => backoff.allowed *= 2,
-            CallEnd::NotTakenUp => backoff.allowed = FIRST_RETURNING,
+            ProbeOutcome::Accepted => backoff.allowed *= 2,
+            ProbeOutcome::NotAccepted => backoff.allowed = FIRST_RETURNING,
         }
         if backoff.allowed >= RETURNED {
             self.backoffs.remove(&call.engine);
@@ -292,7 +292,7 @@
     }
 
     /// Engines that want no calls at `now`.
-    pub fn backing_off(&self, now: MonotonicTime) -> usize {
+    pub fn backing_off_count(&self, now: MonotonicTime) -> usize {
         let backoffs = self.backoffs.values();
         backoffs.filter(|backoff| now < backoff.until).count()
     }
--- a/crates/routing/src/staged/starts.rs
+++ b/crates/routing/src/staged/starts.rs
@@ -16,11 +16,11 @@
 
 /// Time to the begin of an answer, by how many requests begin before it.
 #[derive(Clone, Debug)]
-pub struct StartSpeeds {
+pub struct DecodeStartTimes {
     begins: LinearFit,
 }
 
-impl Default for StartSpeeds {
+impl Default for DecodeStartTimes {
     fn default() -> Self {
         Self {
             begins: LinearFit::prior(PRIOR_ALONE_S, PRIOR_EACH_S, PRIOR_SPAN),
@@ -28,7 +28,7 @@
     }
 }
 
-impl StartSpeeds {
+impl DecodeStartTimes {
     /// Expected seconds until an answer begins where `before` requests have not begun yet.
     pub fn expected_s(&self, before: u32) -> f64 {
         self.begins.at(f64::from(before))
--- a/crates/routing/src/staged/unreported.rs
+++ b/crates/routing/src/staged/unreported.rs
@@ -76,12 +76,12 @@
     }
 
     /// Notes how many nodes there are, this one among them.
-    pub fn set_nodes(&mut self, nodes: usize) {
+    pub fn set_node_count(&mut self, nodes: usize) {
         self.nodes = nodes;
     }
 
     /// Notes a request of this node. Others are taken to send as many and as long ones.
-    pub fn sent(&mut self, now: MonotonicTime, stage: Stage, unread_tokens: u32) {
+    pub fn record_sent(&mut self, now: MonotonicTime, stage: Stage, unread_tokens: u32) {
         let own = self.own.entry(stage).or_default();
         own.fade(now);
         own.count += 1.0;
@@ -116,7 +116,7 @@
     /// The chance that a draw for `engine` is made with. Requests whose prompts begin with the same
     /// long part have the same chances at all nodes: they stay together, where one prefill serves all
     /// of them, and prompts that begin otherwise spread. All other requests have chances of their own.
-    pub fn chance(&self, engine: EngineKey, affinity: Option<u64>) -> f64 {
+    pub fn quantile(&self, engine: EngineKey, affinity: Option<u64>) -> f64 {
         match affinity {
             Some(part) => {
                 // The upper bits of a hash, as many as a fraction holds.
@@ -141,7 +141,7 @@
 
     /// A part of one request, below 1 and below what is expected: engines that are alike but for less
     /// than a request are chosen by chance, not by their order.
-    pub fn draw_part(&self, chance: f64) -> f64 {
+    pub fn draw_fraction(&self, chance: f64) -> f64 {
         poisson(self.mean, chance).remainder * self.mean.min(1.0)
     }
 }
--- a/crates/routing/src/staged/work.rs
+++ b/crates/routing/src/staged/work.rs
@@ -29,7 +29,7 @@
     }
 
     /// Takes `other` off. Reports of different ages need not fit each other: none falls below 0.
-    pub fn take_off(&mut self, other: &Self) {
+    pub fn subtract(&mut self, other: &Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.starting = self.starting.saturating_sub(other.starting);
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
@@ -96,7 +96,7 @@
 
 impl WorkTable {
     /// Notes a request sent.
-    pub fn sent(&mut self, engine: EngineKey, unread_tokens: u32) {
+    pub fn record_sent(&mut self, engine: EngineKey, unread_tokens: u32) {
         let work = self.own.entry(engine).or_default();
         work.requests += 1;
         work.starting += 1;
@@ -104,21 +104,21 @@
     }
 
     /// Notes that the prompt of a request was read.
-    pub fn read(&mut self, engine: EngineKey, tokens: u32) {
+    pub fn record_prefilled(&mut self, engine: EngineKey, tokens: u32) {
         if let Some(work) = self.own.get_mut(&engine) {
             work.unread_tokens = work.unread_tokens.saturating_sub(u64::from(tokens));
         }
     }
 
     /// Notes that the answer to a request has begun, or never will.
-    pub fn begun(&mut self, engine: EngineKey) {
+    pub fn record_started(&mut self, engine: EngineKey) {
         if let Some(work) = self.own.get_mut(&engine) {
             work.starting = work.starting.saturating_sub(1);
         }
     }
 
     /// Notes that a request is over.
-    pub fn ended(&mut self, engine: EngineKey) {
+    pub fn record_ended(&mut self, engine: EngineKey) {
         let Some(work) = self.own.get_mut(&engine) else {
             return;
         };
@@ -139,18 +139,18 @@
     }
 
     /// Replaces what `source` reported: all its work, as it was at `reported_at`.
-    pub fn reported(
+    pub fn set_reported(
         &mut self,
         reported_at: MonotonicTime,
         source: LoadSource,
         work: impl IntoIterator<Item = (EngineKey, EngineWork)>,
     ) {
-        self.reported_slice(reported_at, source, ReportSlice::WHOLE, work);
+        self.set_reported_slice(reported_at, source, ReportSlice::WHOLE, work);
     }
 
     /// Replaces what `source` reported of one slice of the engines. What it reported in another number
     /// of slices is forgotten.
-    pub fn reported_slice(
+    pub fn set_reported_slice(
         &mut self,
         reported_at: MonotonicTime,
         source: LoadSource,
@@ -177,7 +177,7 @@
     }
 
     /// Forgets what `source` reported.
-    pub fn forget(&mut self, source: LoadSource) {
+    pub fn forget_source(&mut self, source: LoadSource) {
         let reports = self.reported.range((source, 0)..=(source, u16::MAX));
         for key in reports.map(|(key, _)| *key).collect::<Vec<_>>() {
             self.forget_report(key);
@@ -190,7 +190,7 @@
         };
         for (engine, work) in &reported.engines {
             if let Some(sum) = self.sums.get_mut(engine) {
-                sum.take_off(work);
+                sum.subtract(work);
                 if *sum == EngineWork::default() {
                     self.sums.remove(engine);
                 }
@@ -222,12 +222,16 @@
         for (engine, work) in counted.flat_map(|(_, reported)| &reported.engines) {
             engines.entry(*engine).or_default().add(work);
         }
-        let age = self.mean_age(now, counts);
+        let age = self.mean_report_age(now, counts);
         SummedWork { engines, age }
     }
 
     /// Mean age of the work that the sources `counts` names reported; zero where there is none.
-    pub fn mean_age(&self, now: MonotonicTime, counts: impl Fn(LoadSource) -> bool) -> Duration {
+    pub fn mean_report_age(
+        &self,
+        now: MonotonicTime,
+        counts: impl Fn(LoadSource) -> bool,
+    ) -> Duration {
         let counted = self
             .reported
             .iter()
--- a/crates/routing/tests/engine_pool.rs
+++ b/crates/routing/tests/engine_pool.rs
@@ -42,7 +42,7 @@
                 let removed = pool.remove(engine.key);
                 prop_assert_eq!(removed, standing.remove(&engine.key));
             } else {
-                pool.set(engine.clone());
+                pool.insert(engine.clone());
                 standing.insert(engine.key, engine);
             }
         }
--- a/crates/routing/tests/herds.rs
+++ b/crates/routing/tests/herds.rs
@@ -114,7 +114,7 @@
             *sent.entry(key).or_default() += 1;
             // Between 12 and 22 ms, as servers differ.
             let took = Duration::from_micros(12_000 + key.0 % 10_000);
-            router.health.note(now, key, AttemptResult::Sound(took));
+            router.health.record(now, key, AttemptResult::Success(took));
         }
     }
     Spread {
@@ -143,13 +143,13 @@
             let number = node * DAY_S + request;
             let request = prompt(&[(number % 4, 55), (100 + number % 90, 37)], 291, number);
             let plan = router.plan_prompt(now, &zone(node as usize), &engines, &request);
-            let Some(PromptPlan::Whole(choice)) = plan else {
+            let Some(PromptPlan::Colocated(choice)) = plan else {
                 panic!("a short prompt is not read apart: {plan:?}");
             };
             let key = choice.engine.key;
             *sent.entry(key).or_default() += 1;
-            router.parts.sent(key, 417_000, &request.parts);
-            router.parts.read(key, &request.parts);
+            router.parts.record_sent(key, 417_000, &request.parts);
+            router.parts.confirm_cached(key, &request.parts);
         }
     }
     let spread = Spread {
@@ -203,11 +203,13 @@
     for seed in 0..50 {
         let mut router = StagedRouter::seeded(seed);
         let (_, shared) = request.parts.split_last().expect("parts");
-        router.parts.sent(holder.key, holder.memory_tokens, shared);
-        router.parts.read(holder.key, shared);
+        router
+            .parts
+            .record_sent(holder.key, holder.memory_tokens, shared);
+        router.parts.confirm_cached(holder.key, shared);
         let now = MonotonicTime::from_millis(10);
         let plan = router.plan_prompt(now, &holder.zone, &engines, &request);
-        let Some(PromptPlan::Split { prefill, .. }) = plan else {
+        let Some(PromptPlan::Disaggregated { prefill, .. }) = plan else {
             panic!("a long prompt is read apart: {plan:?}");
         };
         assert_eq!(prefill.engine.key, holder.key, "seed {seed}");
--- a/crates/routing/tests/overload.rs
+++ b/crates/routing/tests/overload.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use dalestand_routing::staged::{
-    EngineKey, EnginePool, Expectation, LinkQueue, PromptPart, PromptPlan, Stage, StagedEngine,
-    StagedRequest, StagedRouter, TimeBounds, patience, refused_for,
+    EngineKey, EnginePool, LatencyEstimate, LinkQueue, PromptPart, PromptPlan, Stage, StagedEngine,
+    StagedRequest, StagedRouter, TimeBounds, rejection_retry_after, response_timeout,
 };
 use dalestand_types::{MonotonicTime, ZoneName};
 use proptest::prelude::*;
@@ -28,9 +28,9 @@
     }
 }
 
-fn expected(whole_ms: u64, queue_ms: u64) -> Expectation {
-    Expectation {
-        whole_s: whole_ms as f64 / 1_000.0,
+fn expected(whole_ms: u64, queue_ms: u64) -> LatencyEstimate {
+    LatencyEstimate {
+        total_s: whole_ms as f64 / 1_000.0,
         queue_s: queue_ms as f64 / 1_000.0,
     }
 }
@@ -43,26 +43,26 @@
 #[case::past_its_deadline(expected(1_900, 20), bounds(2_000, 200), true)]
 #[case::without_an_objective(expected(900, 800), bounds(2_000, 0), false)]
 fn a_request_is_refused_where_queues_make_it_late(
-    #[case] expected: Expectation,
+    #[case] expected: LatencyEstimate,
     #[case] bounds: TimeBounds,
     #[case] refused: bool,
 ) {
-    assert_eq!(refused_for(expected, bounds).is_some(), refused);
+    assert_eq!(rejection_retry_after(expected, bounds).is_some(), refused);
 }
 
 #[rstest]
 fn a_link_is_a_queue_that_empties_with_time() {
     let mut link = LinkQueue::default();
     let at = MonotonicTime::from_millis;
-    link.sent(at(100), Duration::from_millis(30));
-    link.sent(at(110), Duration::from_millis(30));
+    link.push(at(100), Duration::from_millis(30));
+    link.push(at(110), Duration::from_millis(30));
     assert_eq!(link.wait(at(110)), Duration::from_millis(50));
     assert_eq!(link.wait(at(200)), Duration::ZERO);
-    link.sent(at(200), Duration::from_millis(5));
+    link.push(at(200), Duration::from_millis(5));
     assert_eq!(link.wait(at(200)), Duration::from_millis(5));
     let link_s = Duration::from_millis(500).as_secs_f64();
-    let behind = expected(40, 0).behind(link_s);
-    assert!(refused_for(behind, bounds(2_000, 400)).is_some());
+    let behind = expected(40, 0).with_added_queue(link_s);
+    assert!(rejection_retry_after(behind, bounds(2_000, 400)).is_some());
 }
 
 proptest! {
@@ -73,7 +73,7 @@
         left_ms in 1_u64..5_000,
         objective_ms in 1_u64..1_000,
     ) {
-        prop_assert_eq!(refused_for(expected(own_ms, 0), bounds(left_ms, objective_ms)), None);
+        prop_assert_eq!(rejection_retry_after(expected(own_ms, 0), bounds(left_ms, objective_ms)), None);
     }
 
     /// A longer queue never turns a refusal into a begin, and callers are told to come back within
@@ -86,7 +86,7 @@
         left_ms in 300_u64..5_000,
     ) {
         let bounds = bounds(left_ms, 300);
-        let refused = |queue_ms| refused_for(expected(own_ms + queue_ms, queue_ms), bounds);
+        let refused = |queue_ms| rejection_retry_after(expected(own_ms + queue_ms, queue_ms), bounds);
         if let Some(time) = refused(queue_ms) {
             prop_assert!(time < bounds.left, "{time:?}");
             prop_assert!(refused(queue_ms + more_ms).is_some());
@@ -97,7 +97,7 @@
     #[test]
     fn patience_is_never_shorter_than_what_is_expected(expected_s in 0.0_f64..100.0, least_ms in 0_u64..5_000) {
         let least = Duration::from_millis(least_ms);
-        let patience = patience(expected_s, least);
+        let patience = response_timeout(expected_s, least);
         prop_assert!(patience >= least);
         prop_assert!(patience >= Duration::from_secs_f64(expected_s));
     }
@@ -137,7 +137,7 @@
     let pool: EnginePool = engines.iter().cloned().collect();
     let tokens = f64::from(PROMPT_TOKENS);
     let service_s = router
-        .speeds
+        .prefill_speeds
         .expected_s(engines[0].key, Stage::Decode, tokens);
     let per_s = load * ENGINES as f64 / service_s;
     let mut random = ChaCha8Rng::seed_from_u64(7);
@@ -154,27 +154,31 @@
                 break;
             }
             ends.pop();
-            router.work.read(engines[place].key, PROMPT_TOKENS);
-            router.work.ended(engines[place].key);
+            router
+                .work
+                .record_prefilled(engines[place].key, PROMPT_TOKENS);
+            router.work.record_ended(engines[place].key);
         }
         let now = MonotonicTime((now_s * 1e6) as u64);
         let plan = router.plan_prompt(now, &ZoneName::from("here"), &pool, &prompt(id));
-        let Some(PromptPlan::Whole(choice)) = plan else {
+        let Some(PromptPlan::Colocated(choice)) = plan else {
             panic!("engines that read and answer");
         };
-        let expectation = PromptPlan::Whole(choice.clone()).expectation();
+        let expectation = PromptPlan::Colocated(choice.clone()).latency_estimate();
         let bounds = TimeBounds {
             left: DEADLINE,
             objective: OBJECTIVE,
         };
-        if refuses && refused_for(expectation, bounds).is_some() {
+        if refuses && rejection_retry_after(expectation, bounds).is_some() {
             continue;
         }
         let place = engines
             .iter()
             .position(|engine| engine.key == choice.engine.key)
             .expect("known");
-        router.work.sent(choice.engine.key, choice.unread_tokens);
+        router
+            .work
+            .record_sent(choice.engine.key, choice.unread_tokens);
         let ends_s = free_at_s[place].max(now_s) + service_s;
         free_at_s[place] = ends_s;
         ends.push(Reverse(((ends_s * 1e6) as u64, place)));
--- a/crates/routing/tests/report_age.rs
+++ b/crates/routing/tests/report_age.rs
@@ -25,7 +25,7 @@
     let engine = EngineKey::of("engine");
     let mut tables: Vec<WorkTable> = vec![WorkTable::default(); relays];
     for table in &mut tables {
-        table.sent(engine, 100);
+        table.record_sent(engine, 100);
     }
     let mut oldest = Duration::ZERO;
     for exchange_at in (1_000..1_000 + seconds * 1_000).step_by(EXCHANGE_MS as usize) {
@@ -33,7 +33,7 @@
             let now = at(exchange_at);
             if let Some(age) = members_age {
                 let work = [(engine, EngineWork::default())];
-                tables[sender].reported(now.saturating_sub(age), LoadSource::Member(1), work);
+                tables[sender].set_reported(now.saturating_sub(age), LoadSource::Member(1), work);
             }
             let sent = tables[sender].summed(now, of_members);
             let arrived = at(exchange_at + TRANSIT_MS);
@@ -41,12 +41,14 @@
                 if receiver != sender {
                     let reported_at = arrived.saturating_sub(sent.age);
                     let source = LoadSource::Relay(sender as u64);
-                    table.reported(reported_at, source, sent.engines.clone());
+                    table.set_reported(reported_at, source, sent.engines.clone());
                 }
             }
         }
         let now = at(exchange_at + EXCHANGE_MS);
-        let ages = tables.iter().map(|table| table.mean_age(now, |_| true));
+        let ages = tables
+            .iter()
+            .map(|table| table.mean_report_age(now, |_| true));
         oldest = ages.fold(oldest, Duration::max);
     }
     oldest
--- a/crates/routing/tests/room.rs
+++ b/crates/routing/tests/room.rs
@@ -8,7 +8,7 @@
     Arrival, Claim, ClassTurns, Fill, LEAST_SHARE, PoolLoad, PoolRoom, ReturnBounds,
     ReturnSchedule, ReturnSlot, RoomAccount, RoomQueue, RoomRequest, ShareStanding, WaitNumber,
 };
-use dalestand_routing::staged::{Expectation, TimeBounds};
+use dalestand_routing::staged::{LatencyEstimate, TimeBounds};
 use dalestand_types::MonotonicTime;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -60,8 +60,8 @@
             left: Duration::from_millis(left_ms),
             objective: Duration::from_millis(objective_ms),
         },
-        expected: Expectation {
-            whole_s: 0.1,
+        expected: LatencyEstimate {
+            total_s: 0.1,
             queue_s: 0.0,
         },
         urgent_per_s: 0.0,
--- a/crates/routing/tests/signals.rs
+++ b/crates/routing/tests/signals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dalestand_routing::staged::{CallEnd, ClosedFor, EngineKey, ReturningCall, SignalLedger};
+use dalestand_routing::staged::{ClosedReason, EngineKey, ProbeCall, ProbeOutcome, SignalTable};
 use dalestand_types::MonotonicTime;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -43,29 +43,29 @@
         steps in proptest::collection::vec(step(), 1..80),
         place in 0.0..1.0_f64,
     ) {
-        let mut ledger = SignalLedger::default();
+        let mut ledger = SignalTable::default();
         let mut now = NOW;
         let mut bound_until = MonotonicTime::ZERO;
-        let mut calls: Vec<Option<ReturningCall>> = Vec::new();
+        let mut calls: Vec<Option<ProbeCall>> = Vec::new();
         for step in steps {
             match step {
                 Step::Wait(ms) => now = now + Duration::from_millis(ms),
                 Step::AsksFor(ms) => {
                     let asked = Duration::from_millis(ms);
-                    ledger.note_backoff(now, ENGINE, asked, place);
+                    ledger.record_backoff(now, ENGINE, asked, place);
                     bound_until = bound_until.max(now + asked);
                     calls.clear();
                 }
                 Step::Calls if ledger.closed(now, ENGINE).is_none() => {
                     prop_assert!(now >= bound_until);
-                    calls.push(ledger.called(now, ENGINE));
+                    calls.push(ledger.begin_call(now, ENGINE));
                     let returning = calls.iter().flatten().count();
                     prop_assert!(returning < 8, "{returning} calls at once");
                 }
                 Step::ComesOut(taken_up) if !calls.is_empty() => {
-                    let end = if taken_up { CallEnd::TakenUp } else { CallEnd::NotTakenUp };
+                    let end = if taken_up { ProbeOutcome::Accepted } else { ProbeOutcome::NotAccepted };
                     if let Some(call) = calls.remove(0) {
-                        ledger.came_out(call, end);
+                        ledger.finish_probe(call, end);
                     }
                 }
                 Step::Calls | Step::ComesOut(_) => {}
@@ -78,19 +78,19 @@
     fn a_run_that_drains_stays_closed(
         steps in proptest::collection::vec(step(), 0..40),
     ) {
-        let mut ledger = SignalLedger::default();
-        prop_assert!(ledger.note_draining(ENGINE));
+        let mut ledger = SignalTable::default();
+        prop_assert!(ledger.record_draining(ENGINE));
         let mut now = NOW;
         for step in steps {
             match step {
                 Step::Wait(ms) => now = now + Duration::from_millis(ms),
                 Step::AsksFor(ms) => {
-                    ledger.note_backoff(now, ENGINE, Duration::from_millis(ms), 0.5);
+                    ledger.record_backoff(now, ENGINE, Duration::from_millis(ms), 0.5);
                 }
                 Step::Calls | Step::ComesOut(_) => {}
             }
-            prop_assert_eq!(ledger.closed(now, ENGINE), Some(ClosedFor::Draining));
-            prop_assert!(!ledger.note_draining(ENGINE), "it is no news");
+            prop_assert_eq!(ledger.closed(now, ENGINE), Some(ClosedReason::Draining));
+            prop_assert!(!ledger.record_draining(ENGINE), "it is no news");
         }
     }
 }
@@ -103,19 +103,22 @@
     #[case] second_s: u64,
     #[case] bound_s: u64,
 ) {
-    let mut ledger = SignalLedger::default();
-    assert!(ledger.note_backoff(NOW, ENGINE, seconds(first_s), 0.0));
-    assert!(!ledger.note_backoff(NOW, ENGINE, seconds(second_s), 0.0));
+    let mut ledger = SignalTable::default();
+    assert!(ledger.record_backoff(NOW, ENGINE, seconds(first_s), 0.0));
+    assert!(!ledger.record_backoff(NOW, ENGINE, seconds(second_s), 0.0));
     let until = NOW + seconds(bound_s);
-    assert_eq!(ledger.closed(NOW, ENGINE), Some(ClosedFor::Backoff(until)));
+    assert_eq!(
+        ledger.closed(NOW, ENGINE),
+        Some(ClosedReason::Backoff(until))
+    );
     assert_eq!(ledger.closed(until, ENGINE), None);
 }
 
 #[rstest]
 fn nodes_return_at_moments_of_their_own() {
     let returns = [0.0, 0.5, 1.0].map(|place| {
-        let mut ledger = SignalLedger::default();
-        ledger.note_backoff(NOW, ENGINE, seconds(4), place);
+        let mut ledger = SignalTable::default();
+        ledger.record_backoff(NOW, ENGINE, seconds(4), place);
         let after = (0..).find(|ms| {
             let now = NOW + Duration::from_millis(*ms);
             ledger.closed(now, ENGINE).is_none()
@@ -127,30 +130,30 @@
 
 #[rstest]
 fn a_backoff_of_days_is_asked_about_again() {
-    let mut ledger = SignalLedger::default();
-    ledger.note_backoff(NOW, ENGINE, Duration::MAX, 0.0);
+    let mut ledger = SignalTable::default();
+    ledger.record_backoff(NOW, ENGINE, Duration::MAX, 0.0);
     assert!(ledger.closed(NOW + seconds(599), ENGINE).is_some());
     let after = NOW + seconds(600);
     assert_eq!(ledger.closed(after, ENGINE), None);
-    let asking = ledger.called(after, ENGINE);
+    let asking = ledger.begin_call(after, ENGINE);
     assert!(asking.is_some());
-    assert_eq!(ledger.closed(after, ENGINE), Some(ClosedFor::Returning));
+    assert_eq!(ledger.closed(after, ENGINE), Some(ClosedReason::Probing));
 }
 
 #[rstest]
 fn an_engine_that_takes_calls_up_again_gets_more_of_them() {
-    let mut ledger = SignalLedger::default();
-    ledger.note_backoff(NOW, ENGINE, seconds(1), 0.0);
+    let mut ledger = SignalTable::default();
+    ledger.record_backoff(NOW, ENGINE, seconds(1), 0.0);
     let after = NOW + seconds(2);
     let mut at_once = Vec::new();
     for _ in 0..4 {
         let mut calls = Vec::new();
         while ledger.closed(after, ENGINE).is_none() && calls.len() < 100 {
-            calls.push(ledger.called(after, ENGINE));
+            calls.push(ledger.begin_call(after, ENGINE));
         }
         at_once.push(calls.len());
         for call in calls.into_iter().flatten() {
-            ledger.came_out(call, CallEnd::TakenUp);
+            ledger.finish_probe(call, ProbeOutcome::Accepted);
         }
     }
     assert_eq!(at_once, [1, 2, 100, 100]);
@@ -158,39 +161,39 @@
 
 #[rstest]
 fn backoffs_that_are_over_are_not_kept_for_ever() {
-    let mut ledger = SignalLedger::default();
+    let mut ledger = SignalTable::default();
     for engine in 0..5_000 {
-        ledger.note_backoff(NOW, EngineKey(engine), seconds(1), 0.0);
+        ledger.record_backoff(NOW, EngineKey(engine), seconds(1), 0.0);
     }
     let later = NOW + seconds(10);
-    assert_eq!(ledger.backing_off(NOW), 5_000);
-    ledger.note_backoff(later, ENGINE, seconds(1), 0.0);
+    assert_eq!(ledger.backing_off_count(NOW), 5_000);
+    ledger.record_backoff(later, ENGINE, seconds(1), 0.0);
     assert!(
-        ledger.called(later, EngineKey(9)).is_none(),
+        ledger.begin_call(later, EngineKey(9)).is_none(),
         "any other engine"
     );
 }
 
 #[rstest]
 fn runs_that_drain_are_remembered_within_a_bound() {
-    let mut ledger = SignalLedger::default();
+    let mut ledger = SignalTable::default();
     for engine in 0..20_000_u64 {
-        ledger.note_draining(EngineKey(engine));
+        ledger.record_draining(EngineKey(engine));
     }
-    assert!(ledger.drains(EngineKey(19_999)));
-    assert!(!ledger.drains(EngineKey(0)));
+    assert!(ledger.is_draining(EngineKey(19_999)));
+    assert!(!ledger.is_draining(EngineKey(0)));
 }
 
 #[rstest]
 fn nothing_of_a_former_start_holds() {
-    let mut ledger = SignalLedger::default();
-    ledger.note_start(ENGINE, 1_000);
-    ledger.note_backoff(NOW, ENGINE, seconds(5), 0.0);
-    ledger.note_draining(ENGINE);
-    ledger.note_start(ENGINE, 2_000);
+    let mut ledger = SignalTable::default();
+    ledger.record_start(ENGINE, 1_000);
+    ledger.record_backoff(NOW, ENGINE, seconds(5), 0.0);
+    ledger.record_draining(ENGINE);
+    ledger.record_start(ENGINE, 2_000);
     assert_eq!(ledger.closed(NOW, ENGINE), None);
-    assert_eq!(ledger.born(ENGINE), 2_000);
-    assert!(ledger.note_draining(ENGINE), "it is news of this start");
+    assert_eq!(ledger.started_at_ms(ENGINE), 2_000);
+    assert!(ledger.record_draining(ENGINE), "it is news of this start");
 }
 
 #[rstest]
@@ -201,18 +204,18 @@
     #[case] taken_back_in: u64,
     #[case] drains: bool,
 ) {
-    let mut ledger = SignalLedger::default();
-    ledger.note_entry(ENGINE, false, said_in);
-    assert!(ledger.drains(ENGINE));
-    ledger.note_entry(ENGINE, true, taken_back_in);
-    assert_eq!(ledger.drains(ENGINE), drains);
+    let mut ledger = SignalTable::default();
+    ledger.record_entry(ENGINE, false, said_in);
+    assert!(ledger.is_draining(ENGINE));
+    ledger.record_entry(ENGINE, true, taken_back_in);
+    assert_eq!(ledger.is_draining(ENGINE), drains);
 }
 
 #[rstest]
 fn no_entry_takes_back_what_an_answer_said() {
-    let mut ledger = SignalLedger::default();
-    ledger.note_draining(ENGINE);
-    ledger.note_entry(ENGINE, false, 1);
-    ledger.note_entry(ENGINE, true, 1);
-    assert!(ledger.drains(ENGINE));
+    let mut ledger = SignalTable::default();
+    ledger.record_draining(ENGINE);
+    ledger.record_entry(ENGINE, false, 1);
+    ledger.record_entry(ENGINE, true, 1);
+    assert!(ledger.is_draining(ENGINE));
 }
--- a/crates/routing/tests/staged.rs
+++ b/crates/routing/tests/staged.rs
@@ -69,9 +69,9 @@
 fn a_long_prompt_is_read_apart_and_a_short_one_is_not() {
     let router = StagedRouter::default();
     let long = plan(&router, &fleet(), &prompt(&[(1, 13_000), (2, 4_000)]));
-    assert!(matches!(long, PromptPlan::Split { .. }), "{long:?}");
+    assert!(matches!(long, PromptPlan::Disaggregated { .. }), "{long:?}");
     let short = plan(&router, &fleet(), &prompt(&[(3, 90), (4, 290)]));
-    assert!(matches!(short, PromptPlan::Whole(_)), "{short:?}");
+    assert!(matches!(short, PromptPlan::Colocated(_)), "{short:?}");
 }
 
 /// Seen on a day of overload: prompts of other requests at the decode engines made every plan of
@@ -82,13 +82,13 @@
     let fleet = fleet();
     for decode in &fleet[2..] {
         for _ in 0..60 {
-            router.work.sent(decode.key, 400);
+            router.work.record_sent(decode.key, 400);
         }
     }
-    router.work.sent(fleet[0].key, 20_000);
-    router.work.sent(fleet[1].key, 20_000);
+    router.work.record_sent(fleet[0].key, 20_000);
+    router.work.record_sent(fleet[1].key, 20_000);
     let plan = plan(&router, &fleet, &prompt(&[(1, 5_000), (2, 4_000)]));
-    assert!(matches!(plan, PromptPlan::Split { .. }), "{plan:?}");
+    assert!(matches!(plan, PromptPlan::Disaggregated { .. }), "{plan:?}");
 }
 
 /// A prompt that is read beside others' tokens delays each of them.
@@ -97,18 +97,18 @@
     let mut router = StagedRouter::default();
     let fleet = fleet();
     for prefill in &fleet[..2] {
-        router.work.sent(prefill.key, 25_000);
+        router.work.record_sent(prefill.key, 25_000);
     }
     let request = prompt(&[(1, 8_000)]);
     let idle = plan(&router, &fleet, &request);
-    assert!(matches!(idle, PromptPlan::Whole(_)), "{idle:?}");
+    assert!(matches!(idle, PromptPlan::Colocated(_)), "{idle:?}");
     for decode in &fleet[2..] {
         for _ in 0..12 {
-            router.work.sent(decode.key, 0);
+            router.work.record_sent(decode.key, 0);
         }
     }
     let busy = plan(&router, &fleet, &request);
-    assert!(matches!(busy, PromptPlan::Split { .. }), "{busy:?}");
+    assert!(matches!(busy, PromptPlan::Disaggregated { .. }), "{busy:?}");
 }
 
 #[rstest]
@@ -119,8 +119,8 @@
     for holder in &fleet[..2] {
         router = StagedRouter::default();
         let shared = &request.parts[..1];
-        router.parts.sent(holder.key, MEMORY_TOKENS, shared);
-        let PromptPlan::Split { prefill, .. } = plan(&router, &fleet, &request) else {
+        router.parts.record_sent(holder.key, MEMORY_TOKENS, shared);
+        let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
             panic!("a long prompt is read apart");
         };
         assert_eq!(prefill.engine.key, holder.key);
@@ -135,10 +135,12 @@
     let fleet = fleet();
     let request = prompt(&[(1, 13_000), (2, 4_000)]);
     let shared = &request.parts[..1];
-    router.parts.sent(fleet[0].key, MEMORY_TOKENS, shared);
-    router.parts.read(fleet[0].key, shared);
-    router.work.sent(fleet[0].key, 60_000);
-    let PromptPlan::Split { prefill, .. } = plan(&router, &fleet, &request) else {
+    router
+        .parts
+        .record_sent(fleet[0].key, MEMORY_TOKENS, shared);
+    router.parts.confirm_cached(fleet[0].key, shared);
+    router.work.record_sent(fleet[0].key, 60_000);
+    let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
         panic!("a long prompt is read apart");
     };
     assert_eq!(prefill.engine.key, fleet[1].key);
@@ -154,10 +156,12 @@
     let fleet = fleet();
     let request = prompt(&[(1, 13_000), (2, 4_000)]);
     let shared = &request.parts[..1];
-    router.parts.sent(fleet[0].key, MEMORY_TOKENS, shared);
-    router.parts.read(fleet[0].key, shared);
-    router.work.sent(fleet[0].key, 2_500);
-    let PromptPlan::Split { prefill, .. } = plan(&router, &fleet, &request) else {
+    router
+        .parts
+        .record_sent(fleet[0].key, MEMORY_TOKENS, shared);
+    router.parts.confirm_cached(fleet[0].key, shared);
+    router.work.record_sent(fleet[0].key, 2_500);
+    let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
         panic!("a long prompt is read apart");
     };
     assert_eq!(prefill.engine.key, fleet[0].key);
@@ -170,14 +174,16 @@
     let fleet = fleet();
     let request = prompt(&[(1, 13_000), (2, 4_000)]);
     let shared = &request.parts[..1];
-    router.parts.sent(fleet[0].key, MEMORY_TOKENS, shared);
-    router.work.sent(fleet[0].key, 60_000);
-    let PromptPlan::Split { prefill, .. } = plan(&router, &fleet, &request) else {
+    router
+        .parts
+        .record_sent(fleet[0].key, MEMORY_TOKENS, shared);
+    router.work.record_sent(fleet[0].key, 60_000);
+    let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
         panic!("a long prompt is read apart");
     };
     assert_eq!(prefill.fetch_from, None);
-    router.parts.not_read(fleet[0].key, shared);
-    assert_eq!(router.parts.kept_tokens(fleet[0].key, shared), 0);
+    router.parts.remove_unconfirmed(fleet[0].key, shared);
+    assert_eq!(router.parts.cached_tokens(fleet[0].key, shared), 0);
 }
 
 #[rstest]
@@ -189,7 +195,7 @@
         requests: 2,
         unread_tokens: 9_000,
     };
-    work.reported(NOW, LoadSource::Member(7), [(key, reported)]);
+    work.set_reported(NOW, LoadSource::Member(7), [(key, reported)]);
     assert_eq!(work.total(key), reported);
     work.sweep(NOW + Duration::from_secs(5));
     assert_eq!(work.total(key), EngineWork::default());
@@ -199,13 +205,13 @@
 fn a_silent_engine_is_avoided_for_longer_each_time_until_it_answers() {
     let mut health = EngineHealth::default();
     let key = EngineKey::of("decode-1");
-    health.note(NOW, key, AttemptResult::Silent);
+    health.record(NOW, key, AttemptResult::NoResponse);
     assert!(health.is_avoided(NOW + Duration::from_millis(900), key));
     let again = NOW + Duration::from_millis(1_100);
     assert!(!health.is_avoided(again, key));
-    health.note(again, key, AttemptResult::Silent);
+    health.record(again, key, AttemptResult::NoResponse);
     assert!(health.is_avoided(again + Duration::from_millis(1_900), key));
-    health.note(again, key, AttemptResult::Sound(Duration::from_millis(5)));
+    health.record(again, key, AttemptResult::Success(Duration::from_millis(5)));
     assert!(!health.is_avoided(again, key));
 }
 
@@ -215,19 +221,19 @@
 fn an_engine_that_refuses_is_avoided_although_it_is_idle() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
-    router.work.sent(fleet[3].key, 2_000);
+    router.work.record_sent(fleet[3].key, 2_000);
     let request = prompt(&[(3, 300)]);
     let chosen = |router: &StagedRouter, at| {
-        let choice = router.choose_whole(at, &zone(), &pool(&fleet), &request);
+        let choice = router.choose_colocated(at, &zone(), &pool(&fleet), &request);
         choice.expect("a choice").engine.key
     };
     assert_eq!(chosen(&router, NOW), fleet[2].key);
     let refused = AttemptResult::Refused;
-    router.health.note(NOW, fleet[2].key, refused);
+    router.health.record(NOW, fleet[2].key, refused);
     assert_eq!(chosen(&router, NOW), fleet[3].key);
     let again = NOW + Duration::from_millis(150);
     assert_eq!(chosen(&router, again), fleet[2].key);
-    router.health.note(again, fleet[2].key, refused);
+    router.health.record(again, fleet[2].key, refused);
     let later = again + Duration::from_millis(150);
     assert_eq!(chosen(&router, later), fleet[3].key);
 }
@@ -238,12 +244,12 @@
     let fleet = fleet();
     let mut request = prompt(&[(3, 300)]);
     request.tried = vec![fleet[2].key];
-    let PromptPlan::Whole(choice) = plan(&router, &fleet, &request) else {
+    let PromptPlan::Colocated(choice) = plan(&router, &fleet, &request) else {
         panic!("a short prompt is not read apart");
     };
     assert_eq!(choice.engine.key, fleet[3].key);
     request.tried.push(fleet[3].key);
-    let none = router.choose_whole(NOW, &zone(), &pool(&fleet), &request);
+    let none = router.choose_colocated(NOW, &zone(), &pool(&fleet), &request);
     assert_eq!(none, None);
 }
 
@@ -259,11 +265,11 @@
         let mut directory = PartDirectory::default();
         for (id, tokens) in &prompts {
             let part = PromptPart { id: *id, tokens: *tokens };
-            directory.sent(key, memory_tokens, &[part]);
-            prop_assert_eq!(directory.kept_tokens(key, &[part]), *tokens);
+            directory.record_sent(key, memory_tokens, &[part]);
+            prop_assert_eq!(directory.cached_tokens(key, &[part]), *tokens);
         }
         let kept: u64 = (0..40)
-            .map(|id| directory.kept_tokens(key, &[PromptPart { id, tokens: 0 }]))
+            .map(|id| directory.cached_tokens(key, &[PromptPart { id, tokens: 0 }]))
             .map(u64::from)
             .sum();
         prop_assert!(kept <= memory_tokens, "{} kept", kept);
@@ -275,11 +281,11 @@
         let key = EngineKey::of("prefill-1");
         let mut work = WorkTable::default();
         for tokens in &tokens {
-            work.sent(key, *tokens);
+            work.record_sent(key, *tokens);
         }
         for tokens in tokens.iter().rev() {
-            work.read(key, *tokens);
-            work.ended(key);
+            work.record_prefilled(key, *tokens);
+            work.record_ended(key);
         }
         prop_assert_eq!(work.total(key), EngineWork::default());
     }
@@ -296,10 +302,12 @@
     let mut request = prompt(&[(1, 4_000), (2, 3_000)]);
     request.link_mbps = link_mbps;
     let shared = &request.parts[..1];
-    router.parts.sent(fleet[0].key, MEMORY_TOKENS, shared);
-    router.parts.read(fleet[0].key, shared);
-    router.work.sent(fleet[0].key, 4_000);
-    let PromptPlan::Split { prefill, .. } = plan(&router, &fleet, &request) else {
+    router
+        .parts
+        .record_sent(fleet[0].key, MEMORY_TOKENS, shared);
+    router.parts.confirm_cached(fleet[0].key, shared);
+    router.work.record_sent(fleet[0].key, 4_000);
+    let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
         panic!("a long prompt is read apart");
     };
     assert_eq!(prefill.fetch_from.is_some(), fetches, "{prefill:?}");
@@ -313,25 +321,25 @@
     let fleet = fleet();
     for before in 0..40 {
         router
-            .starts
+            .decode_start_times
             .observe(before % 8, 5e-3 + f64::from(before % 8) * 10e-3);
     }
     for _ in 0..6 {
-        router.work.sent(fleet[2].key, 0);
+        router.work.record_sent(fleet[2].key, 0);
     }
     let request = prompt(&[(1, 9_000)]);
     let choice = router.choose_decode(NOW, &pool(&fleet), &request, &fleet[0]);
     let choice = choice.expect("an engine");
     assert_eq!(choice.engine.key, fleet[3].key);
     for _ in 0..20 {
-        router.work.sent(fleet[3].key, 0);
+        router.work.record_sent(fleet[3].key, 0);
     }
     let choice = router.choose_decode(NOW, &pool(&fleet), &request, &fleet[0]);
     let choice = choice.expect("an engine");
     assert_eq!(choice.engine.key, fleet[2].key);
     assert!(choice.queue_s > 40e-3, "{choice:?}");
     for _ in 0..6 {
-        router.work.begun(fleet[2].key);
+        router.work.record_started(fleet[2].key);
     }
     let choice = router.choose_decode(NOW, &pool(&fleet), &request, &fleet[0]);
     assert!(choice.expect("an engine").queue_s < 1e-3);
@@ -356,9 +364,9 @@
     if is_closed {
         let asked = Duration::from_secs(1);
         let other = EngineKey::of("other");
-        router.signals.note_backoff(NOW, other, asked, 0.0);
+        router.signals.record_backoff(NOW, other, asked, 0.0);
     }
     let tried: Vec<EngineKey> = tried.iter().map(|name| EngineKey::of(name)).collect();
-    let found = router.has_other(NOW, &pool(&others), &current, &tried);
+    let found = router.has_alternative(NOW, &pool(&others), &current, &tried);
     assert_eq!(found, expected);
 }
--- a/crates/routing/tests/stale_loads.rs
+++ b/crates/routing/tests/stale_loads.rs
@@ -94,11 +94,11 @@
     for router in routers {
         let others = keys.iter().zip(&sums).map(|(key, sum)| {
             let mut others = *sum;
-            others.take_off(&router.work.own(*key));
+            others.subtract(&router.work.own(*key));
             (*key, others)
         });
         let others: Vec<_> = others.collect();
-        router.work.reported(now, LoadSource::Fleet, others);
+        router.work.set_reported(now, LoadSource::Fleet, others);
     }
 }
 
@@ -117,7 +117,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(11);
     let mut routers: Vec<StagedRouter> = (0..nodes as u64).map(StagedRouter::seeded).collect();
     for router in &mut routers {
-        router.unreported.set_nodes(nodes);
+        router.unreported.set_node_count(nodes);
     }
     let mut engines_state: HashMap<EngineKey, FakeEngine> = HashMap::new();
     for (number, key) in pool.keys(Stage::Decode).enumerate() {
@@ -139,12 +139,12 @@
         let node = random.random_range(0..nodes);
         let router = &mut routers[node];
         let plan = router.plan_prompt(now, &zone, &pool, &short_prompt(number));
-        let Some(PromptPlan::Whole(choice)) = plan else {
+        let Some(PromptPlan::Colocated(choice)) = plan else {
             panic!("a whole plan");
         };
         let (engine, tokens) = (choice.engine.key, choice.unread_tokens);
-        router.work.sent(engine, tokens);
-        router.unreported.sent(now, Stage::Decode, tokens);
+        router.work.record_sent(engine, tokens);
+        router.unreported.record_sent(now, Stage::Decode, tokens);
         let fake = engines_state.get_mut(&engine).expect("an engine");
         let read_at = fake.take(now, tokens, now >= counted_from);
         under_way.push(Sent {
@@ -215,12 +215,12 @@
         if !sent.is_read && now >= sent.read_at {
             sent.is_read = true;
             let work = &mut routers[sent.node].work;
-            work.read(sent.engine, sent.tokens);
-            work.begun(sent.engine);
+            work.record_prefilled(sent.engine, sent.tokens);
+            work.record_started(sent.engine);
         }
     }
     for over in under_way.extract_if(.., |sent| now >= sent.read_at + ANSWER) {
-        routers[over.node].work.ended(over.engine);
+        routers[over.node].work.record_ended(over.engine);
         if let Some(engine) = engines.get_mut(&over.engine) {
             engine.at_once -= 1;
         }
--- a/crates/routing/tests/unreported.rs
+++ b/crates/routing/tests/unreported.rs
@@ -43,17 +43,17 @@
 /// A router that has sent its share of the requests for three seconds.
 fn router(node: usize, report_age: Duration, now: MonotonicTime) -> StagedRouter {
     let mut router = StagedRouter::seeded(node as u64);
-    router.unreported.set_nodes(NODES);
+    router.unreported.set_node_count(NODES);
     let sends = 3 * REQUESTS_PER_S / NODES;
     for send in 0..sends {
         let sent_at = at((3_000 * send / sends) as u64);
-        router.unreported.sent(sent_at, Stage::Decode, 100);
+        router.unreported.record_sent(sent_at, Stage::Decode, 100);
     }
     let reported_at = now.saturating_sub(report_age);
     let nothing: [(EngineKey, EngineWork); 0] = [];
     router
         .work
-        .reported(reported_at, LoadSource::Fleet, nothing);
+        .set_reported(reported_at, LoadSource::Fleet, nothing);
     router
 }
 
@@ -70,7 +70,7 @@
     let mut sent: HashMap<EngineKey, usize> = HashMap::new();
     for node in 0..sends {
         let router = router(node % NODES, report_age, now);
-        let choice = router.choose_whole(now, &zone(), &engines, &request);
+        let choice = router.choose_colocated(now, &zone(), &engines, &request);
         *sent
             .entry(choice.expect("a choice").engine.key)
             .or_default() += 1;
@@ -93,10 +93,10 @@
 fn nothing_is_drawn_where_nothing_can_have_been_sent() {
     let mut sends = UnreportedSends::seeded(1);
     let age = Duration::from_millis(200);
-    sends.sent(at(0), Stage::Decode, 100);
+    sends.record_sent(at(0), Stage::Decode, 100);
     let alone = sends.expected(at(1), Stage::Decode, 10, age);
     assert_eq!(alone.mean, 0.0);
-    sends.set_nodes(50);
+    sends.set_node_count(50);
     let fresh = sends.expected(at(1), Stage::Decode, 10, Duration::ZERO);
     assert_eq!(fresh.mean, 0.0);
     assert!(sends.expected(at(1), Stage::Decode, 10, age).mean > 0.0);
@@ -122,7 +122,7 @@
     };
     let key = EngineKey(1);
     let drawn = (0..DRAWS).map(|_| {
-        let chance = sends.chance(key, None);
+        let chance = sends.quantile(key, None);
         expected.draw(EngineWork::default(), chance).requests
     });
     let seen = f64::from(drawn.sum::<u32>()) / f64::from(DRAWS);
@@ -137,9 +137,9 @@
 fn prompts_that_share_a_long_part_stay_together() {
     let (first, second) = (UnreportedSends::seeded(1), UnreportedSends::seeded(2));
     let key = EngineKey::of("prefill-1");
-    assert_eq!(first.chance(key, Some(7)), second.chance(key, Some(7)));
-    assert_ne!(first.chance(key, Some(7)), first.chance(key, Some(8)));
-    assert_ne!(first.chance(key, None), second.chance(key, None));
+    assert_eq!(first.quantile(key, Some(7)), second.quantile(key, Some(7)));
+    assert_ne!(first.quantile(key, Some(7)), first.quantile(key, Some(8)));
+    assert_ne!(first.quantile(key, None), second.quantile(key, None));
 }
 
 fn work(requests: u32) -> EngineWork {
@@ -161,7 +161,7 @@
         let mut last: HashMap<u64, HashMap<EngineKey, EngineWork>> = HashMap::new();
         for (source, engine, requests) in &reports {
             let engines = HashMap::from([(EngineKey(*engine), work(*requests))]);
-            table.reported(at(0), LoadSource::Member(*source), engines.clone());
+            table.set_reported(at(0), LoadSource::Member(*source), engines.clone());
             last.insert(*source, engines);
         }
         for engine in 0..4 {
@@ -185,14 +185,14 @@
     let mut table = WorkTable::default();
     let halves = |slice| ReportSlice { slice, slices: 2 };
     let (low, high) = (EngineKey(1), EngineKey(2));
-    table.reported_slice(at(0), fleet, halves(0), [(low, work(2))]);
-    table.reported_slice(at(0), fleet, halves(1), [(high, work(4))]);
+    table.set_reported_slice(at(0), fleet, halves(0), [(low, work(2))]);
+    table.set_reported_slice(at(0), fleet, halves(1), [(high, work(4))]);
     assert_eq!(table.total(low).requests, 2);
     assert_eq!(table.total(high).requests, 4);
-    table.reported_slice(at(10), fleet, halves(1), [(high, work(6))]);
+    table.set_reported_slice(at(10), fleet, halves(1), [(high, work(6))]);
     assert_eq!(table.total(low).requests, 2);
     assert_eq!(table.total(high).requests, 6);
-    table.reported(at(20), fleet, [(low, work(1))]);
+    table.set_reported(at(20), fleet, [(low, work(1))]);
     assert_eq!(table.total(low).requests, 1);
     assert_eq!(table.total(high), EngineWork::default());
 }
