--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -24,13 +24,13 @@
 
 /// What a load report says that matters to a controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineSeen {
+pub struct EngineObservation {
     /// The engine's run.
     pub incarnation: Incarnation,
     /// The role it serves in; `None` while it is out of service.
     pub role: Option<Role>,
     /// Requests it holds, running and waiting.
-    pub held: u32,
+    pub requests: u32,
 }
 
 /// Holds a group's lease and brings its engines to what is desired, one order an engine at a time.
@@ -94,13 +94,13 @@
 
     /// No attempt to acquire the lease before `until`: another holder was heard of, or other
     /// nodes come first.
-    pub fn hold_off(&mut self, until: MonotonicTime) {
-        self.lease.hold_off(until);
+    pub fn postpone_acquire(&mut self, until: MonotonicTime) {
+        self.lease.postpone_acquire(until);
     }
 
     /// A holder that gives the lease up asks this node to take it at once.
-    pub fn invite(&mut self) {
-        self.lease.invite();
+    pub fn acquire_immediately(&mut self) {
+        self.lease.acquire_immediately();
     }
 
     /// Gives authority up in a planned hand-over; not asked for again before `retry_at`.
@@ -207,7 +207,12 @@
 
     /// An engine reported its run and how many requests it holds. A restarted engine is fenced
     /// and read again; one that drains is watched until it is empty.
-    pub fn engine_reported(&mut self, now: MonotonicTime, engine: &EngineId, seen: &EngineSeen) {
+    pub fn engine_reported(
+        &mut self,
+        now: MonotonicTime,
+        engine: &EngineId,
+        seen: &EngineObservation,
+    ) {
         if let Some(control) = self.engines.get_mut(engine) {
             control.seen_in_run(seen.incarnation);
             control.reported(now, seen);
--- a/crates/control/src/engine.rs
+++ b/crates/control/src/engine.rs
@@ -8,7 +8,7 @@
 };
 
 use crate::action::CallId;
-use crate::controller::EngineSeen;
+use crate::controller::EngineObservation;
 use crate::drain::{Drain, interrupts_service};
 
 /// Pause before an engine is called again that did not answer, refused or is busy.
@@ -225,9 +225,9 @@
     }
 
     /// Takes a load report in.
-    pub(crate) fn reported(&mut self, now: MonotonicTime, seen: &EngineSeen) {
+    pub(crate) fn reported(&mut self, now: MonotonicTime, seen: &EngineObservation) {
         if let Some(drain) = &mut self.drain {
-            drain.reported(now, seen.held);
+            drain.reported(now, seen.requests);
         }
         if self.is_busy() && seen.role.is_some() {
             // It serves again: its order is done, or is one that leaves it in service.
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -96,12 +96,12 @@
     }
 
     /// Postpones the next attempt to acquire.
-    pub(crate) fn hold_off(&mut self, until: MonotonicTime) {
+    pub(crate) fn postpone_acquire(&mut self, until: MonotonicTime) {
         self.acquire_not_before = self.acquire_not_before.max(until);
     }
 
     /// Makes the next attempt due at once.
-    pub(crate) fn invite(&mut self) {
+    pub(crate) fn acquire_immediately(&mut self) {
         self.invited = true;
     }
 
@@ -151,7 +151,7 @@
         if self.authority == Authority::Acquiring {
             self.authority = Authority::None;
         }
-        self.hold_off(retry_at);
+        self.postpone_acquire(retry_at);
     }
 
     /// The lease was renewed by a request sent at `sent_at`.
@@ -187,7 +187,7 @@
         if let Authority::Held(grant) = self.authority {
             self.to_release = Some(grant.lease);
             self.authority = Authority::None;
-            self.hold_off(now);
+            self.postpone_acquire(now);
         }
         self.renewing = false;
     }
@@ -199,7 +199,7 @@
         };
         self.authority = Authority::None;
         self.renewing = false;
-        self.hold_off(retry_at);
+        self.postpone_acquire(retry_at);
         Some(grant)
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,6 +14,6 @@
 
 pub use action::{Action, CallId, EngineCall};
 pub use candidate::{Candidate, acquire_delay, successor};
-pub use controller::{EngineSeen, EngineStatus, GroupController};
+pub use controller::{EngineObservation, EngineStatus, GroupController};
 pub use desired::{DesiredEngine, DesiredModel};
 pub use lease::LeaseGrant;
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dalestand_control::{
-    Action, DesiredEngine, DesiredModel, EngineSeen, GroupController, LeaseGrant,
+    Action, DesiredEngine, DesiredModel, EngineObservation, GroupController, LeaseGrant,
 };
 use dalestand_types::{
     EngineId, EngineOrders, Epoch, GroupId, Incarnation, LoadedModel, ModelName, MonotonicTime,
@@ -76,15 +76,15 @@
         self.controller.set_desired(self.now, revision, desired, 1);
     }
 
-    /// Passes time, then takes a report of `held` requests from each engine; yields the orders
+    /// Passes time, then takes a report of `requests` requests from each engine; yields the orders
     /// that follow.
-    fn report(&mut self, after_ms: u64, held: u32) -> Vec<OrderCommand> {
+    fn report(&mut self, after_ms: u64, requests: u32) -> Vec<OrderCommand> {
         self.now = self.now + Duration::from_millis(after_ms);
         for engine in &self.engines {
-            let seen = EngineSeen {
+            let seen = EngineObservation {
                 incarnation: RUN,
                 role: Some(Role::Mixed),
-                held,
+                requests,
             };
             self.controller.engine_reported(self.now, engine, &seen);
         }
--- a/crates/control/tests/model/faults.rs
+++ b/crates/control/tests/model/faults.rs
@@ -108,7 +108,9 @@
                 abandoned: false,
             };
             self.network.push(Sent { holder, packet });
-            self.holders[(holder + 1) % HOLDERS].controller.invite();
+            self.holders[(holder + 1) % HOLDERS]
+                .controller
+                .acquire_immediately();
         }
     }
 }
--- a/crates/control/tests/model/world.rs
+++ b/crates/control/tests/model/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use dalestand_control::{Action, DesiredEngine, EngineSeen, GroupController};
+use dalestand_control::{Action, DesiredEngine, EngineObservation, GroupController};
 use dalestand_history::checks::{fenced, no_conflicting_orders};
 use dalestand_history::{
     EngineLogEntry, EngineLogLine, Event, History, OrderLogEntry, RecordedEvent,
@@ -207,10 +207,10 @@
     pub(super) fn report(&mut self, holder: usize, at: MonotonicTime) {
         for (index, book) in self.engines.iter().enumerate() {
             let state = book.state();
-            let seen = EngineSeen {
+            let seen = EngineObservation {
                 incarnation: state.incarnation,
                 role: state.role.filter(|_| !book.changes_role()),
-                held: 0,
+                requests: 0,
             };
             let controller = &mut self.holders[holder].controller;
             controller.engine_reported(at, &engine_id(index), &seen);
--- a/crates/control/tests/orders_in_doubt.rs
+++ b/crates/control/tests/orders_in_doubt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dalestand_control::{
-    Action, DesiredEngine, DesiredModel, EngineCall, EngineSeen, GroupController, LeaseGrant,
+    Action, DesiredEngine, DesiredModel, EngineCall, EngineObservation, GroupController, LeaseGrant,
 };
 use dalestand_standin::engine::OrderBook;
 use dalestand_types::{
@@ -75,10 +75,10 @@
     fn step(&mut self) -> (Vec<(EngineCall, Order)>, Vec<Action>) {
         self.now = self.now + STEP;
         for engine in self.engines.keys() {
-            let seen = EngineSeen {
+            let seen = EngineObservation {
                 incarnation: RUN,
                 role: Some(Role::Mixed),
-                held: 0,
+                requests: 0,
             };
             self.controller.engine_reported(self.now, engine, &seen);
         }
--- a/crates/decision/src/account.rs
+++ b/crates/decision/src/explanation.rs
@@ -9,7 +9,7 @@
 };
 
 /// A plain account of what was decided about a request.
-pub fn account_of_request(record: &RequestRecord) -> String {
+pub fn request_explanation(record: &RequestRecord) -> String {
     let mut text = format!(
         "request {} for model {} under configuration {}",
         record.request, record.model, record.revision
@@ -115,7 +115,7 @@
 }
 
 /// A plain account of a role decision.
-pub fn account_of_role_change(record: &RoleRecord) -> String {
+pub fn role_change_explanation(record: &RoleRecord) -> String {
     let from = record
         .from
         .map_or_else(|| "out of service".to_owned(), |role| role.to_string());
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -3,11 +3,11 @@
 //! Every decision leaves a typed record: what, when, on what information and how old that was,
 //! the candidates and their scores, the configuration it was made under, and what came of it.
 
-mod account;
+mod explanation;
 mod record;
 mod ring;
 
-pub use account::{account_of_request, account_of_role_change};
+pub use explanation::{request_explanation, role_change_explanation};
 pub use record::{
     AttemptOutcome, AttemptRecord, Candidate, Exclusion, NoEngineRecord, RequestRecord,
     RequestTerms, RoleRecord,
--- a/crates/decision/tests/account.rs
+++ b/crates/decision/tests/account.rs
@@ -2,7 +2,7 @@
 
 use dalestand_decision::{
     AttemptOutcome, AttemptRecord, Candidate, Exclusion, NoEngineRecord, RequestRecord,
-    RequestTerms, RoleRecord, account_of_request, account_of_role_change,
+    RequestTerms, RoleRecord, request_explanation, role_change_explanation,
 };
 use dalestand_types::{
     AttemptId, EngineId, Epoch, GroupId, ModelName, OrderId, Placement, RequestId, Revision, Role,
@@ -57,7 +57,7 @@
         outcome: AttemptOutcome::Prefilled,
     });
     record.run_state = Some(RunState::Complete);
-    let text = account_of_request(&record);
+    let text = request_explanation(&record);
     for part in [
         "configuration 42",
         "engine-1: left out: leaving or drained, known 720 ms ago",
@@ -82,7 +82,7 @@
         ],
     });
     record.run_state = Some(RunState::NotRun);
-    let text = account_of_request(&record);
+    let text = request_explanation(&record);
     for part in [
         "DeadlineUnreachable; to come back in 6500 ms",
         "engine-2: score 9300.0 ms",
@@ -95,7 +95,7 @@
 
 #[test]
 fn an_account_of_a_role_change_names_order_epoch_configuration_and_reason() {
-    let text = account_of_role_change(&RoleRecord {
+    let text = role_change_explanation(&RoleRecord {
         engine: EngineId::from("engine-2"),
         group: GroupId::from("caption-llm@duluth-vault"),
         order: OrderId {
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -11,7 +11,7 @@
 use dalestand_edge::routed::{Dialect, EngineEntry, FleetForm};
 use dalestand_edge::unknown_headers::UnknownHeaders;
 use dalestand_engine_link::{EngineLink, LinkLimits};
-use dalestand_planner::{ScalingAccount, ZoneEngines};
+use dalestand_planner::{ScalingDecision, ZoneEngines};
 use dalestand_routes::{RouteTable, SplitPicker};
 use dalestand_routing::staged::{EngineKey, LinkQueue, StagedRouter};
 use dalestand_routing::{NodeCount, SharedRetryBudget};
@@ -91,7 +91,7 @@
     /// Figures that add up over all nodes.
     pub(crate) sums: FleetSums,
     /// What was weighed when engines were last ordered, by pool; empty unless this node orders them.
-    pub(crate) scaling_accounts: RefCell<BTreeMap<PoolName, ScalingAccount>>,
+    pub(crate) scaling_accounts: RefCell<BTreeMap<PoolName, ScalingDecision>>,
     /// Requests that end engines.
     pub(crate) quarantine: Quarantine,
     pub(crate) metrics: ForwardingMetrics,
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -13,8 +13,8 @@
 };
 use dalestand_edge::{KeyValue, PlatformError};
 use dalestand_planner::{
-    ClassWork, DemandScaling, PoolWork, ScalingAccount, ScalingBounds, ScalingMoment, SpotLosses,
-    ZoneEngines, ZoneSpot,
+    Autoscaler, ClassWorkload, PoolWorkload, ScalingBounds, ScalingDecision, ScalingInputs,
+    SpotLossTracker, ZoneEngines, ZoneSpotEngines,
 };
 use dalestand_routes::ScalingTerms;
 use dalestand_routing::ClassFigures;
@@ -52,7 +52,7 @@
 /// What a relay knows of one pool.
 #[derive(Default)]
 struct ScaledPool {
-    demand: DemandScaling,
+    demand: Autoscaler,
     /// While this node may order.
     held: Option<HeldPool>,
 }
@@ -104,7 +104,7 @@
 }
 
 /// What the engines of a pool do and are asked to do, over all nodes; `None` if no figure is known.
-fn pool_work(context: &Context, pool: &PoolName) -> Option<PoolWork> {
+fn pool_work(context: &Context, pool: &PoolName) -> Option<PoolWorkload> {
     let mut classes = BTreeMap::new();
     for ((of, priority), figures) in context.sums.classes.borrow().totals() {
         if of == pool {
@@ -116,7 +116,7 @@
     }
     let fleet = context.fleet();
     let engines = fleet.pool(pool);
-    Some(PoolWork {
+    Some(PoolWorkload {
         classes,
         prefill_token_s: prefill_token_s(context),
         slots: engines.iter().map(|engine| f64::from(engine.slots)).sum(),
@@ -124,8 +124,8 @@
     })
 }
 
-fn class_work(figures: &ClassFigures) -> ClassWork {
-    ClassWork {
+fn class_work(figures: &ClassFigures) -> ClassWorkload {
+    ClassWorkload {
         asked_per_s: f64::from(figures.asked_per_s),
         begun_per_s: f64::from(figures.begun_per_s),
         busy_slots: f64::from(figures.busy_slots),
@@ -262,7 +262,7 @@
                 Ok((kept, record)) => {
                     kept_losses = Some(kept);
                     let known = self.pools.entry(pool.clone()).or_default();
-                    known.demand.losses = SpotLosses::from_record(record);
+                    known.demand.losses = SpotLossTracker::from_record(record);
                 }
                 Err(error) => log_unkept(logger, pool, "read losses", error.current_context()),
             }
@@ -286,8 +286,8 @@
         };
         let zones = standing.keys().chain(leaving.keys());
         let zones = zones.map(|zone| {
-            let spot = ZoneSpot {
-                standing: standing.get(zone).map_or(0, |engines| engines.spot),
+            let spot = ZoneSpotEngines {
+                serving: standing.get(zone).map_or(0, |engines| engines.spot),
                 leaving: leaving.get(zone).copied().unwrap_or_default(),
                 ordered: held.orders.ordered(zone, EngineTenure::Spot),
             };
@@ -326,17 +326,17 @@
         &self,
         pool: &PoolName,
         terms: &ScalingTerms,
-        standing: &BTreeMap<ZoneName, ZoneEngines>,
-    ) -> Option<ScalingAccount> {
+        serving: &BTreeMap<ZoneName, ZoneEngines>,
+    ) -> Option<ScalingDecision> {
         let known = self.pools.get(pool)?;
         let held = known.held.as_ref()?;
         let now = self.context.now();
-        let moment = ScalingMoment {
+        let inputs = ScalingInputs {
             now,
-            own: &held.own,
-            standing,
-            without_spot: &held.orders.without_spot(now),
-            on_demand: &held.orders.on_demand(&held.own, standing),
+            baseline: &held.own,
+            serving,
+            spot_unavailable: &held.orders.without_spot(now),
+            provisioned_on_demand: &held.orders.on_demand(&held.own, serving),
             bounds: bounds(terms),
             prices: &terms.zone_prices,
             policy: self.context.settings.scaling_policy(),
@@ -344,18 +344,18 @@
             warm_up: warm_up(&self.context, pool),
         };
         Some(match self.context.settings.scaling_mode() {
-            ScalingMode::Demand => known.demand.decide(&moment),
-            ScalingMode::Fixed => DemandScaling::default().decide(&moment),
+            ScalingMode::Demand => known.demand.decide(&inputs),
+            ScalingMode::Fixed => Autoscaler::default().decide(&inputs),
         })
     }
 
-    fn due(&self, pool: &PoolName, account: &ScalingAccount) -> Vec<DueOrder> {
+    fn due(&self, pool: &PoolName, account: &ScalingDecision) -> Vec<DueOrder> {
         let known = self.pools.get(pool).and_then(|known| known.held.as_ref());
         let (Some(held), Some(targets)) = (known, &account.targets) else {
             return Vec::new();
         };
         let now = self.context.now();
-        held.orders.due(now, &account.standing, targets)
+        held.orders.due(now, &account.serving, targets)
     }
 
     /// Gives an order; whether the lease still stands.
@@ -364,7 +364,7 @@
         pool: &PoolName,
         order: DueOrder,
         terms: &ScalingTerms,
-        account: &ScalingAccount,
+        account: &ScalingDecision,
     ) -> bool {
         // Looked at again right before the call.
         let Some(mandate) = self.authority.mandate(self.context.now()) else {
@@ -404,7 +404,7 @@
         order: &EngineCountOrder,
         token: u64,
         answered: &Result<DutyOutcome, Report<PlatformError>>,
-        account: &ScalingAccount,
+        account: &ScalingDecision,
     ) {
         let logger = &self.context.logger;
         match answered {
--- a/crates/forwarding/src/node/metrics/scaling.rs
+++ b/crates/forwarding/src/node/metrics/scaling.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dalestand_planner::ScalingAccount;
+use dalestand_planner::ScalingDecision;
 use dalestand_types::PoolName;
 use prometheus::IntGaugeVec;
 
@@ -37,7 +37,7 @@
     }
 
     /// Only pools for which this node decides are told.
-    pub(super) fn set(&self, accounts: &BTreeMap<PoolName, ScalingAccount>) {
+    pub(super) fn set(&self, accounts: &BTreeMap<PoolName, ScalingDecision>) {
         self.wanted.reset();
         self.needed.reset();
         self.losses.reset();
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use dalestand_edge::routed::{StageOrder, StageOrderOutcome};
 use dalestand_planner::{
-    ChangesUnderWay, StageBalance, StageBalanceConfig, StageChange, StageCounts, StageDemand,
-    StageQueues, StageUse,
+    PendingChanges, StageBalancer, StageBalancerConfig, StageChange, StageCounts, StageDemand,
+    StageQueueTimes, StageUtilization,
 };
 use dalestand_routing::staged::{EngineKey, EnginePool, Stage, StagedEngine};
 use dalestand_telemetry::{Event, log_event};
@@ -36,13 +36,13 @@
 
 /// Changes stages for as long as it is polled.
 pub(crate) async fn control_roles(context: Rc<Context>, authority: Authority) {
-    let mut pools: HashMap<PoolName, StageBalance> = HashMap::new();
+    let mut pools: HashMap<PoolName, StageBalancer> = HashMap::new();
     let mut left_alone: HashMap<EngineKey, MonotonicTime> = HashMap::new();
-    let mut under_way = ChangesUnderWay::default();
+    let mut under_way = PendingChanges::default();
     loop {
         actix_rt::time::sleep(LOOK_INTERVAL).await;
         let now = context.now();
-        under_way.sweep(now);
+        under_way.remove_expired(now);
         left_alone.retain(|_, until| now < *until);
         if authority.mandate(now).is_none() {
             pools.clear();
@@ -52,19 +52,19 @@
         for pool in prompt_pools(&context) {
             let balance = pools
                 .entry(pool.clone())
-                .or_insert_with(|| StageBalance::new(StageBalanceConfig::default()));
+                .or_insert_with(|| StageBalancer::new(StageBalancerConfig::default()));
             let Some((change, engines)) = due(&context, balance, &pool, &left_alone, &under_way)
             else {
                 continue;
             };
-            balance.ordered(now, change);
+            balance.record_order(now, change);
             for engine in &engines {
                 left_alone.insert(engine.key, now + IN_DOUBT);
-                under_way.ordered(now, engine.key, change);
+                under_way.record_order(now, engine.key, change);
             }
             let refused = order_all(&context, &authority, &pool, engines, change).await;
             for engine in refused {
-                under_way.refused(engine);
+                under_way.remove(engine);
             }
         }
     }
@@ -99,15 +99,15 @@
 /// The change that is due in a pool, with the engines that have the least to end first.
 fn due(
     context: &Context,
-    balance: &mut StageBalance,
+    balance: &mut StageBalancer,
     pool: &PoolName,
     left_alone: &HashMap<EngineKey, MonotonicTime>,
-    under_way: &ChangesUnderWay<EngineKey>,
+    under_way: &PendingChanges<EngineKey>,
 ) -> Option<(StageChange, Vec<StagedEngine>)> {
     let now = context.now();
     let fleet = context.fleet();
     let engines = fleet.pool(pool);
-    let stage = |engine: &StagedEngine| match under_way.of(now, engine.key) {
+    let stage = |engine: &StagedEngine| match under_way.get(now, engine.key) {
         Some(StageChange::ToPrefill) => Stage::Prefill,
         Some(StageChange::ToDecode) => Stage::Decode,
         None => engine.stage,
@@ -155,7 +155,7 @@
     engines: &EnginePool,
     counts: StageCounts,
     demand: &StageDemand,
-) -> StageUse {
+) -> StageUtilization {
     let router = context.router.borrow();
     let token_s = |stage| {
         let speeds = &router.speeds;
@@ -170,7 +170,7 @@
     let slots_taken = requests.sum::<f64>() / slots.sum::<f64>().max(1.0);
     let disaggregated = demand.disaggregated_tokens_per_s * token_s(Stage::Prefill);
     let colocated = demand.colocated_tokens_per_s * token_s(Stage::Decode);
-    StageUse {
+    StageUtilization {
         prefill: disaggregated / counts.prefill.max(1) as f64,
         decode: slots_taken.max(colocated / counts.decode.max(1) as f64),
     }
@@ -181,7 +181,7 @@
     context: &Context,
     engines: &EnginePool,
     stage: impl Fn(&StagedEngine) -> Stage,
-) -> StageQueues {
+) -> StageQueueTimes {
     let router = context.router.borrow();
     let mean_s = |wanted| {
         let of_stage = engines.iter().filter(|engine| stage(engine) == wanted);
@@ -194,7 +194,7 @@
             .collect();
         queued.iter().sum::<f64>() / queued.len().max(1) as f64
     };
-    StageQueues {
+    StageQueueTimes {
         prefill_s: mean_s(Stage::Prefill),
         decode_s: mean_s(Stage::Decode),
     }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use dalestand_cluster::Cluster;
-use dalestand_decision::{account_of_request, account_of_role_change};
+use dalestand_decision::{request_explanation, role_change_explanation};
 use dalestand_edge::KeyValue;
 use dalestand_gateway::Shared;
 use dalestand_http_server::{
@@ -185,7 +185,7 @@
         };
         match self.shared.decisions().request(request) {
             Some(record) => {
-                let account = account_of_request(record);
+                let account = request_explanation(record);
                 let body = RequestExplanation {
                     record: record.clone(),
                     account,
@@ -211,7 +211,7 @@
         if roles.is_empty() && control.is_none() {
             return text_answer(StatusCode::NOT_FOUND, "this node keeps no record of it");
         }
-        let mut account: String = roles.iter().map(account_of_role_change).collect();
+        let mut account: String = roles.iter().map(role_change_explanation).collect();
         if let Some(row) = &control {
             account.push_str(&account_of_control(&engine, row));
         }
--- a/crates/node/src/control_driver/leases.rs
+++ b/crates/node/src/control_driver/leases.rs
@@ -63,7 +63,7 @@
 
     /// Takes a group over that its holder has just given up.
     pub(crate) fn invite(&self, group: &GroupId) {
-        self.with_controller(group, GroupController::invite);
+        self.with_controller(group, GroupController::acquire_immediately);
     }
 
     pub(super) async fn release(&self, lease: u64) -> bool {
@@ -96,11 +96,11 @@
             if let Some(heard_at) = state.digests.heard_at(&id) {
                 *silent_since = (*silent_since).max(heard_at + lease);
             }
-            controller.hold_off(*silent_since);
+            controller.postpone_acquire(*silent_since);
             if controller.acquire_due(now) {
                 match self.acquire_delay(group) {
-                    Some(delay) => controller.hold_off(*silent_since + delay),
-                    None => controller.hold_off(now + lease),
+                    Some(delay) => controller.postpone_acquire(*silent_since + delay),
+                    None => controller.postpone_acquire(now + lease),
                 }
             }
         }
--- a/crates/node/src/control_driver/loads.rs
+++ b/crates/node/src/control_driver/loads.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use dalestand_cluster::{Record, RecordKey, RecordVersion};
-use dalestand_control::EngineSeen;
+use dalestand_control::EngineObservation;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::{EngineDigest, EngineId, EngineLoad, GroupDigest, GroupId, MonotonicTime};
 
@@ -59,10 +59,10 @@
         let mut state = self.state.borrow_mut();
         for load in reports.into_iter().flatten() {
             if let Some(controller) = state.controllers.get_mut(group) {
-                let seen = EngineSeen {
+                let seen = EngineObservation {
                     incarnation: load.incarnation,
                     role: load.role,
-                    held: load.running + load.waiting,
+                    requests: load.running + load.waiting,
                 };
                 controller.engine_reported(now, &load.engine, &seen);
             }
--- a/crates/planner/src/engine_scaling/by_demand.rs
+++ b/crates/planner/src/engine_scaling/autoscaler.rs
@@ -8,43 +8,43 @@
 
 use dalestand_types::{MonotonicTime, ZoneName};
 
-use crate::engine_scaling::account::{LossAccount, NeedAccount, ScalingAccount, ScalingRule};
-use crate::engine_scaling::fixed::engine_targets;
-use crate::engine_scaling::losses::SpotLosses;
-use crate::engine_scaling::need::{EngineNeed, MEMORY};
+use crate::engine_scaling::decision::{LossAssessment, NeedEstimate, ScalingDecision, ScalingRule};
+use crate::engine_scaling::fixed::fixed_targets;
+use crate::engine_scaling::losses::SpotLossTracker;
+use crate::engine_scaling::need::{MEMORY, NeedTracker};
 use crate::engine_scaling::plan::Plan;
-use crate::engine_scaling::terms::{
+use crate::engine_scaling::types::{
     EngineTargets, ScalingBounds, ScalingPolicy, ZoneEngines, ZonePrices,
 };
-use crate::engine_scaling::work::{PoolWork, RequestWork};
+use crate::engine_scaling::workload::{PoolWorkload, RequestCost};
 
 /// Price of an on-demand engine.
 pub(super) const FULL_PRICE: f64 = 1.0;
 
 /// What follows the demand and the losses of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct DemandScaling {
+pub struct Autoscaler {
     /// The need of engines.
-    pub need: EngineNeed,
+    pub need: NeedTracker,
     /// Losses of spot engines.
-    pub losses: SpotLosses,
-    request: RequestWork,
-    work: Option<PoolWork>,
+    pub losses: SpotLossTracker,
+    request: RequestCost,
+    work: Option<PoolWorkload>,
 }
 
 /// What a decision is made by beside demand and losses.
 #[derive(Clone, Copy, Debug)]
-pub struct ScalingMoment<'a> {
+pub struct ScalingInputs<'a> {
     /// The time.
     pub now: MonotonicTime,
     /// The operator's own numbers.
-    pub own: &'a BTreeMap<ZoneName, u32>,
+    pub baseline: &'a BTreeMap<ZoneName, u32>,
     /// Engines that take new work.
-    pub standing: &'a BTreeMap<ZoneName, ZoneEngines>,
+    pub serving: &'a BTreeMap<ZoneName, ZoneEngines>,
     /// Zones that refused spot engines a short time ago.
-    pub without_spot: &'a BTreeSet<ZoneName>,
+    pub spot_unavailable: &'a BTreeSet<ZoneName>,
     /// On-demand engines that stand or were ordered and boot.
-    pub on_demand: &'a BTreeMap<ZoneName, u32>,
+    pub provisioned_on_demand: &'a BTreeMap<ZoneName, u32>,
     /// What the platform allows.
     pub bounds: ScalingBounds,
     /// What zones cost.
@@ -57,9 +57,9 @@
     pub warm_up: Duration,
 }
 
-impl DemandScaling {
+impl Autoscaler {
     /// Takes in what the pool's engines do and are asked to do, where engines take `boot` until they serve.
-    pub fn observe(&mut self, now: MonotonicTime, work: PoolWork, boot: Duration) {
+    pub fn observe(&mut self, now: MonotonicTime, work: PoolWorkload, boot: Duration) {
         if let Some(needed) = self.request.engines_needed(now, &work) {
             self.need.observe(now, needed, boot);
             self.work = Some(work);
@@ -67,34 +67,34 @@
     }
 
     /// The numbers wanted, and what was weighed.
-    pub fn decide(&self, moment: &ScalingMoment<'_>) -> ScalingAccount {
-        let need = self.need_account(moment);
-        let mut account = ScalingAccount {
+    pub fn decide(&self, inputs: &ScalingInputs<'_>) -> ScalingDecision {
+        let need = self.need_account(inputs);
+        let mut account = ScalingDecision {
             rule: ScalingRule::Fixed,
             work: self.work.clone().filter(|_| need.is_some()),
             need,
-            losses: LossAccount {
+            losses: LossAssessment {
                 record: *self.losses.record(),
-                ..LossAccount::default()
+                ..LossAssessment::default()
             },
-            standing: moment.standing.clone(),
-            targets: fixed(moment),
+            serving: inputs.serving.clone(),
+            targets: fixed(inputs),
             cost: 0.0,
         };
         if let Some(need) = need {
-            Plan { moment, need }.decide(&mut account);
+            Plan { inputs, need }.decide(&mut account);
         }
-        account.cost = cost(moment, account.targets.as_ref());
+        account.cost = cost(inputs, account.targets.as_ref());
         account
     }
 
-    fn need_account(&self, moment: &ScalingMoment<'_>) -> Option<NeedAccount> {
-        let now = moment.now;
+    fn need_account(&self, inputs: &ScalingInputs<'_>) -> Option<NeedEstimate> {
+        let now = inputs.now;
         let known_for = self.need.known_for(now)?;
-        let spot_kept = kept_for(moment, spot_price(moment).unwrap_or(FULL_PRICE));
-        let on_demand_kept = kept_for(moment, FULL_PRICE);
-        Some(NeedAccount {
-            forecast: self.need.forecast(now, moment.boot),
+        let spot_kept = kept_for(inputs, spot_price(inputs).unwrap_or(FULL_PRICE));
+        let on_demand_kept = kept_for(inputs, FULL_PRICE);
+        Some(NeedEstimate {
+            forecast: self.need.forecast(now, inputs.boot),
             highest_for_spot: self.need.highest_within(now, spot_kept),
             highest_for_on_demand: self.need.highest_within(now, on_demand_kept),
             known_for_s: known_for.as_secs_f64(),
@@ -106,36 +106,41 @@
 
 /// The time for which an idle engine at `price` is kept: until it has cost what callers lose if it is needed, has to
 /// boot first and has nothing of their prompts in its memory.
-fn kept_for(moment: &ScalingMoment<'_>, price: f64) -> Duration {
-    let lost_s = (moment.boot + moment.warm_up).as_secs_f64();
-    let kept_s = lost_s * moment.policy.engine_worth / price;
+fn kept_for(inputs: &ScalingInputs<'_>, price: f64) -> Duration {
+    let lost_s = (inputs.boot + inputs.warm_up).as_secs_f64();
+    let kept_s = lost_s * inputs.policy.engine_worth / price;
     let kept = Duration::try_from_secs_f64(kept_s).unwrap_or(MEMORY);
-    kept.clamp(moment.boot.min(MEMORY), MEMORY)
+    kept.clamp(inputs.boot.min(MEMORY), MEMORY)
 }
 
 /// The numbers that the rule without knowledge of demand wants.
-pub(super) fn fixed(moment: &ScalingMoment<'_>) -> Option<EngineTargets> {
-    engine_targets(moment.own, moment.standing, moment.bounds, moment.policy)
+pub(super) fn fixed(inputs: &ScalingInputs<'_>) -> Option<EngineTargets> {
+    fixed_targets(
+        inputs.baseline,
+        inputs.serving,
+        inputs.bounds,
+        inputs.policy,
+    )
 }
 
-fn cost(moment: &ScalingMoment<'_>, targets: Option<&EngineTargets>) -> f64 {
-    let spot_price = spot_price(moment).unwrap_or(FULL_PRICE);
-    let zones = targets.unwrap_or(moment.standing).iter();
+fn cost(inputs: &ScalingInputs<'_>, targets: Option<&EngineTargets>) -> f64 {
+    let spot_price = spot_price(inputs).unwrap_or(FULL_PRICE);
+    let zones = targets.unwrap_or(inputs.serving).iter();
     let costs = zones.map(|(zone, engines)| {
         let full = f64::from(engines.on_demand) + f64::from(engines.spot) * spot_price;
-        full * zone_price(moment, zone)
+        full * zone_price(inputs, zone)
     });
     costs.sum()
 }
 
 /// The price of a zone. One that is no price is taken for the usual one.
-pub(super) fn zone_price(moment: &ScalingMoment<'_>, zone: &ZoneName) -> f64 {
-    let price = moment.prices.get(zone).copied();
+pub(super) fn zone_price(inputs: &ScalingInputs<'_>, zone: &ZoneName) -> f64 {
+    let price = inputs.prices.get(zone).copied();
     let price = price.filter(|price| price.is_finite() && *price > 0.0);
     price.unwrap_or(FULL_PRICE)
 }
 
 /// The price of spot engines, where they are cheaper than others.
-pub(super) fn spot_price(moment: &ScalingMoment<'_>) -> Option<f64> {
-    moment.bounds.spot_price.filter(|price| *price < FULL_PRICE)
+pub(super) fn spot_price(inputs: &ScalingInputs<'_>) -> Option<f64> {
+    inputs.bounds.spot_price.filter(|price| *price < FULL_PRICE)
 }
--- a/crates/planner/src/engine_scaling/account.rs
+++ b/crates/planner/src/engine_scaling/decision.rs
@@ -7,8 +7,8 @@
 use serde::Serialize;
 
 use crate::engine_scaling::losses::LossRecord;
-use crate::engine_scaling::terms::{EngineTargets, ZoneEngines};
-use crate::engine_scaling::work::PoolWork;
+use crate::engine_scaling::types::{EngineTargets, ZoneEngines};
+use crate::engine_scaling::workload::PoolWorkload;
 
 /// What decided the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -24,7 +24,7 @@
 
 /// The need of engines, in engines that are busy all the time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct NeedAccount {
+pub struct NeedEstimate {
     /// Expected when engines that are ordered now have booted.
     pub forecast: f64,
     /// The highest within the time for which spot engines are kept.
@@ -41,7 +41,7 @@
 
 /// Losses of spot engines as they were weighed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct LossAccount {
+pub struct LossAssessment {
     /// What was seen.
     pub record: LossRecord,
     /// Zones whose loss is planned for.
@@ -54,27 +54,28 @@
 
 /// One decision for a pool.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct ScalingAccount {
+pub struct ScalingDecision {
     /// What decided.
     pub rule: ScalingRule,
     /// What engines did and were asked to do; `None` if no figure is known.
-    pub work: Option<PoolWork>,
+    pub work: Option<PoolWorkload>,
     /// The need of engines; `None` if no figure is known.
-    pub need: Option<NeedAccount>,
+    pub need: Option<NeedEstimate>,
     /// Losses.
-    pub losses: LossAccount,
+    pub losses: LossAssessment,
     /// Engines that stood.
-    pub standing: BTreeMap<ZoneName, ZoneEngines>,
+    #[serde(rename = "standing")]
+    pub serving: BTreeMap<ZoneName, ZoneEngines>,
     /// Engines wanted; `None` if the number stays as it is.
     pub targets: Option<EngineTargets>,
     /// What the targets cost a second, in engines at the full price.
     pub cost: f64,
 }
 
-impl ScalingAccount {
+impl ScalingDecision {
     /// Engines wanted in all zones; those that stand where the number stays as it is.
     pub fn wanted(&self) -> ZoneEngines {
-        sum(self.targets.as_ref().unwrap_or(&self.standing))
+        sum(self.targets.as_ref().unwrap_or(&self.serving))
     }
 }
 
@@ -87,9 +88,9 @@
     sum
 }
 
-impl Display for ScalingAccount {
+impl Display for ScalingDecision {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let standing = sum(&self.standing);
+        let serving = sum(&self.serving);
         let wanted = self.wanted();
         let losses = &self.losses;
         write!(formatter, "{:?}: ", self.rule)?;
@@ -121,8 +122,8 @@
             formatter,
             "standing {} spot, {} on demand; wanted {} and {}, cost {:.1}; {} losses, {} zones at once, {:.0} s \
              missed of {:.0} s, {} short after the next{}",
-            standing.spot,
-            standing.on_demand,
+            serving.spot,
+            serving.on_demand,
             wanted.spot,
             wanted.on_demand,
             self.cost,
--- a/crates/planner/src/engine_scaling/losses.rs
+++ b/crates/planner/src/engine_scaling/losses.rs
@@ -18,18 +18,18 @@
 
 /// Spot engines of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ZoneSpot {
+pub struct ZoneSpotEngines {
     /// Engines that take new work.
-    pub standing: u32,
+    pub serving: u32,
     /// Engines that say that they leave.
     pub leaving: u32,
     /// Engines that were ordered, if any order was given.
     pub ordered: Option<u32>,
 }
 
-impl ZoneSpot {
+impl ZoneSpotEngines {
     fn is_lost(&self) -> bool {
-        let before = self.standing + self.leaving;
+        let before = self.serving + self.leaving;
         let by_order = self.ordered.is_some_and(|ordered| ordered < before);
         let share = f64::from(self.leaving) / f64::from(before.max(1));
         !by_order && self.leaving >= FEWEST_LOST && share >= LOST_SHARE
@@ -82,14 +82,14 @@
 
 /// Follows the losses of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct SpotLosses {
+pub struct SpotLossTracker {
     record: LossRecord,
     looked_at: Option<MonotonicTime>,
     /// Zones without their engines, and how many there were.
     missing: BTreeMap<ZoneName, u32>,
 }
 
-impl SpotLosses {
+impl SpotLossTracker {
     /// Goes on from what another holder kept.
     pub fn from_record(record: LossRecord) -> Self {
         let mut losses = Self::default();
@@ -103,19 +103,23 @@
     }
 
     /// Looks at the spot engines of all zones; yields whether a loss is new.
-    pub fn observe(&mut self, now: MonotonicTime, zones: &BTreeMap<ZoneName, ZoneSpot>) -> bool {
+    pub fn observe(
+        &mut self,
+        now: MonotonicTime,
+        zones: &BTreeMap<ZoneName, ZoneSpotEngines>,
+    ) -> bool {
         self.pass_time(now);
         self.missing.retain(|zone, lost| {
             let spot = zones.get(zone).copied().unwrap_or_default();
             let returned = lost.div_ceil(2).min(spot.ordered.unwrap_or(u32::MAX));
-            spot.is_lost() || spot.standing < returned
+            spot.is_lost() || spot.serving < returned
         });
         let was_whole = self.missing.is_empty();
         let mut is_new = false;
         for (zone, spot) in zones {
             if spot.is_lost() && !self.missing.contains_key(zone) {
                 self.missing
-                    .insert(zone.clone(), spot.standing + spot.leaving);
+                    .insert(zone.clone(), spot.serving + spot.leaving);
                 is_new = true;
             }
         }
--- a/crates/planner/src/engine_scaling/mod.rs
+++ b/crates/planner/src/engine_scaling/mod.rs
@@ -1,22 +1,22 @@
 //! How many engines each zone has, and on what terms.
 //!
-//! [`DemandScaling`] follows what callers ask for, what engines do and how spot engines were taken away. What it
-//! does without such knowledge is the rule of [`engine_targets`]: the operator's own number, in spot engines.
+//! [`Autoscaler`] follows what callers ask for, what engines do and how spot engines were taken away. What it
+//! does without such knowledge is the rule of [`fixed_targets`]: the operator's own number, in spot engines.
 
-mod account;
-mod by_demand;
+mod autoscaler;
+mod decision;
+mod distribution;
 mod fixed;
 mod losses;
 mod need;
 mod plan;
-mod spread;
-mod terms;
-mod work;
+mod types;
+mod workload;
 
-pub use account::{LossAccount, NeedAccount, ScalingAccount, ScalingRule};
-pub use by_demand::{DemandScaling, ScalingMoment};
-pub use fixed::engine_targets;
-pub use losses::{LossRecord, SpotLosses, ZoneSpot};
-pub use need::EngineNeed;
-pub use terms::{EngineTargets, ScalingBounds, ScalingPolicy, ZoneEngines, ZonePrices};
-pub use work::{ClassWork, PoolWork, RequestWork};
+pub use autoscaler::{Autoscaler, ScalingInputs};
+pub use decision::{LossAssessment, NeedEstimate, ScalingDecision, ScalingRule};
+pub use fixed::fixed_targets;
+pub use losses::{LossRecord, SpotLossTracker, ZoneSpotEngines};
+pub use need::NeedTracker;
+pub use types::{EngineTargets, ScalingBounds, ScalingPolicy, ZoneEngines, ZonePrices};
+pub use workload::{ClassWorkload, PoolWorkload, RequestCost};
--- a/crates/planner/src/engine_scaling/need.rs
+++ b/crates/planner/src/engine_scaling/need.rs
@@ -57,11 +57,11 @@
 
 /// Follows the need of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct EngineNeed {
+pub struct NeedTracker {
     history: Option<History>,
 }
 
-impl EngineNeed {
+impl NeedTracker {
     /// Takes in the engines needed at `now`, where orders take effect after `ahead`. What is no number of engines is
     /// passed over, and so is what is older than the last.
     pub fn observe(&mut self, now: MonotonicTime, engines: f64, ahead: Duration) {
--- a/crates/planner/src/engine_scaling/plan.rs
+++ b/crates/planner/src/engine_scaling/plan.rs
@@ -4,10 +4,10 @@
 
 use dalestand_types::ZoneName;
 
-use crate::engine_scaling::account::{NeedAccount, ScalingAccount, ScalingRule};
-use crate::engine_scaling::by_demand::{FULL_PRICE, ScalingMoment, fixed, spot_price, zone_price};
-use crate::engine_scaling::spread::{ZoneRoom, spread};
-use crate::engine_scaling::terms::{EngineTargets, ZoneEngines};
+use crate::engine_scaling::autoscaler::{FULL_PRICE, ScalingInputs, fixed, spot_price, zone_price};
+use crate::engine_scaling::decision::{NeedEstimate, ScalingDecision, ScalingRule};
+use crate::engine_scaling::distribution::{ZoneRoom, spread};
+use crate::engine_scaling::types::{EngineTargets, ZoneEngines};
 
 /// Share of their time for which engines are planned to be busy. Nodes choose engines by loads that are some tens of
 /// milliseconds old, and engines differ in speed: the busiest has about twice the mean's work.
@@ -29,13 +29,13 @@
 
 /// A decision by demand.
 pub(super) struct Plan<'a> {
-    pub(super) moment: &'a ScalingMoment<'a>,
-    pub(super) need: NeedAccount,
+    pub(super) inputs: &'a ScalingInputs<'a>,
+    pub(super) need: NeedEstimate,
 }
 
 impl Plan<'_> {
     /// Decides, and notes what was weighed.
-    pub(super) fn decide(&self, account: &mut ScalingAccount) {
+    pub(super) fn decide(&self, account: &mut ScalingDecision) {
         account.rule = if self.is_long() {
             ScalingRule::Demand
         } else {
@@ -44,7 +44,7 @@
         let zones = self.zones();
         let zones_planned = account.losses.record.zones_at_once.max(1) as usize;
         account.losses.zones_planned = zones_planned;
-        let planned = if spot_price(self.moment).is_some() {
+        let planned = if spot_price(self.inputs).is_some() {
             self.spot_plan(&zones, zones_planned)
         } else {
             Counts::new()
@@ -61,35 +61,35 @@
     }
 
     fn zones(&self) -> BTreeSet<&ZoneName> {
-        let own = self.moment.own.keys();
-        own.chain(self.moment.standing.keys()).collect()
+        let own = self.inputs.baseline.keys();
+        own.chain(self.inputs.serving.keys()).collect()
     }
 
-    fn standing(&self, zone: &ZoneName) -> ZoneEngines {
-        let standing = self.moment.standing.get(zone);
-        standing.copied().unwrap_or_default()
+    fn serving(&self, zone: &ZoneName) -> ZoneEngines {
+        let serving = self.inputs.serving.get(zone);
+        serving.copied().unwrap_or_default()
     }
 
     /// On-demand engines that stand or boot.
     fn on_demand(&self, zone: &ZoneName) -> u32 {
-        let on_demand = self.moment.on_demand.get(zone);
+        let on_demand = self.inputs.provisioned_on_demand.get(zone);
         on_demand.copied().unwrap_or_default()
     }
 
     /// Spot engines by zone: for the need, and so that it is still served once the largest zones are lost.
     fn spot_plan(&self, zones: &BTreeSet<&ZoneName>, lost: usize) -> Counts {
-        let max = self.moment.bounds.max;
+        let max = self.inputs.bounds.max;
         let room = zones.iter().map(|zone| {
-            let can_be_had = !self.moment.without_spot.contains(*zone);
+            let can_be_had = !self.inputs.spot_unavailable.contains(*zone);
             let most = if can_be_had {
                 max.saturating_sub(self.on_demand(zone))
             } else {
-                self.standing(zone).spot.min(max)
+                self.serving(zone).spot.min(max)
             };
             let room = ZoneRoom {
                 least: self.least_spot(zone).min(most),
                 most,
-                price: zone_price(self.moment, zone),
+                price: zone_price(self.inputs, zone),
             };
             ((*zone).clone(), room)
         });
@@ -106,25 +106,27 @@
 
     /// Fewest spot engines of a zone.
     fn least_spot(&self, zone: &ZoneName) -> u32 {
-        let by_bounds = self.moment.bounds.min;
+        let by_bounds = self.inputs.bounds.min;
         if self.is_long() {
             return by_bounds;
         }
-        let fixed = fixed(self.moment);
+        let fixed = fixed(self.inputs);
         let fixed = fixed.and_then(|targets| targets.get(zone).copied());
-        let fixed = fixed.map_or(self.standing(zone).spot, |engines| engines.spot);
+        let fixed = fixed.map_or(self.serving(zone).spot, |engines| engines.spot);
         by_bounds.max(fixed)
     }
 
     /// On-demand engines in all.
-    fn on_demand_total(&self, account: &mut ScalingAccount, spot: &Counts) -> u32 {
-        let moment = self.moment;
+    fn on_demand_total(&self, account: &mut ScalingDecision, spot: &Counts) -> u32 {
+        let inputs = self.inputs;
         let need = self.need.forecast.max(self.need.highest_for_on_demand);
         let wanted = engines_for(need, FULL_USE);
         let missing = wanted.saturating_sub(sum(spot));
         // One goes only once spot engines stand for it.
-        let standing = moment.standing.values().map(|zone| zone.spot).sum();
-        let still_needed = wanted.saturating_sub(standing).min(sum(moment.on_demand));
+        let serving = inputs.serving.values().map(|zone| zone.spot).sum();
+        let still_needed = wanted
+            .saturating_sub(serving)
+            .min(sum(inputs.provisioned_on_demand));
         let short = wanted.saturating_sub(left_after_loss(spot, account.losses.zones_planned));
         account.losses.short = short;
         account.losses.insured = short > 0 && self.is_worth_insuring(account);
@@ -136,50 +138,50 @@
     /// On-demand engines with which the fleet is no dearer than the operator's own number; those that stand or boot
     /// do not go for that.
     fn affordable(&self) -> u32 {
-        let own = f64::from(sum(self.moment.own)) * FULL_PRICE;
-        let spot_price = spot_price(self.moment).unwrap_or(FULL_PRICE);
-        let spot: u32 = self.moment.standing.values().map(|zone| zone.spot).sum();
+        let own = f64::from(sum(self.inputs.baseline)) * FULL_PRICE;
+        let spot_price = spot_price(self.inputs).unwrap_or(FULL_PRICE);
+        let spot: u32 = self.inputs.serving.values().map(|zone| zone.spot).sum();
         let affordable = (own - f64::from(spot) * spot_price).max(0.0) as u32;
-        affordable.max(sum(self.moment.on_demand))
+        affordable.max(sum(self.inputs.provisioned_on_demand))
     }
 
     /// On-demand engines that stay whatever the demand.
     fn kept(&self) -> u32 {
-        let own = sum(self.moment.own);
+        let own = sum(self.inputs.baseline);
         let is_known = self.need.known_for_s >= self.need.on_demand_kept_s;
-        if spot_price(self.moment).is_none() && !is_known {
+        if spot_price(self.inputs).is_none() && !is_known {
             return own;
         }
-        (f64::from(own) * self.moment.policy.on_demand_share).ceil() as u32
+        (f64::from(own) * self.inputs.policy.on_demand_share).ceil() as u32
     }
 
     /// Whether callers lose more by the losses that were seen than on-demand engines in their place cost.
-    fn is_worth_insuring(&self, account: &ScalingAccount) -> bool {
+    fn is_worth_insuring(&self, account: &ScalingDecision) -> bool {
         let record = &account.losses.record;
         let Some(between_s) = record.between_s(LEAST_OBSERVED_S) else {
             return false;
         };
-        let outage_s = record.outage_s().max(self.moment.boot.as_secs_f64());
-        self.moment.policy.engine_worth * outage_s > FULL_PRICE * between_s
+        let outage_s = record.outage_s().max(self.inputs.boot.as_secs_f64());
+        self.inputs.policy.engine_worth * outage_s > FULL_PRICE * between_s
     }
 
     /// The planned spot engines, without changes that are worth no order. Engines that others replace elsewhere go
     /// once these stand.
     fn without_small_changes(&self, zones: &BTreeSet<&ZoneName>, planned: &Counts) -> Counts {
-        let standing: u32 = zones.iter().map(|zone| self.standing(zone).spot).sum();
-        let mut surplus = standing.saturating_sub(sum(planned));
+        let serving: u32 = zones.iter().map(|zone| self.serving(zone).spot).sum();
+        let mut surplus = serving.saturating_sub(sum(planned));
         let counts = zones.iter().map(|zone| {
             let planned = planned.get(*zone).copied().unwrap_or_default();
-            let standing = self.standing(zone).spot;
-            let given_back = standing.saturating_sub(planned).min(surplus);
-            let least = (f64::from(standing) * LEAST_GIVEN_BACK).ceil() as u32;
-            let count = if planned >= standing {
+            let serving = self.serving(zone).spot;
+            let given_back = serving.saturating_sub(planned).min(surplus);
+            let least = (f64::from(serving) * LEAST_GIVEN_BACK).ceil() as u32;
+            let count = if planned >= serving {
                 planned
             } else if given_back < least {
-                standing
+                serving
             } else {
                 surplus -= given_back;
-                standing - given_back
+                serving - given_back
             };
             ((*zone).clone(), count)
         });
@@ -188,16 +190,14 @@
 
     /// On-demand engines by zone. Those that stand or boot stay where they are.
     fn on_demand_plan(&self, zones: &BTreeSet<&ZoneName>, spot: &Counts, total: u32) -> Counts {
-        let bounds = self.moment.bounds;
-        let grows = total >= sum(self.moment.on_demand);
+        let bounds = self.inputs.bounds;
+        let grows = total >= sum(self.inputs.provisioned_on_demand);
         let room = zones.iter().map(|zone| {
             let spot = spot.get(*zone).copied().unwrap_or_default();
-            let most = bounds
-                .max
-                .saturating_sub(spot.max(self.standing(zone).spot));
+            let most = bounds.max.saturating_sub(spot.max(self.serving(zone).spot));
             let now = self.on_demand(zone);
             // One that stands for spot engines that are still to come stays.
-            let kept = bounds.min.saturating_sub(self.standing(zone).spot).min(now);
+            let kept = bounds.min.saturating_sub(self.serving(zone).spot).min(now);
             let least = bounds.min.saturating_sub(spot).max(kept);
             let (least, most) = if grows {
                 (least.max(now), most)
@@ -207,7 +207,7 @@
             let room = ZoneRoom {
                 least: least.min(most),
                 most,
-                price: zone_price(self.moment, zone),
+                price: zone_price(self.inputs, zone),
             };
             ((*zone).clone(), room)
         });
@@ -215,7 +215,7 @@
     }
 
     fn targets(&self, spot: &Counts, on_demand: &Counts) -> EngineTargets {
-        let max = self.moment.bounds.max;
+        let max = self.inputs.bounds.max;
         let targets = on_demand.iter().map(|(zone, on_demand)| {
             // Engines that leave count until they have left: the platform refuses more than the most.
             let taken = (*on_demand).max(self.on_demand(zone)).min(max);
--- a/crates/planner/src/engine_scaling/work.rs
+++ b/crates/planner/src/engine_scaling/workload.rs
@@ -30,7 +30,7 @@
 
 /// Requests of one class, over all nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct ClassWork {
+pub struct ClassWorkload {
     /// Requests a second that came for the first time.
     pub asked_per_s: f64,
     /// Requests a second that engines began to answer.
@@ -41,7 +41,7 @@
     pub prefill_tokens_per_s: f64,
 }
 
-impl ClassWork {
+impl ClassWorkload {
     fn is_sound(&self) -> bool {
         let figures = [
             self.asked_per_s,
@@ -65,9 +65,9 @@
 
 /// What a pool's engines do and are asked to do.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct PoolWork {
+pub struct PoolWorkload {
     /// Requests by priority.
-    pub classes: BTreeMap<u8, ClassWork>,
+    pub classes: BTreeMap<u8, ClassWorkload>,
     /// Time to prefill a token, as learnt, in seconds.
     pub prefill_token_s: f64,
     /// Slots of all engines that take work.
@@ -76,10 +76,10 @@
     pub engines: f64,
 }
 
-impl PoolWork {
+impl PoolWorkload {
     /// All classes together.
-    pub fn total(&self) -> ClassWork {
-        let mut total = ClassWork::default();
+    pub fn total(&self) -> ClassWorkload {
+        let mut total = ClassWorkload::default();
         for class in self.classes.values() {
             total.asked_per_s += class.asked_per_s;
             total.begun_per_s += class.begun_per_s;
@@ -91,7 +91,7 @@
 
     /// Engines kept busy by one class or by all: those that generate by their slots, those that prefill by their
     /// tokens.
-    fn engines_busy(&self, work: &ClassWork) -> f64 {
+    fn engines_busy(&self, work: &ClassWorkload) -> f64 {
         let in_slots = (work.busy_slots / self.slots).min(1.0) * self.engines;
         let in_prefill = (work.prefill_tokens_per_s * self.prefill_token_s).min(self.engines);
         in_slots + in_prefill
@@ -107,21 +107,21 @@
         is_time
             && self.engines >= 1.0
             && self.slots >= 1.0
-            && self.classes.values().all(ClassWork::is_sound)
+            && self.classes.values().all(ClassWorkload::is_sound)
     }
 }
 
 /// What one request of each class takes, in seconds of an engine, learnt while all are served.
 #[derive(Clone, Debug, Default)]
-pub struct RequestWork {
+pub struct RequestCost {
     learnt_s: BTreeMap<u8, f64>,
     sampled_at: Option<MonotonicTime>,
 }
 
-impl RequestWork {
+impl RequestCost {
     /// Engines that the work would keep busy all the time if all of it were served. `None` where no engine is known
     /// or a figure is no number.
-    pub fn engines_needed(&mut self, now: MonotonicTime, work: &PoolWork) -> Option<f64> {
+    pub fn engines_needed(&mut self, now: MonotonicTime, work: &PoolWorkload) -> Option<f64> {
         if !work.is_sound() {
             return None;
         }
@@ -143,7 +143,7 @@
         Some(asked.sum::<f64>().max(busy).min(work.engines * MOST_GROWTH))
     }
 
-    fn learn(&mut self, now: MonotonicTime, work: &PoolWork) {
+    fn learn(&mut self, now: MonotonicTime, work: &PoolWorkload) {
         let passed = now.since(self.sampled_at.unwrap_or(now));
         let passed_s = passed.as_secs_f64().min(LONGEST_STEP_S);
         self.sampled_at = Some(now);
--- a/crates/planner/src/evaluation.rs
+++ b/crates/planner/src/evaluation.rs
@@ -4,10 +4,10 @@
 
 use dalestand_types::Role;
 
+use crate::change_duration::OutageEstimate;
 use crate::composition::{Composition, Workload};
 use crate::config::PlannerConfig;
 use crate::demand::{Demand, DemandEstimate};
-use crate::outage::OutageEstimate;
 use crate::speeds::EngineSpeeds;
 
 /// Fewest engines that are split into prefill and decode: fewer could not change without a gap.
--- a/crates/planner/src/changes_under_way.rs
+++ b/crates/planner/src/pending_changes.rs
@@ -16,11 +16,11 @@
 
 /// Changes by engine.
 #[derive(Clone, Debug)]
-pub struct ChangesUnderWay<E> {
+pub struct PendingChanges<E> {
     changes: HashMap<E, (StageChange, MonotonicTime)>,
 }
 
-impl<E> Default for ChangesUnderWay<E> {
+impl<E> Default for PendingChanges<E> {
     fn default() -> Self {
         Self {
             changes: HashMap::new(),
@@ -28,25 +28,25 @@
     }
 }
 
-impl<E: Copy + Eq + Hash> ChangesUnderWay<E> {
+impl<E: Copy + Eq + Hash> PendingChanges<E> {
     /// Notes an order.
-    pub fn ordered(&mut self, now: MonotonicTime, engine: E, change: StageChange) {
+    pub fn record_order(&mut self, now: MonotonicTime, engine: E, change: StageChange) {
         self.changes.insert(engine, (change, now + SHOWN_WITHIN));
     }
 
     /// Notes that the engine did not take the order.
-    pub fn refused(&mut self, engine: E) {
+    pub fn remove(&mut self, engine: E) {
         self.changes.remove(&engine);
     }
 
     /// The change that the engine makes at `now`, if any.
-    pub fn of(&self, now: MonotonicTime, engine: E) -> Option<StageChange> {
+    pub fn get(&self, now: MonotonicTime, engine: E) -> Option<StageChange> {
         let (change, until) = self.changes.get(&engine)?;
         (now < *until).then_some(*change)
     }
 
     /// Forgets what is over.
-    pub fn sweep(&mut self, now: MonotonicTime) {
+    pub fn remove_expired(&mut self, now: MonotonicTime) {
         self.changes.retain(|_, (_, until)| now < *until);
     }
 
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -18,7 +18,7 @@
     /// No other composition is worth its cost.
     Keep,
     /// As many engines are out of service for a change as may be.
-    ChangesUnderWay { engines: usize },
+    ChangesInProgress { engines: usize },
     /// Changing an engine would leave a phase without any engine.
     WouldLeavePhaseEmpty,
     /// A group with an engine that has less to drain goes first.
@@ -33,7 +33,7 @@
         match self {
             Self::NoReports => formatter.write_str("no engine has reported yet"),
             Self::Keep => formatter.write_str("no other composition is worth its cost"),
-            Self::ChangesUnderWay { engines } => {
+            Self::ChangesInProgress { engines } => {
                 write!(
                     formatter,
                     "{engines} engines are changing their role already"
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -5,15 +5,15 @@
 
 use dalestand_types::{EngineId, GroupDigest, GroupId, MonotonicTime, Role};
 
+use crate::change_duration::OutageEstimate;
 use crate::composition::{Composition, Workload};
 use crate::config::PlannerConfig;
 use crate::demand::{Demand, DemandEstimate};
 use crate::engine_state::EngineState;
 use crate::evaluation::Evaluation;
-use crate::outage::OutageEstimate;
+use crate::mix_duration::{Lean, StayEstimate};
 use crate::plan::{PlanInputs, PlanReason, RolePlan};
 use crate::speeds::SpeedEstimate;
-use crate::stay::{Lean, StayEstimate};
 
 /// Ratio between the present and the usual mix from which the mix counts as leaning.
 const LEAN_RATIO: f64 = 1.15;
@@ -149,7 +149,7 @@
         }
         let changing = self.changing(now);
         if changing >= self.config.max_changes_at_once.max(1) {
-            return PlanReason::ChangesUnderWay { engines: changing };
+            return PlanReason::ChangesInProgress { engines: changing };
         }
         let evaluation = Evaluation {
             config: &self.config,
--- a/crates/planner/src/stage_balance.rs
+++ b/crates/planner/src/stage_balance.rs
@@ -27,7 +27,7 @@
 
 /// Mean time until what is queued at the engines of a stage is read, in seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct StageQueues {
+pub struct StageQueueTimes {
     /// At prefill engines.
     pub prefill_s: f64,
     /// At decode engines.
@@ -36,7 +36,7 @@
 
 /// Share of what the engines of a stage could do that they are asked for, 0 to 1 and above.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StageUse {
+pub struct StageUtilization {
     /// Of prefill engines: the engines that the demand keeps reading, over all.
     pub prefill: f64,
     /// Of decode engines: the same, or the requests there over all slots if that is more.
@@ -63,7 +63,7 @@
 
 /// A change, and of how many engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StageShift {
+pub struct StageRebalance {
     /// What changes.
     pub change: StageChange,
     /// Engines that are to make it now.
@@ -72,7 +72,7 @@
 
 /// When changes are made.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StageBalanceConfig {
+pub struct StageBalancerConfig {
     /// A stage whose queue takes longer gives no engine away, in seconds.
     pub short_queue_s: f64,
     /// The lean must be this many engines.
@@ -93,7 +93,7 @@
     pub pause_to_reverse: Duration,
 }
 
-impl Default for StageBalanceConfig {
+impl Default for StageBalancerConfig {
     fn default() -> Self {
         Self {
             short_queue_s: 0.1,
@@ -109,15 +109,15 @@
 
 /// Decides for one pool.
 #[derive(Clone, Debug)]
-pub struct StageBalance {
-    config: StageBalanceConfig,
+pub struct StageBalancer {
+    config: StageBalancerConfig,
     leaning: Option<(StageChange, MonotonicTime)>,
     changed: Option<(StageChange, MonotonicTime)>,
 }
 
-impl StageBalance {
+impl StageBalancer {
     /// A balance that has changed nothing.
-    pub fn new(config: StageBalanceConfig) -> Self {
+    pub fn new(config: StageBalancerConfig) -> Self {
         Self {
             config,
             leaning: None,
@@ -131,9 +131,9 @@
         now: MonotonicTime,
         demand: &StageDemand,
         counts: StageCounts,
-        queues: StageQueues,
-        in_use: StageUse,
-    ) -> Option<StageShift> {
+        queues: StageQueueTimes,
+        in_use: StageUtilization,
+    ) -> Option<StageRebalance> {
         let wanted = self.wanted(demand, counts, queues);
         let wanted = wanted.filter(|shift| !self.is_idle(shift.change, in_use));
         let Some(shift) = wanted else {
@@ -152,7 +152,7 @@
     }
 
     /// Whether the stage that would gain an engine is hardly used.
-    fn is_idle(&self, change: StageChange, in_use: StageUse) -> bool {
+    fn is_idle(&self, change: StageChange, in_use: StageUtilization) -> bool {
         let gaining = match change {
             StageChange::ToPrefill => in_use.prefill,
             StageChange::ToDecode => in_use.decode,
@@ -166,8 +166,8 @@
         &self,
         demand: &StageDemand,
         counts: StageCounts,
-        queues: StageQueues,
-    ) -> Option<StageShift> {
+        queues: StageQueueTimes,
+    ) -> Option<StageRebalance> {
         let lean = wanted_prefill(demand, counts)? - counts.prefill as f64;
         let may_give =
             |engines: usize, queue_s: f64| engines > 1 && queue_s <= self.config.short_queue_s;
@@ -183,14 +183,14 @@
             StageChange::ToDecode => counts.prefill,
         };
         let step = (lean.abs() * self.config.step_share) as usize;
-        Some(StageShift {
+        Some(StageRebalance {
             change,
             engines: step.clamp(1, given - 1),
         })
     }
 
     /// Notes that a change was ordered.
-    pub fn ordered(&mut self, now: MonotonicTime, change: StageChange) {
+    pub fn record_order(&mut self, now: MonotonicTime, change: StageChange) {
         self.changed = Some((change, now));
     }
 
--- a/crates/planner/tests/engine_scaling.rs
+++ b/crates/planner/tests/engine_scaling.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use dalestand_planner::{ScalingBounds, ScalingPolicy, ZoneEngines, engine_targets};
+use dalestand_planner::{ScalingBounds, ScalingPolicy, ZoneEngines, fixed_targets};
 use dalestand_types::ZoneName;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -48,14 +48,14 @@
     engines: &mut BTreeMap<ZoneName, ZoneEngines>,
     available: impl Fn(&ZoneName) -> bool,
 ) {
-    let Some(targets) = engine_targets(own, engines, BOUNDS, POLICY) else {
+    let Some(targets) = fixed_targets(own, engines, BOUNDS, POLICY) else {
         return;
     };
     for (zone, target) in targets {
-        let standing = engines.entry(zone.clone()).or_default();
-        standing.on_demand = target.on_demand;
-        if available(&zone) || target.spot < standing.spot {
-            standing.spot = target.spot;
+        let serving = engines.entry(zone.clone()).or_default();
+        serving.on_demand = target.on_demand;
+        if available(&zone) || target.spot < serving.spot {
+            serving.spot = target.spot;
         }
     }
 }
@@ -64,7 +64,7 @@
 fn spot_engines_take_over_and_only_then_the_others_go() {
     let own = own(&[18, 18, 18, 17]);
     let mut engines = present(&[(18, 0), (18, 0), (18, 0), (17, 0)]);
-    let first = engine_targets(&own, &engines, BOUNDS, POLICY).expect("targets");
+    let first = fixed_targets(&own, &engines, BOUNDS, POLICY).expect("targets");
     assert_eq!(
         first[&zone(0)],
         ZoneEngines {
@@ -108,7 +108,7 @@
 ) {
     let own = own(&[18, 18]);
     let engines = present(&[(18, 0), (18, 0)]);
-    assert_eq!(engine_targets(&own, &engines, bounds, policy), None);
+    assert_eq!(fixed_targets(&own, &engines, bounds, policy), None);
 }
 
 proptest! {
@@ -121,27 +121,27 @@
     ) {
         let own: Vec<u32> = counts.iter().map(|(own, _, _)| (*own).min(36)).collect();
         let own = self::own(&own);
-        let standing: Vec<(u32, u32)> = counts
+        let serving: Vec<(u32, u32)> = counts
             .iter()
             .map(|(_, on_demand, spot)| ((*on_demand).min(36), (*spot).min(36)))
             .collect();
-        let standing = present(&standing);
+        let serving = present(&serving);
         let bounds = ScalingBounds { min, ..BOUNDS };
         let policy = ScalingPolicy { headroom, on_demand_share: share, ..POLICY };
-        let Some(targets) = engine_targets(&own, &standing, bounds, policy) else {
+        let Some(targets) = fixed_targets(&own, &serving, bounds, policy) else {
             return Ok(());
         };
-        let spot: u32 = standing.values().map(|zone| zone.spot).sum();
+        let spot: u32 = serving.values().map(|zone| zone.spot).sum();
         let on_demand: u32 = targets.values().map(|zone| zone.on_demand).sum();
         prop_assert!(on_demand + spot >= own.values().sum::<u32>());
         for (zone, target) in &targets {
             prop_assert!(target.on_demand + target.spot <= bounds.max);
-            let stands = standing[zone].on_demand;
+            let stands = serving[zone].on_demand;
             prop_assert!(stands + target.spot <= bounds.max || target.spot == 0);
             prop_assert!(target.on_demand <= own[zone]);
             // Spot engines that stand are not given up for others.
             let wanted = (f64::from(own[zone]) * headroom).ceil() as u32;
-            let stand = standing[zone];
+            let stand = serving[zone];
             if stand.on_demand + stand.spot <= bounds.max {
                 prop_assert!(target.spot >= stand.spot.min(wanted), "{target:?} of {stand:?}");
             }
--- a/crates/planner/tests/engines_by_demand.rs
+++ b/crates/planner/tests/engines_by_demand.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 
 use dalestand_planner::{
-    ClassWork, DemandScaling, LossRecord, PoolWork, RequestWork, ScalingAccount, ScalingBounds,
-    ScalingMoment, ScalingPolicy, ScalingRule, SpotLosses, ZoneEngines, ZonePrices, ZoneSpot,
-    engine_targets,
+    Autoscaler, ClassWorkload, LossRecord, PoolWorkload, RequestCost, ScalingBounds,
+    ScalingDecision, ScalingInputs, ScalingPolicy, ScalingRule, SpotLossTracker, ZoneEngines,
+    ZonePrices, ZoneSpotEngines, fixed_targets,
 };
 use dalestand_types::{MonotonicTime, ZoneName};
 use proptest::prelude::*;
@@ -33,9 +33,9 @@
 
 /// A fleet that does as it is told, but for zones without spot engines.
 struct Fleet {
-    scaling: DemandScaling,
-    standing: BTreeMap<ZoneName, ZoneEngines>,
-    without_spot: BTreeSet<ZoneName>,
+    scaling: Autoscaler,
+    serving: BTreeMap<ZoneName, ZoneEngines>,
+    spot_unavailable: BTreeSet<ZoneName>,
     prices: ZonePrices,
     bounds: ScalingBounds,
     at_ms: u64,
@@ -45,25 +45,25 @@
     fn new() -> Self {
         let engines = |spot| ZoneEngines { on_demand: 0, spot };
         Self {
-            scaling: DemandScaling::default(),
-            standing: (0..3).map(|number| (zone(number), engines(30))).collect(),
-            without_spot: BTreeSet::new(),
+            scaling: Autoscaler::default(),
+            serving: (0..3).map(|number| (zone(number), engines(30))).collect(),
+            spot_unavailable: BTreeSet::new(),
             prices: ZonePrices::new(),
             bounds: BOUNDS,
             at_ms: 0,
         }
     }
 
-    fn decide(&self) -> ScalingAccount {
-        let own = (0..3).map(|number| (zone(number), 15)).collect();
-        let on_demand = self.standing.iter();
+    fn decide(&self) -> ScalingDecision {
+        let baseline = (0..3).map(|number| (zone(number), 15)).collect();
+        let on_demand = self.serving.iter();
         let on_demand = on_demand.map(|(zone, engines)| (zone.clone(), engines.on_demand));
-        self.scaling.decide(&ScalingMoment {
+        self.scaling.decide(&ScalingInputs {
             now: MonotonicTime::from_millis(self.at_ms),
-            own: &own,
-            standing: &self.standing,
-            without_spot: &self.without_spot,
-            on_demand: &on_demand.collect(),
+            baseline: &baseline,
+            serving: &self.serving,
+            spot_unavailable: &self.spot_unavailable,
+            provisioned_on_demand: &on_demand.collect(),
             bounds: self.bounds,
             prices: &self.prices,
             policy: POLICY,
@@ -73,7 +73,7 @@
     }
 
     /// Looks at a need of engines for so long, and follows what is decided.
-    fn run(&mut self, seconds: f64, need: impl Fn(f64) -> f64) -> ScalingAccount {
+    fn run(&mut self, seconds: f64, need: impl Fn(f64) -> f64) -> ScalingDecision {
         let begun_ms = self.at_ms;
         let passed_s = |at_ms: u64| (at_ms - begun_ms) as f64 / 1e3;
         while passed_s(self.at_ms) < seconds {
@@ -83,10 +83,10 @@
             self.scaling.need.observe(now, engines, BOOT);
             let targets = self.decide().targets.expect("targets");
             for (zone, target) in targets {
-                let standing = self.standing.entry(zone.clone()).or_default();
-                standing.on_demand = target.on_demand;
-                if !self.without_spot.contains(&zone) || target.spot < standing.spot {
-                    standing.spot = target.spot;
+                let serving = self.serving.entry(zone.clone()).or_default();
+                serving.on_demand = target.on_demand;
+                if !self.spot_unavailable.contains(&zone) || target.spot < serving.spot {
+                    serving.spot = target.spot;
                 }
             }
         }
@@ -94,7 +94,7 @@
     }
 
     fn total(&self) -> u32 {
-        let zones = self.standing.values();
+        let zones = self.serving.values();
         zones.map(|zone| zone.on_demand + zone.spot).sum()
     }
 }
@@ -104,8 +104,8 @@
     let fleet = Fleet::new();
     let account = fleet.decide();
     assert_eq!(account.rule, ScalingRule::Fixed);
-    let own = (0..3).map(|number| (zone(number), 15)).collect();
-    let fixed = engine_targets(&own, &fleet.standing, BOUNDS, POLICY);
+    let baseline = (0..3).map(|number| (zone(number), 15)).collect();
+    let fixed = fixed_targets(&baseline, &fleet.serving, BOUNDS, POLICY);
     assert_eq!(account.targets, fixed);
 }
 
@@ -118,7 +118,7 @@
     fleet.run(SPOT_KEPT_S - 2.0, |_| 5.0);
     assert_eq!(fleet.total(), at_work, "a wave may return");
     fleet.run(6.0, |_| 5.0);
-    assert!((10..=15).contains(&fleet.total()), "{:?}", fleet.standing);
+    assert!((10..=15).contains(&fleet.total()), "{:?}", fleet.serving);
 }
 
 #[rstest]
@@ -152,7 +152,7 @@
     let mut fleet = Fleet::new();
     fleet.prices = ZonePrices::from([(zone(0), 0.8), (zone(1), 1.2)]);
     fleet.run(60.0, |_| 12.0);
-    let spot: Vec<u32> = fleet.standing.values().map(|zone| zone.spot).collect();
+    let spot: Vec<u32> = fleet.serving.values().map(|zone| zone.spot).collect();
     assert!(spot[0] > spot[2] && spot[2] > spot[1], "{spot:?}");
     assert!(spot[1] + spot[2] >= 15, "{spot:?}");
 }
@@ -170,7 +170,7 @@
 ) {
     let mut fleet = Fleet::new();
     fleet.bounds.max = 20;
-    fleet.scaling.losses = SpotLosses::from_record(LossRecord {
+    fleet.scaling.losses = SpotLossTracker::from_record(LossRecord {
         losses,
         zones_at_once: 3,
         missed_s: 25.0 * f64::from(losses),
@@ -178,7 +178,7 @@
     });
     let account = fleet.run(40.0, |_| 12.0);
     assert_eq!(account.losses.insured, insured, "{account}");
-    let on_demand: u32 = fleet.standing.values().map(|zone| zone.on_demand).sum();
+    let on_demand: u32 = fleet.serving.values().map(|zone| zone.on_demand).sum();
     assert_eq!(on_demand >= 15, insured, "{account}");
 }
 
@@ -186,18 +186,18 @@
 fn on_demand_engines_come_where_no_spot_engines_can_be_had() {
     let mut fleet = Fleet::new();
     fleet.run(20.0, |_| 30.0);
-    fleet.without_spot = (0..3).map(zone).collect();
+    fleet.spot_unavailable = (0..3).map(zone).collect();
     for lost in [0, 1] {
-        fleet.standing.insert(zone(lost), ZoneEngines::default());
+        fleet.serving.insert(zone(lost), ZoneEngines::default());
     }
     fleet.run(1.0, |_| 30.0);
     assert!(
         fleet.total() >= 38,
         "used for 0.8 of the time: {:?}",
-        fleet.standing
+        fleet.serving
     );
     // They stay until spot engines stand for them, however often those are asked for.
-    fleet.without_spot.clear();
+    fleet.spot_unavailable.clear();
     let account = fleet.decide();
     assert!(account.wanted().on_demand >= 18, "{account}");
 }
@@ -208,23 +208,23 @@
     let mut fleet = Fleet::new();
     fleet.run(20.0, |_| 30.0);
     for lost in [0, 1] {
-        fleet.standing.insert(zone(lost), ZoneEngines::default());
+        fleet.serving.insert(zone(lost), ZoneEngines::default());
     }
     let mut ordered = 0;
     for turn in 0..16 {
-        fleet.without_spot = if turn % 4 < 3 {
+        fleet.spot_unavailable = if turn % 4 < 3 {
             (0..3).map(zone).collect()
         } else {
             BTreeSet::new()
         };
-        let before: BTreeMap<ZoneName, ZoneEngines> = fleet.standing.clone();
+        let before: BTreeMap<ZoneName, ZoneEngines> = fleet.serving.clone();
         fleet.run(0.25, |_| 30.0);
         // Spot engines that were asked for do not come.
-        for (zone, engines) in &mut fleet.standing {
+        for (zone, engines) in &mut fleet.serving {
             engines.spot = engines.spot.min(before[zone].spot);
         }
-        let on_demand: u32 = fleet.standing.values().map(|zone| zone.on_demand).sum();
-        assert!(on_demand >= ordered, "{turn}: {:?}", fleet.standing);
+        let on_demand: u32 = fleet.serving.values().map(|zone| zone.on_demand).sum();
+        assert!(on_demand >= ordered, "{turn}: {:?}", fleet.serving);
         ordered = on_demand;
     }
     assert!(
@@ -253,14 +253,14 @@
 #[case::given_back(4, 8, Some(4), false)]
 #[case::entries_lapsed(0, 0, Some(12), false)]
 fn a_loss_is_told_from_other_ends(
-    #[case] standing: u32,
+    #[case] serving: u32,
     #[case] leaving: u32,
     #[case] ordered: Option<u32>,
     #[case] is_loss: bool,
 ) {
-    let mut losses = SpotLosses::default();
-    let spot = ZoneSpot {
-        standing,
+    let mut losses = SpotLossTracker::default();
+    let spot = ZoneSpotEngines {
+        serving,
         leaving,
         ordered,
     };
@@ -277,14 +277,14 @@
     begun_per_s: f64,
     busy_slots: f64,
     prefill_tokens_per_s: f64,
-) -> PoolWork {
-    let class = ClassWork {
+) -> PoolWorkload {
+    let class = ClassWorkload {
         asked_per_s,
         begun_per_s,
         busy_slots,
         prefill_tokens_per_s,
     };
-    PoolWork {
+    PoolWorkload {
         classes: BTreeMap::from([(2, class)]),
         prefill_token_s: 1e-5,
         slots: 120.0,
@@ -299,9 +299,9 @@
 #[case::refused_beside_free_slots(work(200.0, 100.0, 60.0, 0.0), Some(5.0))]
 #[case::nothing(work(0.0, 0.0, 0.0, 0.0), Some(0.0))]
 #[case::no_number(work(0.0, 0.0, f64::NAN, 0.0), None)]
-#[case::no_engines(PoolWork::default(), None)]
-fn work_tells_how_many_engines_it_needs(#[case] work: PoolWork, #[case] needed: Option<f64>) {
-    let mut request = RequestWork::default();
+#[case::no_engines(PoolWorkload::default(), None)]
+fn work_tells_how_many_engines_it_needs(#[case] work: PoolWorkload, #[case] needed: Option<f64>) {
+    let mut request = RequestCost::default();
     assert_eq!(request.engines_needed(MonotonicTime::ZERO, &work), needed);
 }
 
@@ -309,7 +309,7 @@
 /// requests took before.
 #[rstest]
 fn a_burst_needs_what_its_requests_took_in_calm() {
-    let mut request = RequestWork::default();
+    let mut request = RequestCost::default();
     let now = MonotonicTime::ZERO;
     let calm = request.engines_needed(now, &work(100.0, 100.0, 24.0, 1e5));
     assert_eq!(calm, Some(3.0));
@@ -326,7 +326,7 @@
     #[test]
     fn bounds_hold_for_any_figures(
         needs in proptest::collection::vec(prop_oneof![0.0..80.0_f64, Just(1e9), Just(f64::NAN), Just(-1.0)], 1..60),
-        standing in proptest::collection::vec((0_u32..31, 0_u32..31), 3),
+        serving in proptest::collection::vec((0_u32..31, 0_u32..31), 3),
         refused in proptest::collection::btree_set(0_usize..3, 0..3),
         price in prop_oneof![Just(0.0), Just(f64::NAN), Just(-2.0), 0.1..3.0_f64],
         spot_price in prop_oneof![Just(None), Just(Some(0.0)), Just(Some(f64::NAN)), (0.05..2.0_f64).prop_map(Some)],
@@ -335,9 +335,9 @@
         let mut fleet = Fleet::new();
         fleet.bounds = ScalingBounds { min: 1, max, spot_price };
         fleet.prices = ZonePrices::from([(zone(0), price)]);
-        fleet.without_spot = refused.into_iter().map(zone).collect();
+        fleet.spot_unavailable = refused.into_iter().map(zone).collect();
         let engines = |(on_demand, spot): (u32, u32)| ZoneEngines { on_demand, spot };
-        fleet.standing = standing.into_iter().enumerate().map(|(number, one)| (zone(number), engines(one))).collect();
+        fleet.serving = serving.into_iter().enumerate().map(|(number, one)| (zone(number), engines(one))).collect();
         for need in needs {
             fleet.at_ms += LOOK_MS;
             let now = MonotonicTime::from_millis(fleet.at_ms);
--- a/crates/planner/tests/stage_balance.rs
+++ b/crates/planner/tests/stage_balance.rs
@@ -3,14 +3,14 @@
 use std::time::Duration;
 
 use dalestand_planner::{
-    ChangesUnderWay, StageBalance, StageBalanceConfig, StageChange, StageCounts, StageDemand,
-    StageQueues, StageShift, StageUse,
+    PendingChanges, StageBalancer, StageBalancerConfig, StageChange, StageCounts, StageDemand,
+    StageQueueTimes, StageRebalance, StageUtilization,
 };
 use dalestand_types::MonotonicTime;
 use proptest::prelude::*;
 use rstest::rstest;
 
-const BUSY: StageUse = StageUse {
+const BUSY: StageUtilization = StageUtilization {
     prefill: 0.5,
     decode: 0.5,
 };
@@ -32,26 +32,26 @@
     counts: StageCounts,
     steps: usize,
 ) -> Vec<(MonotonicTime, StageChange)> {
-    play_queued(demand, |_| StageQueues::default(), counts, steps)
+    play_queued(demand, |_| StageQueueTimes::default(), counts, steps)
 }
 
 /// The same with queues.
 fn play_queued(
     demand: impl Fn(MonotonicTime) -> StageDemand,
-    queues: impl Fn(MonotonicTime) -> StageQueues,
+    queues: impl Fn(MonotonicTime) -> StageQueueTimes,
     mut counts: StageCounts,
     steps: usize,
 ) -> Vec<(MonotonicTime, StageChange)> {
-    let mut balance = StageBalance::new(StageBalanceConfig::default());
+    let mut balance = StageBalancer::new(StageBalancerConfig::default());
     let mut now = MonotonicTime::ZERO;
     let mut changes = Vec::new();
     for _ in 0..steps {
         now = now + STEP;
         let shift = balance.decide(now, &demand(now), counts, queues(now), BUSY);
-        let Some(StageShift { change, engines }) = shift else {
+        let Some(StageRebalance { change, engines }) = shift else {
             continue;
         };
-        balance.ordered(now, change);
+        balance.record_order(now, change);
         changes.push((now, change));
         match change {
             StageChange::ToPrefill => {
@@ -98,7 +98,7 @@
 /// engine that read was taken away as a burst of long prompts began.
 #[rstest]
 fn a_stage_with_a_queue_gives_no_engine_away() {
-    let queues = |_| StageQueues {
+    let queues = |_| StageQueueTimes {
         prefill_s: 0.2,
         decode_s: 0.02,
     };
@@ -108,16 +108,16 @@
 #[rstest]
 fn an_ordered_change_counts_until_the_list_shows_it_or_it_is_lost() {
     let now = MonotonicTime::from_millis(1_000);
-    let mut changes = ChangesUnderWay::default();
-    changes.ordered(now, 1, StageChange::ToPrefill);
-    changes.ordered(now, 2, StageChange::ToDecode);
-    changes.refused(2);
-    assert_eq!(changes.of(now, 1), Some(StageChange::ToPrefill));
-    assert_eq!(changes.of(now, 2), None);
+    let mut changes = PendingChanges::default();
+    changes.record_order(now, 1, StageChange::ToPrefill);
+    changes.record_order(now, 2, StageChange::ToDecode);
+    changes.remove(2);
+    assert_eq!(changes.get(now, 1), Some(StageChange::ToPrefill));
+    assert_eq!(changes.get(now, 2), None);
     let later = now + Duration::from_secs(5);
-    assert_eq!(changes.of(later, 1), None);
-    changes.sweep(later);
-    assert_eq!(changes.of(now, 1), None);
+    assert_eq!(changes.get(later, 1), None);
+    changes.remove_expired(later);
+    assert_eq!(changes.get(now, 1), None);
 }
 
 #[rstest]
@@ -129,7 +129,7 @@
 /// of them would take 24 minutes.
 #[rstest]
 fn a_large_fleet_follows_a_shift_in_seconds() {
-    let mut balance = StageBalance::new(StageBalanceConfig::default());
+    let mut balance = StageBalancer::new(StageBalancerConfig::default());
     let mut counts = StageCounts {
         prefill: 3_824,
         decode: 5_736,
@@ -142,10 +142,10 @@
     let mut now = MonotonicTime::ZERO;
     for _ in 0..80 {
         now = now + STEP;
-        let shift = balance.decide(now, &demand, counts, StageQueues::default(), BUSY);
-        if let Some(StageShift { change, engines }) = shift {
+        let shift = balance.decide(now, &demand, counts, StageQueueTimes::default(), BUSY);
+        if let Some(StageRebalance { change, engines }) = shift {
             assert_eq!(change, StageChange::ToPrefill);
-            balance.ordered(now, change);
+            balance.record_order(now, change);
             counts.prefill += engines;
             counts.decode -= engines;
             orders += engines;
@@ -160,12 +160,12 @@
 /// buys nothing.
 #[rstest]
 fn a_fleet_that_is_hardly_used_changes_nothing() {
-    let mut balance = StageBalance::new(StageBalanceConfig::default());
+    let mut balance = StageBalancer::new(StageBalancerConfig::default());
     let counts = StageCounts {
         prefill: 3_824,
         decode: 5_736,
     };
-    let idle = StageUse {
+    let idle = StageUtilization {
         prefill: 0.03,
         decode: 0.005,
     };
@@ -173,7 +173,7 @@
     for demand in [PROMPTS, TAGS] {
         for _ in 0..20 {
             now = now + STEP;
-            let shift = balance.decide(now, &demand, counts, StageQueues::default(), idle);
+            let shift = balance.decide(now, &demand, counts, StageQueueTimes::default(), idle);
             assert_eq!(shift, None);
         }
     }
@@ -194,7 +194,7 @@
             StageDemand { disaggregated_tokens_per_s: disaggregated, colocated_tokens_per_s: colocated }
         };
         let changes = play(demand, counts, 300);
-        let config = StageBalanceConfig::default();
+        let config = StageBalancerConfig::default();
         let mut left = counts;
         for (place, (at, change)) in changes.iter().enumerate() {
             match change {
