--- a/crates/dissemination/tests/golden.rs
+++ b/crates/dissemination/tests/golden.rs
@@ -17,7 +17,7 @@
     SumScope, SummedRows, SumsMessage, Table, TenantRow, TenantRows, UsageReport,
 };
 use dalestand_duties::NodeLife;
-use dalestand_quarantine::{CrashRecord, EngineRun, RequestFingerprint};
+use dalestand_quarantine::{CrashRecord, EngineRunId, RequestFingerprint};
 use dalestand_routing::{
     ClassFigures, SlownessFigures, TenantCode, TenantFigures, WorkKind, WorkRate,
 };
@@ -62,7 +62,7 @@
     let text = "7a9b01ef7431becd0ba7cc9e0b36dd51";
     CrashRecord {
         fingerprint: RequestFingerprint::parse(text).expect("a fingerprint"),
-        engine: EngineRun(9),
+        engine: EngineRunId(9),
         age_ms: 1_500,
         is_cleared: false,
     }
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -27,13 +27,13 @@
 use crate::node::counts::InFlight;
 use crate::node::metrics::ForwardingMetrics;
 use crate::node::settings::ForwardingSettings;
-use crate::permits::desk::PermitDesk;
-use crate::quarantine::state::Quarantine;
+use crate::permits::state::PermitState;
+use crate::quarantine::state::QuarantineState;
 use crate::roles::authority::Authority;
 use crate::roles::demand::DemandMeter;
 use crate::serve::class_counts::ClassCounts;
 use crate::serve::held_bytes::HeldBytes;
-use crate::serve::rooms::Rooms;
+use crate::serve::pool_admissions::PoolAdmissions;
 use crate::serve::tenant_shares::TenantShares;
 use crate::spread::Spread;
 
@@ -73,7 +73,7 @@
     /// Parts sent to engines that other nodes have not heard of.
     pub(crate) placements: RefCell<Placements>,
     /// Leave to send requests to engines that take only so many.
-    pub(crate) permits: PermitDesk,
+    pub(crate) permits: PermitState,
     /// Whether this node acts for all.
     pub(crate) authority: Authority,
     /// Requests by tenant.
@@ -87,13 +87,13 @@
     /// Requests of this node by tenant, and the shares of tenants.
     pub(crate) tenant_shares: Rc<TenantShares>,
     /// Who waits for a place in a pool that is short.
-    pub(crate) rooms: Rooms,
+    pub(crate) admissions: PoolAdmissions,
     /// Figures that add up over all nodes.
     pub(crate) sums: FleetSums,
     /// What was weighed when engines were last ordered, by pool; empty unless this node orders them.
     pub(crate) scaling_accounts: RefCell<BTreeMap<PoolName, ScalingAccount>>,
     /// Requests that end engines.
-    pub(crate) quarantine: Quarantine,
+    pub(crate) quarantine: QuarantineState,
     pub(crate) metrics: ForwardingMetrics,
     /// The era of the key-value service; changes when it was restored.
     pub(crate) store_era: watch::Sender<u64>,
@@ -132,7 +132,7 @@
             splits: RefCell::default(),
             work_changed: Notify::new(),
             spread: Spread::new(&settings),
-            permits: PermitDesk::default(),
+            permits: PermitState::default(),
             authority: Authority::default(),
             usage: UsageCounts::new(NodeNumber::of(settings.node.as_str()), settings.usage()),
             placements: RefCell::default(),
@@ -140,10 +140,10 @@
             role_changes: RefCell::default(),
             classes: Rc::default(),
             tenant_shares: Rc::default(),
-            rooms: Rooms::default(),
+            admissions: PoolAdmissions::default(),
             sums: FleetSums::default(),
             scaling_accounts: RefCell::default(),
-            quarantine: Quarantine::default(),
+            quarantine: QuarantineState::default(),
             store_era: watch::Sender::new(0),
             started: BootInstant::now(),
             table: RefCell::default(),
@@ -326,7 +326,7 @@
     /// since, whatever their time.
     pub(crate) fn era_has_risen(&self, era: u64) {
         self.authority.drop_mandate();
-        self.quarantine.keep_again();
+        self.quarantine.rewrite_stored();
         self.store_era.send_replace(era);
     }
 
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -17,7 +17,7 @@
 use crate::fleet::follow::Follower;
 use crate::fleet::restored_entries::RESTORED_ENTRIES_LAPSE;
 use crate::fleet::signals::take_start;
-use crate::quarantine::engine_end::{EndProof, engine_ended};
+use crate::quarantine::engine_end::{EndProof, record_engine_end};
 use crate::spread::notice_queue::NoticeSource;
 use crate::spread::recent_changes::ChangeSource;
 
@@ -87,7 +87,7 @@
             }
             if let Some(entry) = context.entry(&record.key).filter(|entry| entry.accepting) {
                 let engine = EngineKey::of(&entry.run);
-                engine_ended(context, engine, &entry.run, EndProof::EntryGone);
+                record_engine_end(context, engine, &entry.run, EndProof::EntryGone);
             }
             changes.push((record.key, None));
             continue;
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -15,7 +15,7 @@
 
 use crate::context::Context;
 use crate::fleet::placements::placement;
-use crate::serve::engine_call::call;
+use crate::serve::engine_call::call_engine;
 
 /// How often the start looks whether engines and peers are known.
 const LOOK_INTERVAL: Duration = Duration::from_millis(10);
@@ -92,7 +92,7 @@
 
 async fn recover(context: Rc<Context>, pool: PoolName, engine: StagedEngine) {
     let head = context.dialect.kept_parts_request();
-    let answered = call(&context, &pool, &engine, head, Bytes::new()).await;
+    let answered = call_engine(&context, &pool, &engine, head, Bytes::new()).await;
     let Some((status, body)) = answered else {
         log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run);
         return;
--- a/crates/forwarding/src/fleet/registration.rs
+++ b/crates/forwarding/src/fleet/registration.rs
@@ -17,7 +17,7 @@
 use crate::fleet::follow::Follower;
 use crate::node::settings::ForwardingSettings;
 use crate::quarantine::fleet_key::QUARANTINE_PREFIX;
-use crate::quarantine::stored_stops::take_stored;
+use crate::quarantine::stopped_entries::apply_stored;
 use crate::roles::authority::Authority;
 use crate::roles::hold::HOLDER_KEY;
 
@@ -93,7 +93,7 @@
             let holder = value.map(|name| (name.to_owned(), revision));
             self.holder.replace(holder);
         } else if key.starts_with(QUARANTINE_PREFIX) {
-            let crashes = take_stored(&self.context, key, value);
+            let crashes = apply_stored(&self.context, key, value);
             // Members do not read the key-value service.
             let origin = self.context.spread.node;
             let news = News {
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -9,7 +9,7 @@
 use dalestand_types::{EngineSignals, LimitSignal, MonotonicTime, RequestRate};
 
 use crate::context::Context;
-use crate::quarantine::engine_end::{EndProof, engine_ended};
+use crate::quarantine::engine_end::{EndProof, record_engine_end};
 use crate::spread::notice_queue::{EngineNotice, NoticeSource};
 
 /// Takes in what an answer says of its engine. `request_sent_at` is when the request went out that it takes up,
@@ -154,7 +154,7 @@
     let run = name(context, engine);
     if known != 0 {
         let name = run.as_deref().unwrap_or_default();
-        engine_ended(context, engine, name, EndProof::StartedAgain);
+        record_engine_end(context, engine, name, EndProof::StartedAgain);
     }
     context.router.borrow_mut().signals.note_start(engine, born);
     if known == 0 {
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -54,7 +54,7 @@
         self.set_repeats_left(context);
         self.scaling.set(&context.scaling_accounts.borrow());
         self.set_tenants_over_share(context);
-        self.room.set(context.rooms.standing());
+        self.room.set(context.admissions.summaries());
         self.sums.set(context, now);
         let mut buffer = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buffer)?;
@@ -75,7 +75,7 @@
 
     fn set_tenants_over_share(&self, context: &Context) {
         self.tenants_over_share.reset();
-        for (pool, tenants) in context.tenant_shares.tenants_cut(context.now()) {
+        for (pool, tenants) in context.tenant_shares.tenants_over_share(context.now()) {
             let gauge = self.tenants_over_share.with_label_values(&[pool.as_str()]);
             gauge.set(tenants as i64);
         }
@@ -88,7 +88,7 @@
         draining: context.fleet().draining().len(),
         backing_off: router.signals.backing_off(context.now()),
         limited: router.signals.limits().iter().count(),
-        issued_for: context.permits.issued_for(),
+        issued_for: context.permits.issuing_engine_count(),
     }
 }
 
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -35,8 +35,8 @@
 use crate::node::reload::reload;
 use crate::node::settings::ForwardingSettings;
 use crate::node::stop::stop;
-use crate::quarantine::fleet_key::learn_key;
-use crate::quarantine::stored_stops::keep_stops;
+use crate::quarantine::fleet_key::load_fingerprint_key;
+use crate::quarantine::stopped_entries::persist_stopped_requests;
 use crate::roles::authority::Authority;
 use crate::roles::hold::hold;
 use crate::roles::role_control::control_roles;
@@ -245,8 +245,11 @@
     actix_rt::spawn(send_state(Rc::clone(context), socket));
     actix_rt::spawn(recover_parts(Rc::clone(context)));
     actix_rt::spawn(find_relays(Rc::clone(context), Rc::clone(store)));
-    actix_rt::spawn(keep_stops(Rc::clone(context), Rc::clone(store)));
-    actix_rt::spawn(learn_key(Rc::clone(context), Rc::clone(store)));
+    actix_rt::spawn(persist_stopped_requests(
+        Rc::clone(context),
+        Rc::clone(store),
+    ));
+    actix_rt::spawn(load_fingerprint_key(Rc::clone(context), Rc::clone(store)));
     actix_rt::spawn(keep_registered(Rc::clone(context), Rc::clone(store)));
 }
 
--- a/crates/forwarding/src/permits/issuing.rs
+++ b/crates/forwarding/src/permits/grants.rs
@@ -19,7 +19,7 @@
 const NOT_ISSUER_PAUSE: Duration = Duration::from_millis(200);
 
 /// Answers a node.
-pub(crate) fn answer(
+pub(crate) fn respond(
     context: &Context,
     socket: &UdpSocket,
     asker: SocketAddr,
--- a/crates/forwarding/src/permits/passage.rs
+++ b/crates/forwarding/src/permits/passage.rs
@@ -5,7 +5,7 @@
 use dalestand_types::MonotonicTime;
 
 use crate::context::Context;
-use crate::permits::asking;
+use crate::permits::requester;
 
 /// Leave to send one call. Dropped before it was used, its permit is given back.
 pub(crate) struct Passage<'a> {
@@ -22,7 +22,7 @@
         engine: EngineKey,
     ) -> Result<Self, ClosedFor> {
         let permit = if has_limit(context, engine) {
-            Some(asking::permit(context, engine).await?)
+            Some(requester::permit(context, engine).await?)
         } else {
             None
         };
@@ -32,7 +32,7 @@
     /// Leave for a call of the node's own: it goes out whatever the limit, and is counted.
     pub(crate) fn for_own_call(context: &'a Context, engine: EngineKey) -> Self {
         if has_limit(context, engine) {
-            asking::tell_of_call(context, engine);
+            requester::tell_of_call(context, engine);
         }
         Self {
             context,
--- a/crates/forwarding/src/permits/asking.rs
+++ b/crates/forwarding/src/permits/requester.rs
@@ -10,9 +10,9 @@
 
 use crate::context::Context;
 use crate::fleet::signals::known_limit;
-use crate::permits::desk::Asked;
+use crate::permits::grants;
 use crate::permits::issuer::{IssuerPlace, issuer_of};
-use crate::permits::issuing;
+use crate::permits::state::Asked;
 use crate::spread::transmit::send;
 
 /// For how long a request waits for leave: a node whose share of a core is a quota answers after a tenth of a
@@ -50,7 +50,7 @@
 /// Tells the issuer of a call that needs no leave. Where that is lost, one call more goes to the engine.
 pub(super) fn tell_of_call(context: &Context, engine: EngineKey) {
     match issuer_of(context, engine) {
-        IssuerPlace::Here => issuing::debit(context, engine),
+        IssuerPlace::Here => grants::debit(context, engine),
         IssuerPlace::At(relay) => {
             send_request(context, engine, &relay, PermitNeed::Counted);
         }
@@ -59,7 +59,7 @@
 }
 
 /// Takes an answer in. One that comes late counts for what is left of its permits' time.
-pub(crate) fn take(context: &Context, answer: PermitAnswer) {
+pub(crate) fn handle_answer(context: &Context, answer: PermitAnswer) {
     let asked = context.permits.asked.borrow_mut().remove(&answer.number);
     let Some(asked) = asked.filter(|asked| asked.engine.0 == answer.engine) else {
         return;
@@ -79,7 +79,7 @@
 }
 
 fn issue_here(context: &Context, engine: EngineKey) {
-    let grant = issuing::issue(context, engine);
+    let grant = grants::issue(context, engine);
     credit(
         context,
         engine,
--- a/crates/forwarding/src/permits/desk.rs
+++ b/crates/forwarding/src/permits/state.rs
@@ -34,7 +34,7 @@
 }
 
 /// What a node asks for and issues.
-pub(crate) struct PermitDesk {
+pub(crate) struct PermitState {
     pub(super) issuer: RefCell<PermitIssuer>,
     pub(super) asked: RefCell<HashMap<u64, Asked>>,
     pub(super) last_number: Cell<u64>,
@@ -43,7 +43,7 @@
     pub(crate) socket: OnceCell<Rc<UdpSocket>>,
 }
 
-impl Default for PermitDesk {
+impl Default for PermitState {
     fn default() -> Self {
         Self {
             issuer: RefCell::default(),
@@ -56,9 +56,9 @@
     }
 }
 
-impl PermitDesk {
+impl PermitState {
     /// Engines for which permits were asked for here lately.
-    pub(crate) fn issued_for(&self) -> usize {
+    pub(crate) fn issuing_engine_count(&self) -> usize {
         self.issuer.borrow().len()
     }
 
--- a/crates/forwarding/src/quarantine/engine_end.rs
+++ b/crates/forwarding/src/quarantine/engine_end.rs
@@ -45,19 +45,19 @@
     let max_connections = context.max_connections(pool);
     let opened = context.link.open(&known.target(), max_connections).await;
     if matches!(opened, Err(SendError::NoListener(_))) {
-        engine_ended(context, engine, &known.run, EndProof::NoListener);
+        record_engine_end(context, engine, &known.run, EndProof::NoListener);
     }
 }
 
 /// Notes that an engine's run has ended.
-pub(crate) fn engine_ended(context: &Context, engine: EngineKey, name: &str, proof: EndProof) {
+pub(crate) fn record_engine_end(context: &Context, engine: EngineKey, name: &str, proof: EndProof) {
     let run = engine_run(context, engine);
     let requests = {
         let mut runs = context.quarantine.unfinished.borrow_mut();
         if runs.has_ended(run) {
             return;
         }
-        runs.engine_ended(context.now(), run)
+        runs.record_engine_end(context.now(), run)
     };
     log_event!(context.logger, Event::EngineEnded, "engine" => name, "proof" => ?proof,
         "requests" => requests.len());
--- a/crates/forwarding/src/quarantine/evidence.rs
+++ b/crates/forwarding/src/quarantine/evidence.rs
@@ -1,6 +1,6 @@
 //! Takes evidence in, of this node and of others, and tells what is stopped.
 
-use dalestand_quarantine::{CrashRecord, EngineRun, RequestFingerprint, Taken};
+use dalestand_quarantine::{ApplyOutcome, CrashRecord, EngineRunId, RequestFingerprint};
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::MonotonicTime;
 
@@ -16,7 +16,7 @@
 pub(crate) fn attribute(
     context: &Context,
     engine_name: &str,
-    engine: EngineRun,
+    engine: EngineRunId,
     fingerprint: RequestFingerprint,
 ) {
     let record = CrashRecord {
@@ -28,18 +28,18 @@
     let quarantine = &context.quarantine;
     note_seen(context, fingerprint);
     let taken = take(context, &record);
-    if taken == Taken::Known {
+    if taken == ApplyOutcome::Known {
         return;
     }
     context.metrics.crash_attributed();
     let crashes = quarantine
         .ledger
         .borrow()
-        .crashes(context.now(), fingerprint);
+        .crash_count(context.now(), fingerprint);
     log_event!(context.logger, Event::CrashAttributed, "fingerprint" => %fingerprint,
         "engine" => engine_name, "crashes" => crashes);
-    if taken == Taken::New {
-        quarantine.news.borrow_mut().push(record);
+    if taken == ApplyOutcome::New {
+        quarantine.outgoing_records.borrow_mut().push(record);
         context.work_changed.notify_one();
     }
 }
@@ -51,17 +51,17 @@
     if seen.len() >= MAX_SEEN {
         let now = context.now();
         let ledger = context.quarantine.ledger.borrow();
-        seen.retain(|fingerprint| ledger.crashes(now, *fingerprint) > 0);
+        seen.retain(|fingerprint| ledger.crash_count(now, *fingerprint) > 0);
     }
     seen.insert(fingerprint);
 }
 
 /// Takes the records of other nodes in.
-pub(crate) fn take_all(context: &Context, records: &[CrashRecord]) {
+pub(crate) fn apply_records(context: &Context, records: &[CrashRecord]) {
     for record in records {
-        if take(context, record) == Taken::Cleared {
+        if take(context, record) == ApplyOutcome::Cleared {
             // It has completed here.
-            let mut news = context.quarantine.news.borrow_mut();
+            let mut news = context.quarantine.outgoing_records.borrow_mut();
             news.push(CrashRecord {
                 is_cleared: true,
                 ..*record
@@ -71,17 +71,20 @@
     }
 }
 
-fn take(context: &Context, record: &CrashRecord) -> Taken {
+fn take(context: &Context, record: &CrashRecord) -> ApplyOutcome {
     let now = context.now();
     let quarantine = &context.quarantine;
     let mut ledger = quarantine.ledger.borrow_mut();
     let fingerprint = record.fingerprint;
     let was_stopped = ledger.is_stopped(now, fingerprint);
-    let taken = ledger.take(now, record);
+    let taken = ledger.apply(now, record);
     let is_stopped = ledger.is_stopped(now, fingerprint);
-    let crashes = ledger.crashes(now, fingerprint);
+    let crashes = ledger.crash_count(now, fingerprint);
     drop(ledger);
-    if is_stopped && taken == Taken::New && quarantine.seen_here.borrow().contains(&fingerprint) {
+    if is_stopped
+        && taken == ApplyOutcome::New
+        && quarantine.seen_here.borrow().contains(&fingerprint)
+    {
         quarantine.to_store.borrow_mut().insert(fingerprint);
         quarantine.store_wanted.notify_one();
     }
@@ -97,13 +100,13 @@
 /// Notes that a request has completed at an engine: it does not end each that runs it.
 pub(crate) fn completed(context: &Context, fingerprint: RequestFingerprint) {
     let mut ledger = context.quarantine.ledger.borrow_mut();
-    let cleared = ledger.completed(context.now(), fingerprint);
+    let cleared = ledger.record_completion(context.now(), fingerprint);
     drop(ledger);
     if cleared.is_empty() {
         return;
     }
     log_event!(context.logger, Event::RequestReleased, "fingerprint" => %fingerprint);
-    let mut news = context.quarantine.news.borrow_mut();
+    let mut news = context.quarantine.outgoing_records.borrow_mut();
     for record in cleared {
         news.push(record);
     }
@@ -119,11 +122,13 @@
 /// Crashes that count against a request.
 pub(crate) fn crashes(context: &Context, fingerprint: Option<RequestFingerprint>) -> usize {
     let ledger = context.quarantine.ledger.borrow();
-    fingerprint.map_or(0, |fingerprint| ledger.crashes(context.now(), fingerprint))
+    fingerprint.map_or(0, |fingerprint| {
+        ledger.crash_count(context.now(), fingerprint)
+    })
 }
 
 /// Records of stopped requests for the next message of a relay: all by turns, where there are many.
-pub(crate) fn told(context: &Context) -> Vec<CrashRecord> {
+pub(crate) fn stopped_records(context: &Context) -> Vec<CrashRecord> {
     let ledger = context.quarantine.ledger.borrow();
     if ledger.is_empty() {
         return Vec::new();
--- a/crates/forwarding/src/quarantine/fleet_key.rs
+++ b/crates/forwarding/src/quarantine/fleet_key.rs
@@ -11,7 +11,7 @@
 use rand::RngExt as _;
 
 use crate::context::Context;
-use crate::quarantine::stored_stops::take_stored;
+use crate::quarantine::stopped_entries::apply_stored;
 
 /// Leading part of the keys of what nodes keep of requests that end engines.
 pub(crate) const QUARANTINE_PREFIX: &str = "dalestand/quarantine/";
@@ -24,7 +24,7 @@
 const LONGEST_PAUSE: Duration = Duration::from_millis(500);
 
 /// Reads the fleet's key, or draws it; ends when it is known.
-pub(crate) async fn learn_key(context: Rc<Context>, store: Rc<dyn KeyValue>) {
+pub(crate) async fn load_fingerprint_key(context: Rc<Context>, store: Rc<dyn KeyValue>) {
     loop {
         match read(&context, &*store).await {
             Ok(()) => return,
@@ -53,7 +53,7 @@
     // It is read once.
     let _ = context.quarantine.key.set(key);
     for entry in &listing.entries {
-        take_stored(context, &entry.key, Some(&entry.value));
+        apply_stored(context, &entry.key, Some(&entry.value));
     }
     Ok(())
 }
--- a/crates/forwarding/src/quarantine/mod.rs
+++ b/crates/forwarding/src/quarantine/mod.rs
@@ -13,5 +13,5 @@
 pub(crate) mod operator;
 pub(crate) mod run_watch;
 pub(crate) mod state;
-pub(crate) mod stored_stops;
+pub(crate) mod stopped_entries;
 pub(crate) mod trial;
--- a/crates/forwarding/src/quarantine/operator.rs
+++ b/crates/forwarding/src/quarantine/operator.rs
@@ -1,16 +1,16 @@
 //! What an operator asks of stopped requests, at the key-value service itself: no node needs to run.
 
 use dalestand_edge::{CasOutcome, KeyValue, PlatformError, WriteExpectation};
-use dalestand_quarantine::{RequestFingerprint, StoredStop};
+use dalestand_quarantine::{RequestFingerprint, StoppedRequestEntry};
 use error_stack::{Report, ResultExt as _};
 
-use crate::quarantine::stored_stops::STOPPED_PREFIX;
+use crate::quarantine::stopped_entries::STOPPED_PREFIX;
 
 /// Stopped requests as the key-value service keeps them, by fingerprint; those that were released and
 /// have not lapsed yet are among them.
 pub async fn stopped_requests(
     store: &dyn KeyValue,
-) -> Result<Vec<(RequestFingerprint, StoredStop)>, Report<PlatformError>> {
+) -> Result<Vec<(RequestFingerprint, StoppedRequestEntry)>, Report<PlatformError>> {
     let listing = store.range(STOPPED_PREFIX).await?;
     let entries = listing.entries.iter();
     entries
@@ -33,12 +33,12 @@
         let Some(standing) = store.get(&key).await? else {
             return Ok(false);
         };
-        let stop: StoredStop =
+        let stop: StoppedRequestEntry =
             serde_json::from_str(&standing.value).change_context_lazy(unreadable)?;
         if stop.is_released {
             return Ok(true);
         }
-        let released = StoredStop {
+        let released = StoppedRequestEntry {
             is_released: true,
             ..stop
         };
--- a/crates/forwarding/src/quarantine/run_watch.rs
+++ b/crates/forwarding/src/quarantine/run_watch.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use dalestand_engine_link::AnswerBody;
-use dalestand_quarantine::{EngineRun, RequestFingerprint};
+use dalestand_quarantine::{EngineRunId, RequestFingerprint};
 use dalestand_routing::staged::StagedEngine;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::PoolName;
@@ -34,7 +34,7 @@
     context: Rc<Context>,
     engine: StagedEngine,
     /// The engine's run when the call was made.
-    run: EngineRun,
+    run: EngineRunId,
     pool: PoolName,
     request: Option<Arc<str>>,
     fingerprint: Option<RequestFingerprint>,
@@ -94,7 +94,7 @@
         }
         let run = self.run;
         let mut runs = context.quarantine.unfinished.borrow_mut();
-        let has_ended = runs.unfinished(context.now(), run, fingerprint);
+        let has_ended = runs.record_unfinished(context.now(), run, fingerprint);
         drop(runs);
         if has_ended {
             attribute(context, &self.engine.run, run, fingerprint);
--- a/crates/forwarding/src/quarantine/state.rs
+++ b/crates/forwarding/src/quarantine/state.rs
@@ -33,13 +33,13 @@
 };
 
 /// What this node knows of requests that end engines.
-pub(crate) struct Quarantine {
+pub(crate) struct QuarantineState {
     /// The fleet's key, once it was read.
     pub(super) key: OnceCell<FingerprintKey>,
     pub(super) unfinished: RefCell<UnfinishedRuns>,
     pub(super) ledger: RefCell<CrashLedger>,
     /// Evidence of this node that is still to be sent.
-    pub(crate) news: RefCell<RepeatedNews<CrashRecord>>,
+    pub(crate) outgoing_records: RefCell<RepeatedNews<CrashRecord>>,
     /// Requests of whose crashes this node saw one: it has the key-value service keep them once they
     /// are stopped.
     pub(super) seen_here: RefCell<HashSet<RequestFingerprint>>,
@@ -55,13 +55,13 @@
     pub(super) checked: RefCell<HashSet<EngineKey>>,
 }
 
-impl Default for Quarantine {
+impl Default for QuarantineState {
     fn default() -> Self {
         Self {
             key: OnceCell::new(),
             unfinished: RefCell::new(UnfinishedRuns::new(BELONG_TOGETHER)),
             ledger: RefCell::default(),
-            news: RefCell::new(RepeatedNews::new(NEWS)),
+            outgoing_records: RefCell::new(RepeatedNews::new(NEWS)),
             seen_here: RefCell::default(),
             to_store: RefCell::default(),
             store_wanted: Notify::new(),
@@ -72,14 +72,14 @@
     }
 }
 
-impl Quarantine {
+impl QuarantineState {
     /// The fleet's key; `None` until it was read.
     pub(crate) fn key(&self) -> Option<&FingerprintKey> {
         self.key.get()
     }
 
     /// Has the key-value service keep anew what this node saw crashes of: what it kept under leases is gone.
-    pub(crate) fn keep_again(&self) {
+    pub(crate) fn rewrite_stored(&self) {
         let seen = self.seen_here.borrow();
         self.to_store.borrow_mut().extend(seen.iter().copied());
         self.store_wanted.notify_one();
--- a/crates/forwarding/src/quarantine/stored_stops.rs
+++ b/crates/forwarding/src/quarantine/stopped_entries.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use dalestand_edge::{CasOutcome, KeyValue, PlatformError, WriteExpectation};
-use dalestand_quarantine::{CrashRecord, RequestFingerprint, StoredStop, TRIAL_INTERVAL};
+use dalestand_quarantine::{CrashRecord, RequestFingerprint, StoppedRequestEntry, TRIAL_INTERVAL};
 use dalestand_telemetry::{Event, log_event};
 use error_stack::{Report, ResultExt as _};
 
 use crate::context::Context;
 use crate::duties::usage_counts::unix_time;
-use crate::quarantine::evidence::take_all;
+use crate::quarantine::evidence::apply_records;
 
 /// Leading part of the keys; the fingerprint follows.
 pub(crate) const STOPPED_PREFIX: &str = "dalestand/quarantine/stopped/";
@@ -20,23 +20,23 @@
 
 /// Takes an entry of the key-value service in, if it is one of a stopped request. An entry that goes
 /// says nothing: it was kept for as long as it counts, or lapsed with the service.
-pub(crate) fn take_stored(context: &Context, key: &str, value: Option<&str>) -> Vec<CrashRecord> {
+pub(crate) fn apply_stored(context: &Context, key: &str, value: Option<&str>) -> Vec<CrashRecord> {
     let (Some(text), Some(value)) = (key.strip_prefix(STOPPED_PREFIX), value) else {
         return Vec::new();
     };
     let fingerprint = RequestFingerprint::parse(text);
-    let stop = serde_json::from_str::<StoredStop>(value);
+    let stop = serde_json::from_str::<StoppedRequestEntry>(value);
     let (Ok(fingerprint), Ok(stop)) = (fingerprint, stop) else {
         log_event!(context.logger, Event::StopUnreadable, "key" => key);
         return Vec::new();
     };
     let records: Vec<CrashRecord> = stop.records(fingerprint, unix_time()).collect();
-    take_all(context, &records);
+    apply_records(context, &records);
     records
 }
 
 /// Has the key-value service keep what this node stops, for as long as it is polled.
-pub(crate) async fn keep_stops(context: Rc<Context>, store: Rc<dyn KeyValue>) {
+pub(crate) async fn persist_stopped_requests(context: Rc<Context>, store: Rc<dyn KeyValue>) {
     let quarantine = &context.quarantine;
     loop {
         let next = quarantine.to_store.borrow().first().copied();
@@ -72,13 +72,13 @@
     let Some(records) = records else {
         return Ok(());
     };
-    let stop = StoredStop::of(&records, unix_time());
+    let stop = StoppedRequestEntry::of(&records, unix_time());
     let key = format!("{STOPPED_PREFIX}{fingerprint}");
     let standing = store.get(&key).await?;
     let expectation = match &standing {
         None => WriteExpectation::Absent,
         Some(entry) => {
-            let known = serde_json::from_str::<StoredStop>(&entry.value);
+            let known = serde_json::from_str::<StoppedRequestEntry>(&entry.value);
             if known.is_ok_and(|known| known.covers(&stop)) {
                 return Ok(());
             }
--- a/crates/forwarding/src/quarantine/trial.rs
+++ b/crates/forwarding/src/quarantine/trial.rs
@@ -21,9 +21,9 @@
 const SHORTEST_REFUSAL: Duration = Duration::from_secs(1);
 
 /// Time until a stopped request may be tried, a second at least: until then it is refused.
-pub(crate) fn trial_in(context: &Context, fingerprint: RequestFingerprint) -> Duration {
+pub(crate) fn retry_after(context: &Context, fingerprint: RequestFingerprint) -> Duration {
     let ledger = context.quarantine.ledger.borrow();
-    let left = ledger.trial_in(context.now(), fingerprint);
+    let left = ledger.time_to_trial(context.now(), fingerprint);
     left.unwrap_or_default().max(SHORTEST_REFUSAL)
 }
 
@@ -34,7 +34,7 @@
     };
     let now = context.now();
     let quarantine = &context.quarantine;
-    let due = quarantine.ledger.borrow().trial_in(now, fingerprint);
+    let due = quarantine.ledger.borrow().time_to_trial(now, fingerprint);
     if !due.is_some_and(|left| left.is_zero()) {
         return false;
     }
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -17,7 +17,7 @@
 
 use crate::context::Context;
 use crate::roles::authority::{Authority, while_held};
-use crate::serve::engine_call::call;
+use crate::serve::engine_call::call_engine;
 
 /// How often the demand is looked at.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
@@ -227,7 +227,7 @@
         },
     };
     let (head, body) = context.dialect.stage_order(&order);
-    let sent = call(context, pool, engine, head, body);
+    let sent = call_engine(context, pool, engine, head, body);
     let answered = while_held(authority, mandate.token, || context.now(), sent).await;
     let answered = answered.flatten();
     // An order without an answer may come true at any later time, or never.
@@ -259,6 +259,6 @@
     engine: &StagedEngine,
 ) -> Option<u64> {
     let head = context.dialect.report_request();
-    let (_, body) = call(context, pool, engine, head, Bytes::new()).await?;
+    let (_, body) = call_engine(context, pool, engine, head, Bytes::new()).await?;
     context.dialect.read_report_sequence(&body)
 }
--- a/crates/forwarding/src/serve/account.rs
+++ b/crates/forwarding/src/serve/account.rs
@@ -6,8 +6,8 @@
 
 use crate::context::Context;
 use crate::serve::answer::Failure;
+use crate::serve::pool_admissions::AdmissionRecord;
 use crate::serve::progress::Progress;
-use crate::serve::rooms::AdmissionRecord;
 
 /// Notes a request that was not taken in.
 pub(crate) fn log_unadmitted(context: &Context, request: &Request, failure: Failure) {
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -18,8 +18,8 @@
 use crate::context::Context;
 use crate::fleet_sums::ClassKey;
 use crate::serve::answer::Failure;
+use crate::serve::pool_admissions::{AdmissionRecord, Desk, Place};
 use crate::serve::progress::Progress;
-use crate::serve::rooms::{AdmissionRecord, Desk, Place};
 
 /// Shortest time between two looks at a pool: load reports are some tens of milliseconds old.
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
@@ -47,7 +47,7 @@
     if !progress.table.is_competed_for(pool) {
         return Ok(Admission::Ungated);
     }
-    let desk = context.rooms.desk(pool);
+    let desk = context.admissions.desk(pool);
     let stage = if context.fleet().pool(pool).serves_prompts() {
         Stage::Decode
     } else {
--- a/crates/forwarding/src/serve/admit.rs
+++ b/crates/forwarding/src/serve/admit.rs
@@ -86,7 +86,7 @@
         method: request.method().as_str(),
         host: host(request),
         path: path.map_or("", |path| path.as_str()),
-        caller: caller.tenant().map(|tenant| tenant.name.as_str()),
+        tenant: caller.tenant().map(|tenant| tenant.name.as_str()),
         body,
     };
     Some(key.fingerprint(&identity))
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -9,14 +9,14 @@
 use dalestand_clock::{BootInstant, timeout};
 use dalestand_edge::routed::EngineTerms;
 use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
-use dalestand_quarantine::CRASHES_ALLOWED;
+use dalestand_quarantine::STOP_AFTER_CRASHES;
 use dalestand_routing::staged::{AttemptResult, ClosedFor, EngineChoice, EngineKey};
 use dalestand_routing::{CallArrival, CallPurpose, RepeatedSend};
 use dalestand_types::{PoolName, RequestRate};
 
 use crate::context::Context;
 use crate::permits::passage::Passage;
-use crate::quarantine::engine_end::{EndProof, ask_listener, engine_ended};
+use crate::quarantine::engine_end::{EndProof, ask_listener, record_engine_end};
 use crate::quarantine::evidence::{crashes, is_stopped};
 use crate::quarantine::run_watch::{RunWatch, Unfinished};
 use crate::serve::class_counts::BusySlot;
@@ -190,7 +190,7 @@
         }
         Judged::NoListener => {
             watch.over();
-            engine_ended(context, engine.key, &engine.run, EndProof::NoListener);
+            record_engine_end(context, engine.key, &engine.run, EndProof::NoListener);
             let silent = Some(AttemptResult::Silent);
             (AttemptEnd::NotSent, "no listener", silent)
         }
@@ -274,7 +274,7 @@
     let Some(former) = progress.tried.last().filter(|_| progress.runs > 0) else {
         return;
     };
-    if crashes(context, progress.fingerprint) + 1 >= CRASHES_ALLOWED {
+    if crashes(context, progress.fingerprint) + 1 >= STOP_AFTER_CRASHES {
         ask_listener(context, pool, *former).await;
     }
 }
--- a/crates/forwarding/src/serve/engine_call.rs
+++ b/crates/forwarding/src/serve/engine_call.rs
@@ -19,7 +19,7 @@
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 /// Makes a call; `None` if no whole answer came in time.
-pub(crate) async fn call(
+pub(crate) async fn call_engine(
     context: &Rc<Context>,
     pool: &PoolName,
     engine: &StagedEngine,
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -13,7 +13,7 @@
 
 use crate::context::Context;
 use crate::quarantine::evidence::is_stopped;
-use crate::quarantine::trial::{may_try, trial_in};
+use crate::quarantine::trial::{may_try, retry_after};
 use crate::serve::account::{log_failed, log_served, log_unadmitted};
 use crate::serve::admit::admit;
 use crate::serve::admitted_plan::admitted_plan;
@@ -167,7 +167,7 @@
         return None;
     }
     progress.is_trial = may_try(context, fingerprint).await;
-    let failure = Failure::EndsEngines(trial_in(context, fingerprint));
+    let failure = Failure::EndsEngines(retry_after(context, fingerprint));
     (!progress.is_trial).then_some(failure)
 }
 
@@ -182,7 +182,7 @@
     {
         // It was stopped while it was under way here.
         return Err(if progress.runs == 0 {
-            Failure::EndsEngines(trial_in(context, fingerprint))
+            Failure::EndsEngines(retry_after(context, fingerprint))
         } else {
             final_failure(context, progress)
         });
--- a/crates/forwarding/src/serve/rooms.rs
+++ b/crates/forwarding/src/serve/pool_admissions.rs
@@ -11,7 +11,7 @@
 
 /// The rooms of one node, by pool.
 #[derive(Default)]
-pub(crate) struct Rooms {
+pub(crate) struct PoolAdmissions {
     desks: RefCell<HashMap<PoolName, Rc<Desk>>>,
 }
 
@@ -65,16 +65,16 @@
     }
 }
 
-impl Rooms {
+impl PoolAdmissions {
     /// Requests that wait, and places that this node may have, by pool that has an account.
-    pub(crate) fn standing(&self) -> Vec<(PoolName, usize, f64)> {
+    pub(crate) fn summaries(&self) -> Vec<(PoolName, usize, f64)> {
         let desks = self.desks.borrow();
-        let standing = desks.iter().map(|(pool, desk)| {
+        let summaries = desks.iter().map(|(pool, desk)| {
             let room = desk.room.borrow();
             let places = room.account().map_or(0.0, |account| account.own_places);
             (pool.clone(), room.waiting(), places)
         });
-        standing.collect()
+        summaries.collect()
     }
 
     /// The room of a pool.
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -19,7 +19,7 @@
 
 use crate::fleet_sums::{ClassKey, TenantKey};
 use crate::node::settings::ForwardingSettings;
-use crate::serve::rooms::{AdmissionRecord, Place};
+use crate::serve::pool_admissions::{AdmissionRecord, Place};
 use crate::serve::tenant_shares::{ShareAccount, code_of};
 
 /// Most calls made for one request, whatever came of them.
--- a/crates/forwarding/src/serve/tenant_shares.rs
+++ b/crates/forwarding/src/serve/tenant_shares.rs
@@ -151,14 +151,14 @@
     }
 
     /// Whether shares decide nothing yet and are not just worked out.
-    pub(crate) fn wants_figures(&self, now: MonotonicTime) -> bool {
+    pub(crate) fn needs_refresh(&self, now: MonotonicTime) -> bool {
         let classes = self.classes.borrow();
         now.since(self.refreshed_at.get()) >= SHORTEST_INTERVAL
             && !classes.values().any(|tenants| tenants.shares.acts(now))
     }
 
     /// Tenants that are over their share, by pool: each once a priority, and all small ones as one.
-    pub(crate) fn tenants_cut(&self, now: MonotonicTime) -> BTreeMap<PoolName, usize> {
+    pub(crate) fn tenants_over_share(&self, now: MonotonicTime) -> BTreeMap<PoolName, usize> {
         let classes = self.classes.borrow();
         let mut cut = BTreeMap::new();
         for ((pool, _), tenants) in classes.iter() {
--- a/crates/forwarding/src/spread/contents.rs
+++ b/crates/forwarding/src/spread/contents.rs
@@ -66,7 +66,7 @@
         origin: context.spread.node,
         placed: context.placements.borrow_mut().take(),
         role_changes: changes.collect(),
-        crashes: context.quarantine.news.borrow_mut().take(),
+        crashes: context.quarantine.outgoing_records.borrow_mut().take(),
     }
 }
 
--- a/crates/forwarding/src/spread/own_figures.rs
+++ b/crates/forwarding/src/spread/own_figures.rs
@@ -25,7 +25,7 @@
 
 /// Notes that a tenant's request found no room: shares that decide nothing yet are worked out at once.
 pub(crate) fn room_is_short(context: &Context, now: MonotonicTime) {
-    if context.tenant_shares.wants_figures(now) {
+    if context.tenant_shares.needs_refresh(now) {
         count_own_figures(context, now);
         context.sums.refresh_demand(now);
         divide_room(context, now);
--- a/crates/forwarding/src/spread/receive/exchange.rs
+++ b/crates/forwarding/src/spread/receive/exchange.rs
@@ -8,7 +8,7 @@
 
 use crate::context::Context;
 use crate::fleet::engine_entries;
-use crate::quarantine::evidence::take_all;
+use crate::quarantine::evidence::apply_records;
 use crate::spread::receive::declaration::ask_if_newer;
 use crate::spread::receive::loads::{take_demand, take_slice};
 use crate::spread::receive::news::pass_to_members;
@@ -23,7 +23,7 @@
     take_demand(context, source, exchange.demand);
     spread.set_holder(exchange.holder);
     pass_to_members(context, exchange.news);
-    take_all(context, &exchange.stopped);
+    apply_records(context, &exchange.stopped);
     engine_entries::take(context, exchange.changes, ChangeSource::Relay);
     ask_if_newer(context, socket, relay, exchange.declaration);
 }
--- a/crates/forwarding/src/spread/receive/mod.rs
+++ b/crates/forwarding/src/spread/receive/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::context::Context;
 use crate::fleet::engine_entries;
-use crate::permits::{asking, issuing};
+use crate::permits::{grants, requester};
 use crate::spread::datagram::kind_label;
 use crate::spread::engine_notices;
 use crate::spread::recent_changes::ChangeSource;
@@ -75,8 +75,8 @@
         Message::Declaration(part) => declaration::take(context, part),
         Message::Engines(notices) => engine_notices::take(context, &notices),
         Message::Limits(limits) => engine_notices::take_limits(context, &limits),
-        Message::PermitRequest(request) => issuing::answer(context, socket, sender, &request),
-        Message::PermitAnswer(answer) => asking::take(context, answer),
+        Message::PermitRequest(request) => grants::respond(context, socket, sender, &request),
+        Message::PermitAnswer(answer) => requester::handle_answer(context, answer),
         Message::Sums(sums) => sums::take(context, sums),
         Message::Usage(report) => context.usage.take_report(report),
     }
--- a/crates/forwarding/src/spread/receive/news.rs
+++ b/crates/forwarding/src/spread/receive/news.rs
@@ -9,7 +9,7 @@
 
 use crate::context::Context;
 use crate::fleet::part_recovery::known_parts;
-use crate::quarantine::evidence::take_all;
+use crate::quarantine::evidence::apply_records;
 use crate::spread::news_queue::NewsQueue;
 use crate::spread::transmit::encode;
 
@@ -29,7 +29,7 @@
     if news.origin == context.spread.node {
         return;
     }
-    take_all(context, &news.crashes);
+    apply_records(context, &news.crashes);
     for placement in &news.placed {
         take_placement(context, placement);
     }
--- a/crates/forwarding/src/spread/receive/table.rs
+++ b/crates/forwarding/src/spread/receive/table.rs
@@ -8,7 +8,7 @@
 
 use crate::context::Context;
 use crate::fleet::engine_entries;
-use crate::quarantine::evidence::take_all;
+use crate::quarantine::evidence::apply_records;
 use crate::spread::receive::declaration::ask_if_newer;
 use crate::spread::receive::entries::ask_if_due;
 use crate::spread::receive::loads::take_fleet_slice;
@@ -44,7 +44,7 @@
     for news in &table.news {
         take_news(context, news);
     }
-    take_all(context, &table.stopped);
+    apply_records(context, &table.stopped);
     engine_entries::take(context, table.changes, ChangeSource::Relay);
     ask_if_newer(context, socket, relay, table.declaration);
     if spread.entries.borrow().digest() == table.entries_digest {
--- a/crates/forwarding/src/spread/send.rs
+++ b/crates/forwarding/src/spread/send.rs
@@ -13,7 +13,7 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::quarantine::evidence::told;
+use crate::quarantine::evidence::stopped_records;
 use crate::spread::contents::{demand, prompt_loads, summed_loads, take_news, taken_news};
 use crate::spread::pacing::{REPORT_INTERVAL, exchange_interval, pause};
 use crate::spread::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
@@ -162,7 +162,7 @@
         news,
         changes,
         stopped: if demand_is_due {
-            told(context)
+            stopped_records(context)
         } else {
             Vec::new()
         },
--- a/crates/forwarding/src/spread/tables.rs
+++ b/crates/forwarding/src/spread/tables.rs
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::quarantine::evidence::told;
+use crate::quarantine::evidence::stopped_records;
 use crate::spread::TABLE_INTERVAL;
 use crate::spread::contents::{summed_loads, taken_news};
 use crate::spread::pacing::pause;
@@ -82,7 +82,7 @@
         changes: changes.next().unwrap_or_default(),
         entries_digest: spread.entries.borrow().digest(),
         stopped: if names_relays {
-            told(context)
+            stopped_records(context)
         } else {
             Vec::new()
         },
--- a/crates/forwarding/tests/crashing_requests.rs
+++ b/crates/forwarding/tests/crashing_requests.rs
@@ -27,7 +27,7 @@
 
 /// Engines that a request may end before it is known: their number is what one crash or two by
 /// chance are told from.
-const CRASHES_ALLOWED: usize = 3;
+const STOP_AFTER_CRASHES: usize = 3;
 
 /// Times that the same request comes.
 const ARRIVALS: usize = 9;
@@ -115,7 +115,7 @@
     let engines = engines(&node, 2 * ARRIVALS);
     node.settle().await;
     send_deadly(&[&node], &engines).await;
-    assert_eq!(crashed(&engines), CRASHES_ALLOWED);
+    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
     let refused = node.request("again", DEADLY).await;
     assert_eq!(status(&refused), "503", "{refused}");
     assert!(refused.contains("retry-after: "), "{refused}");
@@ -133,7 +133,7 @@
     // Nodes find each other by their entries.
     actix_rt::time::sleep(Duration::from_millis(1_500)).await;
     send_deadly(&[&first, &second, &third], &engines).await;
-    assert_eq!(crashed(&engines), CRASHES_ALLOWED);
+    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
 }
 
 #[actix_rt::test]
@@ -146,7 +146,7 @@
     let later = first.start_beside("node-2").await;
     later.settle().await;
     send_deadly(&[&later], &engines).await;
-    assert_eq!(crashed(&engines), CRASHES_ALLOWED);
+    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
 }
 
 /// What is stopped reaches a node that starts while the key-value service keeps nothing of it.
@@ -163,7 +163,7 @@
     // Nodes find each other by their entries, and repeat what is stopped every second.
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     send_deadly(&[&later], &engines).await;
-    assert_eq!(crashed(&engines), CRASHES_ALLOWED);
+    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
 }
 
 /// Engines end under all requests that they run; only one of these is at each that ends.
@@ -185,7 +185,7 @@
         let ((), beside) = tokio::join!(deadly, beside);
         assert_eq!(status(&beside), "200", "{beside}");
     }
-    assert_eq!(crashed(&engines), CRASHES_ALLOWED);
+    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
 }
 
 /// Engines crash for a reason of their own, each under the same request, which comes again and again.
@@ -195,7 +195,7 @@
     node.declare(1, "repeatable", 3, 1_000);
     let engines = engines(&node, ARRIVALS);
     node.settle().await;
-    for arrival in 0..CRASHES_ALLOWED + 2 {
+    for arrival in 0..STOP_AFTER_CRASHES + 2 {
         let id = format!("slow-{arrival}");
         let crash_first = async {
             let runs_it =
@@ -229,7 +229,7 @@
         _ = node.request("released", DEADLY) => {}
         () = end_engines(&engines) => {}
     }
-    assert_eq!(crashed(&engines), CRASHES_ALLOWED + 1);
+    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES + 1);
 }
 
 /// Found by the soak: a request that came often was at each engine that ended under others, and was
@@ -238,7 +238,7 @@
 async fn a_request_that_was_stopped_wrongly_comes_back_by_itself() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
-    for round in 0..CRASHES_ALLOWED {
+    for round in 0..STOP_AFTER_CRASHES {
         let engine = TestEngine::start(dying);
         let name = format!("both-{round}");
         node.list(&name, &engine, "ready");
--- a/crates/quarantine/benches/fingerprint.rs
+++ b/crates/quarantine/benches/fingerprint.rs
@@ -15,7 +15,7 @@
             method: "POST",
             host: "a.example",
             path: "/route/part/of/a/path?page=11",
-            caller: Some("curators"),
+            tenant: Some("curators"),
             body: &body,
         };
         group.bench_with_input(
@@ -40,10 +40,10 @@
                 method: "GET",
                 host: "a",
                 path: "/",
-                caller: None,
+                tenant: None,
                 body: &number.to_le_bytes(),
             });
-            ledger.completed(MonotonicTime(number * 1_000), fingerprint)
+            ledger.record_completion(MonotonicTime(number * 1_000), fingerprint)
         });
     });
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -21,7 +21,7 @@
 /// The text is no key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a key of {} hexadecimal digits", 2 * blake3::KEY_LEN)]
-pub struct NotAKey;
+pub struct ParseKeyError;
 
 impl FingerprintKey {
     /// A new key, drawn at random.
@@ -30,9 +30,9 @@
     }
 
     /// The key that [`Self::to_text`] wrote.
-    pub fn parse(text: &str) -> Result<Self, NotAKey> {
+    pub fn parse(text: &str) -> Result<Self, ParseKeyError> {
         let mut key = [0; blake3::KEY_LEN];
-        hex::decode_to_slice(text, &mut key).map_err(|_| NotAKey)?;
+        hex::decode_to_slice(text, &mut key).map_err(|_| ParseKeyError)?;
         Ok(Self(key))
     }
 
@@ -48,7 +48,7 @@
             identity.method.as_bytes(),
             identity.host.as_bytes(),
             identity.path.as_bytes(),
-            identity.caller.unwrap_or_default().as_bytes(),
+            identity.tenant.unwrap_or_default().as_bytes(),
         ];
         for field in fields {
             // The length keeps a field from running into the next one.
@@ -72,7 +72,7 @@
     /// Its path and query.
     pub path: &'r str,
     /// Its tenant, where callers have keys.
-    pub caller: Option<&'r str>,
+    pub tenant: Option<&'r str>,
     /// Its body.
     pub body: &'r [u8],
 }
@@ -101,13 +101,13 @@
 /// The text is no fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a fingerprint of {} hexadecimal digits", 2 * FINGERPRINT_BYTES)]
-pub struct NotAFingerprint;
+pub struct ParseFingerprintError;
 
 impl RequestFingerprint {
     /// The fingerprint that was written as hexadecimal digits.
-    pub fn parse(text: &str) -> Result<Self, NotAFingerprint> {
+    pub fn parse(text: &str) -> Result<Self, ParseFingerprintError> {
         let mut fingerprint = [0; FINGERPRINT_BYTES];
-        hex::decode_to_slice(text, &mut fingerprint).map_err(|_| NotAFingerprint)?;
+        hex::decode_to_slice(text, &mut fingerprint).map_err(|_| ParseFingerprintError)?;
         Ok(Self(fingerprint))
     }
 }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -13,11 +13,11 @@
 
 use crate::completions::Completions;
 use crate::fingerprint::RequestFingerprint;
-use crate::unfinished::EngineRun;
+use crate::unfinished::EngineRunId;
 
 /// Engines that a request may end before it is stopped. One crash says nothing of the requests that
 /// were at the engine, and two are met by chance where engines crash in series.
-pub const CRASHES_ALLOWED: usize = 3;
+pub const STOP_AFTER_CRASHES: usize = 3;
 
 /// A stopped request is tried once in this time, at one node of the fleet: the longest time for which
 /// the key-value service keeps what a node wrote, so that a trial's crash is kept until the next one.
@@ -42,7 +42,7 @@
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The engine's run.
-    pub engine: EngineRun,
+    pub engine: EngineRunId,
     /// How long ago the run ended, in milliseconds.
     pub age_ms: u32,
     /// Whether the request has completed elsewhere, so that this crash does not count.
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Crash {
-    engine: EngineRun,
+    engine: EngineRunId,
     at: MonotonicTime,
     is_cleared: bool,
 }
@@ -76,7 +76,7 @@
 
     /// When its last crash was, if its crashes stop it.
     fn stopped_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
-        if self.counted(now).count() < CRASHES_ALLOWED {
+        if self.counted(now).count() < STOP_AFTER_CRASHES {
             return None;
         }
         self.counted(now).map(|crash| crash.at).max()
@@ -85,7 +85,7 @@
 
 /// What came of a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum ApplyOutcome {
     /// It was known, or is too old to matter.
     Known,
     /// It is news.
@@ -104,10 +104,10 @@
 
 impl CrashLedger {
     /// Takes a record in, of this node or of another one.
-    pub fn take(&mut self, now: MonotonicTime, record: &CrashRecord) -> Taken {
+    pub fn apply(&mut self, now: MonotonicTime, record: &CrashRecord) -> ApplyOutcome {
         let age = Duration::from_millis(u64::from(record.age_ms));
         if age >= REMEMBERED_FOR {
-            return Taken::Known;
+            return ApplyOutcome::Known;
         }
         let has_completed = self.completions.has(now, record.fingerprint);
         self.make_room(now, record.fingerprint);
@@ -120,10 +120,14 @@
         if let Some(crash) = known {
             let is_news = record.is_cleared && !crash.is_cleared;
             crash.is_cleared |= record.is_cleared;
-            return if is_news { Taken::New } else { Taken::Known };
+            return if is_news {
+                ApplyOutcome::New
+            } else {
+                ApplyOutcome::Known
+            };
         }
         if suspect.crashes.len() >= MAX_CRASHES {
-            return Taken::Known;
+            return ApplyOutcome::Known;
         }
         suspect.crashes.push(Crash {
             engine: record.engine,
@@ -131,14 +135,14 @@
             is_cleared: record.is_cleared || has_completed,
         });
         if has_completed && !record.is_cleared {
-            Taken::Cleared
+            ApplyOutcome::Cleared
         } else {
-            Taken::New
+            ApplyOutcome::New
         }
     }
 
     /// Notes that a request has completed; yields the records that this clears.
-    pub fn completed(
+    pub fn record_completion(
         &mut self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
@@ -173,7 +177,7 @@
 
     /// Time until a stopped request may be tried once, zero if it may now; `None` if it is not stopped.
     /// One that may be a bystander is tried soon, and ten times later after each trial that crashed.
-    pub fn trial_in(
+    pub fn time_to_trial(
         &self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
@@ -181,7 +185,7 @@
         let suspect = self.requests.get(&fingerprint)?;
         let stopped_at = suspect.stopped_at(now)?;
         let pause = if self.is_doubtful(now, fingerprint, suspect) {
-            let trials = suspect.counted(now).count() - CRASHES_ALLOWED;
+            let trials = suspect.counted(now).count() - STOP_AFTER_CRASHES;
             let factor = 10_u32.saturating_pow(u32::try_from(trials).unwrap_or(u32::MAX));
             FIRST_TRIAL.saturating_mul(factor).min(TRIAL_INTERVAL)
         } else {
@@ -209,7 +213,7 @@
     }
 
     /// Crashes that count against a request.
-    pub fn crashes(&self, now: MonotonicTime, fingerprint: RequestFingerprint) -> usize {
+    pub fn crash_count(&self, now: MonotonicTime, fingerprint: RequestFingerprint) -> usize {
         let suspect = self.requests.get(&fingerprint);
         suspect.map_or(0, |suspect| suspect.counted(now).count())
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -7,19 +7,19 @@
 //! * [`UnfinishedRuns`] holds what may become evidence: runs without a whole answer, and engines that
 //!   ended.
 //! * [`CrashLedger`] holds the evidence, as a set that nodes merge, and tells what is stopped.
-//! * [`StoredStop`] is what outlives the nodes.
+//! * [`StoppedRequestEntry`] is what outlives the nodes.
 //!
 //! Everything here is pure: times come in as values, and nothing is sent.
 
 mod completions;
 mod fingerprint;
 mod ledger;
-mod stored;
+mod stopped_entry;
 mod unfinished;
 
 pub use fingerprint::{
-    FingerprintKey, NotAFingerprint, NotAKey, RequestFingerprint, RequestIdentity,
+    FingerprintKey, ParseFingerprintError, ParseKeyError, RequestFingerprint, RequestIdentity,
 };
-pub use ledger::{CRASHES_ALLOWED, CrashLedger, CrashRecord, TRIAL_INTERVAL, Taken};
-pub use stored::StoredStop;
-pub use unfinished::{EngineRun, UnfinishedRuns};
+pub use ledger::{ApplyOutcome, CrashLedger, CrashRecord, STOP_AFTER_CRASHES, TRIAL_INTERVAL};
+pub use stopped_entry::StoppedRequestEntry;
+pub use unfinished::{EngineRunId, UnfinishedRuns};
--- a/crates/quarantine/src/stored.rs
+++ b/crates/quarantine/src/stopped_entry.rs
@@ -7,14 +7,14 @@
 
 use crate::fingerprint::RequestFingerprint;
 use crate::ledger::CrashRecord;
-use crate::unfinished::EngineRun;
+use crate::unfinished::EngineRunId;
 
 /// A stopped request, as the value of a key that ends with its fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct StoredStop {
+pub struct StoppedRequestEntry {
     /// The engines that ended under it.
-    pub engines: Vec<EngineRun>,
+    pub engines: Vec<EngineRunId>,
     /// When the last of them did, in milliseconds since the start of 1970.
     pub last_crash_unix_ms: u64,
     /// Whether an operator let it run again.
@@ -22,7 +22,7 @@
     pub is_released: bool,
 }
 
-impl StoredStop {
+impl StoppedRequestEntry {
     /// What the records of one request come to at `unix_time`.
     pub fn of(records: &[CrashRecord], unix_time: Duration) -> Self {
         let newest = records.iter().map(|record| record.age_ms).min();
--- a/crates/quarantine/src/unfinished.rs
+++ b/crates/quarantine/src/unfinished.rs
@@ -21,11 +21,11 @@
 /// A number for an engine's run that all nodes agree on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct EngineRun(pub u64);
+pub struct EngineRunId(pub u64);
 
 #[derive(Clone, Copy, Debug)]
 struct UnfinishedRun {
-    engine: EngineRun,
+    engine: EngineRunId,
     fingerprint: RequestFingerprint,
     ended_at: MonotonicTime,
 }
@@ -35,7 +35,7 @@
 pub struct UnfinishedRuns {
     kept: Duration,
     runs: VecDeque<UnfinishedRun>,
-    ended: VecDeque<(EngineRun, MonotonicTime)>,
+    ended: VecDeque<(EngineRunId, MonotonicTime)>,
 }
 
 impl UnfinishedRuns {
@@ -50,10 +50,10 @@
     }
 
     /// Notes a run that ended without a whole answer. Whether its engine is known to have ended.
-    pub fn unfinished(
+    pub fn record_unfinished(
         &mut self,
         now: MonotonicTime,
-        engine: EngineRun,
+        engine: EngineRunId,
         fingerprint: RequestFingerprint,
     ) -> bool {
         self.expire(now);
@@ -73,10 +73,10 @@
 
     /// Notes that an engine has ended; yields the requests under which it did, each once. None if its
     /// end is known already.
-    pub fn engine_ended(
+    pub fn record_engine_end(
         &mut self,
         now: MonotonicTime,
-        engine: EngineRun,
+        engine: EngineRunId,
     ) -> Vec<RequestFingerprint> {
         self.expire(now);
         if self.has_ended(engine) {
@@ -95,7 +95,7 @@
     }
 
     /// Whether an engine is known to have ended.
-    pub fn has_ended(&self, engine: EngineRun) -> bool {
+    pub fn has_ended(&self, engine: EngineRunId) -> bool {
         self.ended.iter().any(|(ended, _)| *ended == engine)
     }
 
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use dalestand_quarantine::{
-    CRASHES_ALLOWED, CrashLedger, CrashRecord, EngineRun, FingerprintKey, RequestFingerprint,
-    RequestIdentity, StoredStop, TRIAL_INTERVAL, Taken, UnfinishedRuns,
+    ApplyOutcome, CrashLedger, CrashRecord, EngineRunId, FingerprintKey, RequestFingerprint,
+    RequestIdentity, STOP_AFTER_CRASHES, StoppedRequestEntry, TRIAL_INTERVAL, UnfinishedRuns,
 };
 use dalestand_types::MonotonicTime;
 use proptest::prelude::*;
@@ -24,7 +24,7 @@
         method: "POST",
         host: "a.example",
         path: &format!("/r/{number}"),
-        caller: None,
+        tenant: None,
         body: b"",
     })
 }
@@ -32,7 +32,7 @@
 fn crash(fingerprint: RequestFingerprint, engine: u64) -> CrashRecord {
     CrashRecord {
         fingerprint,
-        engine: EngineRun(engine),
+        engine: EngineRunId(engine),
         age_ms: 0,
         is_cleared: false,
     }
@@ -47,10 +47,13 @@
 fn a_request_is_stopped_by_its_third_crash_and_a_crash_counts_once() {
     let mut ledger = CrashLedger::default();
     for engine in [1, 2, 2, 1] {
-        ledger.take(START, &crash(request(1), engine));
+        ledger.apply(START, &crash(request(1), engine));
     }
-    assert_eq!(ledger.trial_in(START, request(1)), None);
-    assert_eq!(ledger.take(START, &crash(request(1), 3)), Taken::New);
+    assert_eq!(ledger.time_to_trial(START, request(1)), None);
+    assert_eq!(
+        ledger.apply(START, &crash(request(1), 3)),
+        ApplyOutcome::New
+    );
     assert!(ledger.is_stopped(START, request(1)));
     assert!(!ledger.is_stopped(START, request(2)));
 }
@@ -59,13 +62,22 @@
 fn a_stopped_request_is_tried_seldom_and_forgotten_after_an_hour() {
     let mut ledger = CrashLedger::default();
     for engine in 1..=3 {
-        ledger.take(START, &crash(request(1), engine));
+        ledger.apply(START, &crash(request(1), engine));
     }
-    assert_eq!(ledger.trial_in(START, request(1)), Some(TRIAL_INTERVAL));
+    assert_eq!(
+        ledger.time_to_trial(START, request(1)),
+        Some(TRIAL_INTERVAL)
+    );
     let later = START + TRIAL_INTERVAL;
-    assert_eq!(ledger.trial_in(later, request(1)), Some(Duration::ZERO));
-    ledger.take(later, &crash(request(1), 4));
-    assert_eq!(ledger.trial_in(later, request(1)), Some(TRIAL_INTERVAL));
+    assert_eq!(
+        ledger.time_to_trial(later, request(1)),
+        Some(Duration::ZERO)
+    );
+    ledger.apply(later, &crash(request(1), 4));
+    assert_eq!(
+        ledger.time_to_trial(later, request(1)),
+        Some(TRIAL_INTERVAL)
+    );
     let an_hour_later = later + Duration::from_secs(3_600);
     assert!(!ledger.is_stopped(an_hour_later, request(1)));
 }
@@ -74,15 +86,15 @@
 fn a_request_that_completes_is_cleared_for_good() {
     let (mut here, mut there) = (CrashLedger::default(), CrashLedger::default());
     for engine in 1..=3 {
-        here.take(START, &crash(request(1), engine));
-        there.take(START, &crash(request(1), engine));
+        here.apply(START, &crash(request(1), engine));
+        there.apply(START, &crash(request(1), engine));
     }
-    for record in here.completed(START, request(1)) {
-        there.take(START, &record);
+    for record in here.record_completion(START, request(1)) {
+        there.apply(START, &record);
     }
     // A datagram that was overtaken brings the crashes again.
     for engine in 1..=3 {
-        there.take(START, &crash(request(1), engine));
+        there.apply(START, &crash(request(1), engine));
     }
     assert_eq!(stopped(&here).len() + stopped(&there).len(), 0);
 }
@@ -91,18 +103,18 @@
 #[rstest]
 fn a_request_that_completed_lately_is_not_suspected() {
     let mut ledger = CrashLedger::default();
-    ledger.completed(START, request(1));
+    ledger.record_completion(START, request(1));
     let after = START + Duration::from_secs(59);
     for engine in 1..=9 {
         assert_eq!(
-            ledger.take(after, &crash(request(1), engine)),
-            Taken::Cleared
+            ledger.apply(after, &crash(request(1), engine)),
+            ApplyOutcome::Cleared
         );
     }
     assert!(!ledger.is_stopped(after, request(1)));
     let longer_after = START + Duration::from_secs(61);
     for engine in 11..=13 {
-        ledger.take(longer_after, &crash(request(1), engine));
+        ledger.apply(longer_after, &crash(request(1), engine));
     }
     assert!(ledger.is_stopped(longer_after, request(1)));
 }
@@ -113,19 +125,22 @@
 fn a_request_whose_crashes_others_explain_is_tried_soon() {
     let mut ledger = CrashLedger::default();
     for engine in 1..=6 {
-        ledger.take(START, &crash(request(1 + engine % 2), engine));
-        ledger.take(START, &crash(request(9), engine));
+        ledger.apply(START, &crash(request(1 + engine % 2), engine));
+        ledger.apply(START, &crash(request(9), engine));
     }
     let seconds = |number| Some(Duration::from_secs(number));
-    assert_eq!(ledger.trial_in(START, request(1)), seconds(2));
-    ledger.take(START, &crash(request(1), 7));
-    ledger.take(START, &crash(request(9), 7));
-    assert_eq!(ledger.trial_in(START, request(1)), seconds(20));
+    assert_eq!(ledger.time_to_trial(START, request(1)), seconds(2));
+    ledger.apply(START, &crash(request(1), 7));
+    ledger.apply(START, &crash(request(9), 7));
+    assert_eq!(ledger.time_to_trial(START, request(1)), seconds(20));
     let soon = START + Duration::from_secs(20);
-    ledger.completed(soon, request(9));
+    ledger.record_completion(soon, request(9));
     assert!(!ledger.is_stopped(soon, request(9)));
     // Nobody else was there now.
-    assert_eq!(ledger.trial_in(START, request(1)), Some(TRIAL_INTERVAL));
+    assert_eq!(
+        ledger.time_to_trial(START, request(1)),
+        Some(TRIAL_INTERVAL)
+    );
 }
 
 /// Bystanders that come once were near one crash each: they cast no doubt.
@@ -133,20 +148,23 @@
 fn bystanders_that_come_once_do_not_explain_a_crash() {
     let mut ledger = CrashLedger::default();
     for engine in 1..=3 {
-        ledger.take(START, &crash(request(1), engine));
-        ledger.take(START, &crash(request(100 + engine), engine));
+        ledger.apply(START, &crash(request(1), engine));
+        ledger.apply(START, &crash(request(100 + engine), engine));
     }
-    assert_eq!(ledger.trial_in(START, request(1)), Some(TRIAL_INTERVAL));
+    assert_eq!(
+        ledger.time_to_trial(START, request(1)),
+        Some(TRIAL_INTERVAL)
+    );
 }
 
 #[rstest]
 fn many_requests_near_one_crash_do_not_push_out_one_that_is_stopped() {
     let mut ledger = CrashLedger::default();
     for engine in 1..=3 {
-        ledger.take(START, &crash(request(0), engine));
+        ledger.apply(START, &crash(request(0), engine));
     }
     for number in 1..10_000 {
-        ledger.take(START, &crash(request(number), number + 10));
+        ledger.apply(START, &crash(request(number), number + 10));
     }
     assert!(ledger.is_stopped(START, request(0)));
     assert!(ledger.len() <= 2_048, "{}", ledger.len());
@@ -166,12 +184,12 @@
     #[case] caller: Option<&str>,
     #[case] body: &[u8],
 ) {
-    let of = |method, host, path, caller, body| {
+    let of = |method, host, path, tenant, body| {
         key().fingerprint(&RequestIdentity {
             method,
             host,
             path,
-            caller,
+            tenant,
             body,
         })
     };
@@ -187,7 +205,7 @@
         method: "POST",
         host: "a.example",
         path: "/r/1",
-        caller: None,
+        tenant: None,
         body: b"guessed",
     };
     let other = FingerprintKey::generate();
@@ -201,20 +219,20 @@
     let now = Duration::from_secs(1_000_000);
     let mut ledger = CrashLedger::default();
     for engine in 1..=3 {
-        ledger.take(START, &crash(request(1), engine));
+        ledger.apply(START, &crash(request(1), engine));
     }
     let stopped = ledger.stopped(START);
-    let mut stored = StoredStop::of(&stopped[0].1, now);
+    let mut stored = StoppedRequestEntry::of(&stopped[0].1, now);
     let mut restarted = CrashLedger::default();
     let later = now + Duration::from_secs(10);
     for record in stored.records(request(1), later) {
-        restarted.take(START, &record);
+        restarted.apply(START, &record);
     }
-    let left = restarted.trial_in(START, request(1));
+    let left = restarted.time_to_trial(START, request(1));
     assert_eq!(left, Some(TRIAL_INTERVAL - Duration::from_secs(10)));
     stored.is_released = true;
     for record in stored.records(request(1), later) {
-        restarted.take(START, &record);
+        restarted.apply(START, &record);
     }
     assert!(!restarted.is_stopped(START, request(1)));
 }
@@ -224,21 +242,21 @@
 #[rstest]
 fn a_run_counts_whichever_is_learnt_first() {
     let mut runs = UnfinishedRuns::new(KEPT);
-    assert!(!runs.unfinished(START, EngineRun(1), request(1)));
-    assert!(!runs.unfinished(START, EngineRun(1), request(1)));
-    assert!(!runs.unfinished(START, EngineRun(2), request(2)));
-    assert_eq!(runs.engine_ended(START, EngineRun(1)), [request(1)]);
-    assert!(runs.unfinished(START, EngineRun(1), request(3)));
+    assert!(!runs.record_unfinished(START, EngineRunId(1), request(1)));
+    assert!(!runs.record_unfinished(START, EngineRunId(1), request(1)));
+    assert!(!runs.record_unfinished(START, EngineRunId(2), request(2)));
+    assert_eq!(runs.record_engine_end(START, EngineRunId(1)), [request(1)]);
+    assert!(runs.record_unfinished(START, EngineRunId(1), request(3)));
     // It has ended once.
-    assert!(runs.engine_ended(START, EngineRun(1)).is_empty());
+    assert!(runs.record_engine_end(START, EngineRunId(1)).is_empty());
 }
 
 #[rstest]
 fn a_run_that_ended_long_before_its_engine_does_not_count() {
     let mut runs = UnfinishedRuns::new(KEPT);
-    runs.unfinished(START, EngineRun(1), request(1));
+    runs.record_unfinished(START, EngineRunId(1), request(1));
     let later = START + KEPT + Duration::from_millis(1);
-    assert!(runs.engine_ended(later, EngineRun(1)).is_empty());
+    assert!(runs.record_engine_end(later, EngineRunId(1)).is_empty());
 }
 
 fn records() -> impl Strategy<Value = Vec<CrashRecord>> {
@@ -261,10 +279,10 @@
     ) {
         let (mut here, mut there) = (CrashLedger::default(), CrashLedger::default());
         for record in &first {
-            here.take(START, record);
+            here.apply(START, record);
         }
         for record in &second {
-            there.take(START, record);
+            there.apply(START, record);
         }
         prop_assert_eq!(stopped(&here), stopped(&there));
     }
@@ -282,10 +300,10 @@
             }
             runs += 1;
             for number in bystanders.into_iter().chain([0]) {
-                ledger.take(START, &crash(request(number), engine));
+                ledger.apply(START, &crash(request(number), engine));
             }
         }
-        prop_assert_eq!(runs, CRASHES_ALLOWED);
+        prop_assert_eq!(runs, STOP_AFTER_CRASHES);
     }
 }
 
@@ -305,30 +323,30 @@
         for wave in 0..3_u64 {
             let at = START + Duration::from_secs(20 * wave);
             for fingerprint in &often {
-                ledger.completed(at, *fingerprint);
+                ledger.record_completion(at, *fingerprint);
             }
             for crashed in 0..8_u64 {
                 let engine = wave * 100 + crashed;
                 for _ in 0..12 {
                     seen += 1;
                     let once = request(1_000 + seen);
-                    ledger.take(at, &crash(once, engine));
+                    ledger.apply(at, &crash(once, engine));
                     let mut others = engine + 1..engine + 4;
                     let completes = others.find(|other| {
                         let meets_a_crash = random.random_range(0..5) == 0;
                         if meets_a_crash {
-                            ledger.take(at, &crash(once, *other));
+                            ledger.apply(at, &crash(once, *other));
                         }
                         !meets_a_crash
                     });
                     if completes.is_some() {
-                        ledger.completed(at, once);
+                        ledger.record_completion(at, once);
                     } else {
                         stopped_once += u64::from(ledger.is_stopped(at, once));
                     }
                 }
                 for fingerprint in &often {
-                    ledger.take(at, &crash(*fingerprint, engine));
+                    ledger.apply(at, &crash(*fingerprint, engine));
                 }
             }
             let is_stopped = |one: &&RequestFingerprint| ledger.is_stopped(at, **one);
