--- a/crates/dissemination/tests/sums.rs
+++ b/crates/dissemination/tests/sums.rs
@@ -3,7 +3,7 @@
 use dalestand_dissemination::{
     MESSAGE_VERSION, Message, NodeNumber, SumScope, SummedRows, SumsMessage, TenantRow, TenantRows,
 };
-use dalestand_routing::room::tenant_meters::TENANTS_NAMED;
+use dalestand_routing::overload::tenant_meters::MAX_NAMED_TENANTS;
 use dalestand_routing::{TenantCode, TenantFigures, WorkRate};
 use dalestand_types::{PoolName, TenantName};
 use rstest::rstest;
@@ -31,7 +31,7 @@
         rows: SummedRows::Tenants(TenantRows {
             pool: PoolName::from("guide-llm"),
             priority: 2,
-            rows: (0..TENANTS_NAMED / 2).map(row).collect(),
+            rows: (0..MAX_NAMED_TENANTS / 2).map(row).collect(),
         }),
     });
     let bytes = rmp_serde::to_vec(&(MESSAGE_VERSION, message)).expect("a message");
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -398,7 +398,7 @@
 fn retry_budget(settings: &ForwardingSettings) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(settings.retry_terms());
     if settings.retries.former_life {
-        budget.restarted(MonotonicTime::ZERO);
+        budget.note_restart(MonotonicTime::ZERO);
     }
     budget
 }
--- a/crates/forwarding/src/node/settings.rs
+++ b/crates/forwarding/src/node/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dalestand_planner::ScalingPolicy;
-use dalestand_routing::SharedRetryTerms;
+use dalestand_routing::SharedRetryLimits;
 use dalestand_types::{NodeId, ZoneName};
 use serde::Deserialize;
 
@@ -345,8 +345,8 @@
     }
 
     /// Bounds of the budget of repeated sends.
-    pub fn retry_terms(&self) -> SharedRetryTerms {
-        SharedRetryTerms {
+    pub fn retry_terms(&self) -> SharedRetryLimits {
+        SharedRetryLimits {
             ratio: self.retries.ratio,
             slack: self.retries.slack,
             window: Duration::from_secs_f64(self.retries.window_s),
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -267,7 +267,7 @@
         }
         let now = context.now();
         let is_cut_off = context.spread.is_cut_off(now);
-        context.budget.borrow_mut().set_cut_off(is_cut_off);
+        context.budget.borrow_mut().set_isolated(is_cut_off);
         let fleet = context.fleet();
         context.link.sweep(|target| fleet.has_target(target));
         context.router.borrow_mut().work.sweep(now);
--- a/crates/forwarding/src/permits/asking.rs
+++ b/crates/forwarding/src/permits/asking.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dalestand_dissemination::{Message, PermitAnswer, PermitNeed, PermitRequest, Relay};
-use dalestand_routing::shared_rate::{PERMIT_LIFE, Permit};
+use dalestand_routing::shared_rate::{PERMIT_LIFETIME, Permit};
 use dalestand_routing::staged::{ClosedFor, EngineKey};
 use dalestand_types::MonotonicTime;
 use tokio::sync::oneshot;
@@ -105,8 +105,8 @@
     context.metrics.permit("granted");
     let now = context.now();
     let mut router = context.router.borrow_mut();
-    let wallet = &mut router.signals.permits;
-    wallet.add(now, engine, permits, asked_at + PERMIT_LIFE);
+    let held = &mut router.signals.permits;
+    held.add(now, engine, permits, asked_at + PERMIT_LIFETIME);
 }
 
 fn close(context: &Context, engine: EngineKey, time: Duration) {
@@ -127,7 +127,7 @@
     {
         let mut all = context.permits.asked.borrow_mut();
         if all.len() >= MANY_ASKED {
-            all.retain(|_, asked| at.since(asked.at) < PERMIT_LIFE);
+            all.retain(|_, asked| at.since(asked.at) < PERMIT_LIFETIME);
         }
         all.insert(number, asked);
     }
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -1,14 +1,16 @@
 //! Has requests wait for a place in a pool that is short, and refuses those that get none in their time.
 //!
-//! `routing::room::PoolRoom` decides; this hands it what the node knows of the pool and carries out what it says.
+//! `routing::overload::PoolAdmission` decides; this hands it what the node knows of the pool and carries out what it
+//! says.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use dalestand_clock::timeout;
 use dalestand_routing::ClassFigures;
-use dalestand_routing::room::{
-    Arrival, PoolLoad, ReturnSlot, RoomDecision, RoomRequest, ShareStanding, WaitNumber,
+use dalestand_routing::overload::{
+    AdmissionDecision, AdmissionOutcome, AdmissionRequest, PoolLoad, RetryAfterSlot, ShareStanding,
+    WaiterId,
 };
 use dalestand_routing::staged::{Stage, TimeBounds};
 use dalestand_telemetry::{Event, log_event};
@@ -57,19 +59,19 @@
     let request = room_request(&desk, progress);
     let own_taken = own_taken(context, pool, stage);
     let now = context.now();
-    let decision = desk.room.borrow_mut().arrives(now, &request, own_taken);
-    match decision.arrival {
-        Arrival::Ungated => Ok(Admission::Ungated),
-        Arrival::Placed => {
+    let decision = desk.room.borrow_mut().decide(now, &request, own_taken);
+    match decision.outcome {
+        AdmissionOutcome::Ungated => Ok(Admission::Ungated),
+        AdmissionOutcome::Placed => {
             let place = Place(desk);
             note(context, progress, &decision, "placed", Duration::ZERO);
             Ok(Admission::Placed(place, Duration::ZERO))
         }
-        Arrival::Refused(slot) => {
+        AdmissionOutcome::Refused(slot) => {
             note(context, progress, &decision, "refused", Duration::ZERO);
             Err(no_room(slot))
         }
-        Arrival::Waits(number, longest) => {
+        AdmissionOutcome::Queued(number, longest) => {
             let waiter = Waiter::new(context, &desk, number, &progress.class);
             keep_releasing(context, &desk, pool, stage);
             let placed = waiter.wait(longest).await;
@@ -80,21 +82,21 @@
             }
             note(context, progress, &decision, "hopeless", waited);
             let request = room_request(&desk, progress);
-            let slot = desk.room.borrow_mut().refused(context.now(), &request);
+            let slot = desk.room.borrow_mut().retry_slot(context.now(), &request);
             Err(no_room(slot))
         }
     }
 }
 
-fn no_room(slot: ReturnSlot) -> Failure {
-    Failure::NoRoom(slot.told())
+fn no_room(slot: RetryAfterSlot) -> Failure {
+    Failure::NoRoom(slot.delay())
 }
 
-fn room_request(desk: &Desk, progress: &Progress) -> RoomRequest {
+fn room_request(desk: &Desk, progress: &Progress) -> AdmissionRequest {
     let (_, priority) = progress.class;
     let asked = desk.asked.borrow();
     let urgent = asked.iter().filter(|(class, _)| *class < priority);
-    RoomRequest {
+    AdmissionRequest {
         priority,
         standing: progress
             .share
@@ -104,7 +106,7 @@
             objective: Duration::from_millis(progress.route.objective_ms),
         },
         expected: progress.expected.unwrap_or_default(),
-        urgent_per_s: urgent.map(|(_, per_s)| *per_s).sum(),
+        more_urgent_per_s: urgent.map(|(_, per_s)| *per_s).sum(),
     }
 }
 
@@ -121,7 +123,7 @@
     let (load, asked) = pool_load(context, now, pool, stage);
     desk.asked.replace(asked);
     let mut room = desk.room.borrow_mut();
-    if room.look(now, &load) {
+    if room.update(now, &load) {
         let event = if room.is_short() {
             Event::PoolShort
         } else {
@@ -165,7 +167,7 @@
     let sums = context.sums.classes.borrow();
     let all = sums.totals().iter().filter(|((of, _), _)| of == pool);
     load.all = sum(all.map(|(_, figures)| figures));
-    load.heard = sums.heard(now).map(|(_, age)| age).min();
+    load.figures_age = sums.heard(now).map(|(_, age)| age).min();
     (load, asked)
 }
 
@@ -230,13 +232,13 @@
 struct Waiter {
     context: Rc<Context>,
     desk: Rc<Desk>,
-    number: WaitNumber,
+    number: WaiterId,
     class: ClassKey,
     receiver: oneshot::Receiver<Place>,
 }
 
 impl Waiter {
-    fn new(context: &Rc<Context>, desk: &Rc<Desk>, number: WaitNumber, class: &ClassKey) -> Self {
+    fn new(context: &Rc<Context>, desk: &Rc<Desk>, number: WaiterId, class: &ClassKey) -> Self {
         let (sender, receiver) = oneshot::channel();
         desk.waiters.borrow_mut().insert(number, sender);
         context.classes.note(class, |meter| meter.waiting += 1);
@@ -258,7 +260,7 @@
 impl Drop for Waiter {
     fn drop(&mut self) {
         self.desk.waiters.borrow_mut().remove(&self.number);
-        self.desk.room.borrow_mut().leaves(self.number);
+        self.desk.room.borrow_mut().remove(self.number);
         self.context.classes.note(&self.class, |meter| {
             meter.waiting = meter.waiting.saturating_sub(1);
         });
@@ -269,7 +271,7 @@
 fn note(
     context: &Context,
     progress: &mut Progress,
-    decision: &RoomDecision,
+    decision: &AdmissionDecision,
     outcome: &'static str,
     waited: Duration,
 ) {
--- a/crates/forwarding/src/serve/admitted_plan.rs
+++ b/crates/forwarding/src/serve/admitted_plan.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dalestand_routing::room::ShareStanding;
+use dalestand_routing::overload::ShareStanding;
 use dalestand_routing::staged::{TimeBounds, refused_for};
 
 use crate::context::Context;
@@ -64,7 +64,7 @@
     progress.share = Some(account);
     let is_over = account.standing == ShareStanding::Over && !finds_room(progress);
     let share = account.share.filter(|_| is_over && progress.runs == 0)?;
-    let wait = share.catches_up_in(progress.time_left(), rand::random());
+    let wait = share.retry_after(progress.time_left(), rand::random());
     Some(Failure::OverShare(wait))
 }
 
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -11,7 +11,7 @@
 use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
 use dalestand_quarantine::CRASHES_ALLOWED;
 use dalestand_routing::staged::{AttemptResult, ClosedFor, EngineChoice, EngineKey};
-use dalestand_routing::{CallArrival, CallPurpose, RepeatedSend};
+use dalestand_routing::{CallOutcome, CallPurpose, RepeatedSend};
 use dalestand_types::{PoolName, RequestRate};
 
 use crate::context::Context;
@@ -223,12 +223,12 @@
     if call.purpose == CallPurpose::Run && matches!(end, AttemptEnd::Answered(_)) {
         count_usage(context, progress);
     }
-    let arrival = match &end {
-        AttemptEnd::Answered(_) => CallArrival::TakenUp,
-        AttemptEnd::Refused | AttemptEnd::Unknown => CallArrival::NotTakenUp,
-        AttemptEnd::NotSent => CallArrival::NotArrived,
+    let call_outcome = match &end {
+        AttemptEnd::Answered(_) => CallOutcome::Accepted,
+        AttemptEnd::Refused | AttemptEnd::Unknown => CallOutcome::NotAccepted,
+        AttemptEnd::NotSent => CallOutcome::NotDelivered,
     };
-    let is_free = progress.call_counts.came_out(call.purpose, arrival);
+    let is_free = progress.call_counts.record(call.purpose, call_outcome);
     if let Some(send) = taken.filter(|_| is_free) {
         context.budget.borrow_mut().give_back(call.pool, send);
     }
--- a/crates/forwarding/src/serve/repeated_calls.rs
+++ b/crates/forwarding/src/serve/repeated_calls.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dalestand_routing::room::shares::TenantShare;
+use dalestand_routing::overload::shares::TenantShare;
 
 use crate::context::Context;
 use crate::serve::attempt::is_refused;
--- a/crates/forwarding/src/serve/rooms.rs
+++ b/crates/forwarding/src/serve/rooms.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dalestand_routing::room::{PoolRoom, RoomAccount, WaitNumber};
+use dalestand_routing::overload::{PoolAdmission, RoomAccount, WaiterId};
 use dalestand_types::{MonotonicTime, PoolName};
 use tokio::sync::oneshot;
 
@@ -18,8 +18,8 @@
 /// One pool's room, and who waits for it.
 #[derive(Default)]
 pub(super) struct Desk {
-    pub(super) room: RefCell<PoolRoom>,
-    pub(super) waiters: RefCell<HashMap<WaitNumber, oneshot::Sender<Place>>>,
+    pub(super) room: RefCell<PoolAdmission>,
+    pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Place>>>,
     pub(super) looked_at: Cell<Option<MonotonicTime>>,
     /// First tries a second at this node, by priority.
     pub(super) asked: RefCell<Vec<(u8, f64)>>,
@@ -32,7 +32,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.0.room.borrow_mut().sent();
+        self.0.room.borrow_mut().note_sent();
     }
 }
 
--- a/crates/forwarding/src/serve/tenant_shares.rs
+++ b/crates/forwarding/src/serve/tenant_shares.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use dalestand_routes::{Caller, RouteTable};
-use dalestand_routing::room::ShareStanding;
-use dalestand_routing::room::shares::{PoolShares, TenantShare};
-use dalestand_routing::room::shortage::{PoolTries, RoomUnit};
-use dalestand_routing::room::tenant_meters::TenantMeters;
+use dalestand_routing::overload::ShareStanding;
+use dalestand_routing::overload::shares::{PoolShares, TenantShare};
+use dalestand_routing::overload::shortage::{AttemptRates, CapacityUnit};
+use dalestand_routing::overload::tenant_meters::TenantMeters;
 use dalestand_routing::staged::EnginePool;
 use dalestand_routing::{TenantCode, TenantFigures};
 use dalestand_types::{MonotonicTime, PoolName, Revision};
@@ -77,7 +77,7 @@
         let totals = sums.tenants.borrow();
         let age = totals.heard(now).map(|(_, age)| age).min();
         ShareAccount {
-            standing: tenants.shares.admit(now, *tenant, rand::random()),
+            standing: tenants.shares.classify(now, *tenant, rand::random()),
             share,
             age,
         }
@@ -136,9 +136,9 @@
             let slots: f64 = engines.iter().map(|engine| f64::from(engine.slots)).sum();
             let busy_slots = busy_slots(sums, &class.0);
             let serves_prompts = engines.serves_prompts();
-            let unit = RoomUnit::of_pool(serves_prompts, busy_slots, slots);
-            let tries = PoolTries {
-                has_spare_slots: RoomUnit::has_spare_slots(serves_prompts, busy_slots, slots),
+            let unit = CapacityUnit::of_pool(serves_prompts, busy_slots, slots);
+            let tries = AttemptRates {
+                has_idle_slots: CapacityUnit::has_idle_slots(serves_prompts, busy_slots, slots),
                 ..tries(sums, class)
             };
             let totals = sums.tenants.borrow();
@@ -154,7 +154,9 @@
     pub(crate) fn wants_figures(&self, now: MonotonicTime) -> bool {
         let classes = self.classes.borrow();
         now.since(self.refreshed_at.get()) >= SHORTEST_INTERVAL
-            && !classes.values().any(|tenants| tenants.shares.acts(now))
+            && !classes
+                .values()
+                .any(|tenants| tenants.shares.is_enforced(now))
     }
 
     /// Tenants that are over their share, by pool: each once a priority, and all small ones as one.
@@ -162,7 +164,7 @@
         let classes = self.classes.borrow();
         let mut cut = BTreeMap::new();
         for ((pool, _), tenants) in classes.iter() {
-            *cut.entry(pool.clone()).or_default() += tenants.shares.tenants_cut(now);
+            *cut.entry(pool.clone()).or_default() += tenants.shares.limited_tenants(now);
         }
         cut
     }
@@ -204,13 +206,13 @@
 
 /// How requests of a class fare. Those that are refused for being over a share don't count: a class would stay short by
 /// itself.
-fn tries(sums: &FleetSums, class: &ClassKey) -> PoolTries {
+fn tries(sums: &FleetSums, class: &ClassKey) -> AttemptRates {
     let classes = sums.classes.borrow();
     let figures = classes.total(class).copied().unwrap_or_default();
     let refused = f64::from(figures.refused_per_s) - f64::from(figures.over_share_per_s);
-    PoolTries {
+    AttemptRates {
         begun_per_s: f64::from(figures.begun_per_s),
         failed_per_s: refused.max(0.0),
-        has_spare_slots: false,
+        has_idle_slots: false,
     }
 }
--- a/crates/forwarding/src/spread/sums.rs
+++ b/crates/forwarding/src/spread/sums.rs
@@ -9,7 +9,7 @@
     ClassRow, Message, ReportTarget, SlownessRow, SumScope, SummedRows, SumsMessage, TenantRow,
     TenantRows,
 };
-use dalestand_routing::room::tenant_meters::largest;
+use dalestand_routing::overload::tenant_meters::top_tenants;
 use dalestand_routing::staged::LoadSource;
 use tokio::net::UdpSocket;
 
@@ -137,7 +137,7 @@
     }
     let mut messages = Vec::new();
     for ((pool, priority), rows) in classes {
-        let rows = largest(rows).into_iter();
+        let rows = top_tenants(rows).into_iter();
         let rows = rows.map(|(tenant, figures)| TenantRow { tenant, figures });
         let rows: Vec<TenantRow> = rows.collect();
         let chunks = rows.chunks(ROWS_PER_MESSAGE);
--- a/crates/gateway/src/attempt/mod.rs
+++ b/crates/gateway/src/attempt/mod.rs
@@ -13,7 +13,7 @@
 use dalestand_decision::{AttemptOutcome, AttemptRecord, Candidate, NoEngineRecord};
 use dalestand_edge::{AttemptError, Engine as _, FrameStream};
 use dalestand_routing::{
-    AttemptFate, Deadlines, EngineView, FailedAttempt, RetryVerdict, RouteDecision, RoutePhase,
+    Deadlines, EngineView, FailedAttempt, FailureKind, RetryDecision, RouteDecision, RoutePhase,
     RouteRequest,
 };
 use dalestand_types::{
@@ -90,7 +90,7 @@
         request: GenerationRequest,
         repeatable: bool,
     ) -> Self {
-        context.shared.retry_budget().first_attempt();
+        context.shared.retry_budget().record_first_attempt();
         // A request that is resumed has run before.
         let first_position = request.resume_from;
         let may_have_run = first_position > 0;
@@ -292,18 +292,18 @@
         } else {
             self.route.tried.push(choice.engine.engine.clone());
         }
-        self.spend_retry(fate_of(error), error.to_string())
+        self.spend_retry(failure_kind(error), error.to_string())
     }
 
     /// Pays for one more attempt out of the request's and the node's budget.
-    fn spend_retry(&mut self, fate: AttemptFate, reason: String) -> Result<(), CallerError> {
+    fn spend_retry(&mut self, kind: FailureKind, reason: String) -> Result<(), CallerError> {
         let failed = FailedAttempt {
-            fate,
+            kind,
             repeatable: self.repeatable,
             retries: self.retries,
         };
-        let verdict = self.context.shared.retry_budget().decide(&failed);
-        if verdict != RetryVerdict::Retry {
+        let decision = self.context.shared.retry_budget().decide(&failed);
+        if decision != RetryDecision::Retry {
             return Err(self.give_up(reason, REFUSED_RETRY_AFTER));
         }
         self.retries += 1;
@@ -325,11 +325,11 @@
     }
 }
 
-fn fate_of(error: &AttemptError) -> AttemptFate {
+fn failure_kind(error: &AttemptError) -> FailureKind {
     match error {
-        AttemptError::NotSent(_) => AttemptFate::NotSent,
-        _ if error.proves_not_run() => AttemptFate::Refused,
-        _ => AttemptFate::MayHaveRun,
+        AttemptError::NotSent(_) => FailureKind::NotSent,
+        _ if error.proves_not_run() => FailureKind::Refused,
+        _ => FailureKind::MayHaveRun,
     }
 }
 
--- a/crates/lab/src/simulate/node.rs
+++ b/crates/lab/src/simulate/node.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use dalestand_routing::{
-    AttemptFate, Completion, EngineView, FailedAttempt, FleetView, Placement, RetryBudget,
-    RetryBudgetConfig, RetryVerdict, RouteDecision, RouteRequest, Router, RouterConfig, Ticket,
+    Completion, EngineView, FailedAttempt, FailureKind, FleetView, Placement, RetryBudget,
+    RetryBudgetConfig, RetryDecision, RouteDecision, RouteRequest, Router, RouterConfig, Ticket,
 };
 use dalestand_types::{GroupDigest, Incarnation, MonotonicTime, Revision, Role};
 use rand_chacha::ChaCha8Rng;
@@ -184,7 +184,7 @@
 
     /// Notes a request's first attempt.
     pub(crate) fn first_attempt(&mut self) {
-        self.retries.first_attempt();
+        self.retries.record_first_attempt();
     }
 
     /// Whether a request that an engine refused is sent to another one.
@@ -193,11 +193,11 @@
             return retries < USUAL_RETRIES;
         }
         let attempt = FailedAttempt {
-            fate: AttemptFate::Refused,
+            kind: FailureKind::Refused,
             repeatable,
             retries,
         };
-        self.retries.decide(&attempt) == RetryVerdict::Retry
+        self.retries.decide(&attempt) == RetryDecision::Retry
     }
 
     /// Notes a first token.
--- a/crates/routing/src/call_counts.rs
+++ b/crates/routing/src/call_counts.rs
@@ -14,13 +14,13 @@
 
 /// What is known of a call once it is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallArrival {
+pub enum CallOutcome {
     /// The engine took it up.
-    TakenUp,
+    Accepted,
     /// The engine refused it, or nothing shows that it took it up.
-    NotTakenUp,
+    NotAccepted,
     /// Nothing of it reached the engine.
-    NotArrived,
+    NotDelivered,
 }
 
 /// The calls of one request.
@@ -40,15 +40,15 @@
     }
 
     /// Notes how a call came out; whether it does not count, so that what was taken for it is given back.
-    pub fn came_out(&mut self, purpose: CallPurpose, arrival: CallArrival) -> bool {
+    pub fn record(&mut self, purpose: CallPurpose, outcome: CallOutcome) -> bool {
         let is_first_prefill = purpose == CallPurpose::Prefill && !self.is_prefilled;
-        match arrival {
-            CallArrival::NotArrived => true,
-            CallArrival::TakenUp if is_first_prefill => {
+        match outcome {
+            CallOutcome::NotDelivered => true,
+            CallOutcome::Accepted if is_first_prefill => {
                 self.is_prefilled = true;
                 true
             }
-            CallArrival::TakenUp | CallArrival::NotTakenUp => {
+            CallOutcome::Accepted | CallOutcome::NotAccepted => {
                 self.counted += 1;
                 false
             }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -12,10 +12,10 @@
 mod figures;
 mod learning;
 mod node_count;
+pub mod overload;
 mod prefix;
 mod request;
 mod retry_budget;
-pub mod room;
 mod router;
 mod sample;
 pub mod shared_rate;
@@ -28,7 +28,7 @@
 mod view;
 
 pub use admission::aged_priority;
-pub use call_counts::{CallArrival, CallCounts, CallPurpose};
+pub use call_counts::{CallCounts, CallOutcome, CallPurpose};
 pub use class_meter::{ClassMeter, FadingRate};
 pub use config::RouterConfig;
 pub use figures::{ClassFigures, SlownessFigures, TenantCode, TenantFigures, WorkKind, WorkRate};
@@ -38,10 +38,10 @@
 pub use request::{
     Deadlines, Expected, Placement, RouteDecision, RoutePhase, RouteRefusal, RouteRequest,
 };
-pub use retry_budget::{AttemptFate, FailedAttempt, RetryBudget, RetryBudgetConfig, RetryVerdict};
+pub use retry_budget::{FailedAttempt, FailureKind, RetryBudget, RetryBudgetConfig, RetryDecision};
 pub use router::Router;
-pub use shared_retry_budget::{RepeatedSend, SharedRetryBudget, SharedRetryTerms};
-pub use source_sums::{Figures, SourceSums};
+pub use shared_retry_budget::{RepeatedSend, SharedRetryBudget, SharedRetryLimits};
+pub use source_sums::{SourceSums, Summable};
 pub use tenant_limits::{TenantDemand, TenantLimits, TenantRule, TenantTotals, summing_node};
 pub use track::{Completion, Ticket};
 pub use view::{EngineView, FleetView};
--- a/crates/routing/src/room/order.rs
+++ b/crates/routing/src/overload/class_scheduler.rs
@@ -11,34 +11,34 @@
 
 /// Least part of the releases that a class which waits gets, whatever waits of more urgent ones. With more than
 /// twenty classes each gets its even part.
-pub const LEAST_SHARE: f64 = 0.05;
+pub const MIN_CLASS_SHARE: f64 = 0.05;
 
 /// A request's claim on a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct QueueEntry {
     /// Importance; 0 is the highest.
     pub priority: u8,
     /// Whether its tenant is within its share.
     pub standing: ShareStanding,
     /// Until when a place lets it be answered in time.
-    pub in_time_until: MonotonicTime,
+    pub on_time_until: MonotonicTime,
     /// Until when a place lets it be answered at all.
-    pub hopeless_from: MonotonicTime,
+    pub expires_at: MonotonicTime,
 }
 
 /// Which class goes next: the most urgent one, but for the least share of the others.
 #[derive(Clone, Debug, Default)]
-pub struct ClassTurns {
+pub struct ClassScheduler {
     /// Releases owed to each class that waits.
     owed: BTreeMap<u8, f64>,
 }
 
-impl ClassTurns {
+impl ClassScheduler {
     /// The class that goes next among those that wait, which come in the order of urgency.
     pub fn next(&mut self, waiting: &[u8]) -> Option<u8> {
         let first = *waiting.first()?;
         self.owed.retain(|class, _| waiting.contains(class));
-        let share = LEAST_SHARE.min(1.0 / waiting.len() as f64);
+        let share = MIN_CLASS_SHARE.min(1.0 / waiting.len() as f64);
         for class in waiting {
             *self.owed.entry(*class).or_default() += share;
         }
--- a/crates/routing/src/room/pool_room.rs
+++ b/crates/routing/src/overload/pool_admission.rs
@@ -5,10 +5,10 @@
 use dalestand_types::MonotonicTime;
 
 use super::ShareStanding;
-use super::account::{Fill, PoolLoad, RoomAccount};
-use super::order::{Claim, LEAST_SHARE};
-use super::queue::{RoomQueue, WaitNumber};
-use super::returns::{RETURN_SHARE, ReturnBounds, ReturnSchedule, ReturnSlot};
+use super::class_scheduler::{MIN_CLASS_SHARE, QueueEntry};
+use super::queue::{AdmissionQueue, WaiterId};
+use super::retry_after::{RETURN_SHARE, RetryAfterBounds, RetryAfterSchedule, RetryAfterSlot};
+use super::room_account::{CapacityFactor, PoolLoad, RoomAccount};
 use crate::staged::{Expectation, TimeBounds};
 
 /// Share of the time left that may be planned with: expectations err, and an answer that comes after the deadline has
@@ -30,7 +30,7 @@
 
 /// A request that wants a place.
 #[derive(Clone, Copy, Debug)]
-pub struct RoomRequest {
+pub struct AdmissionRequest {
     /// Importance; 0 is the highest.
     pub priority: u8,
     /// Whether its tenant is within its share.
@@ -40,13 +40,13 @@
     /// What is expected of it at an engine.
     pub expected: Expectation,
     /// First tries a second of more urgent requests, at this node.
-    pub urgent_per_s: f64,
+    pub more_urgent_per_s: f64,
 }
 
-impl RoomRequest {
+impl AdmissionRequest {
     /// The claim that it has at `now`. Its objective is that of an answer, so what it takes at the engine is taken
     /// off. One that takes longer than that by itself is not late because of the load: it may wait as long as others.
-    fn claim(&self, now: MonotonicTime) -> Claim {
+    fn claim(&self, now: MonotonicTime) -> QueueEntry {
         let left_s = self.bounds.left.as_secs_f64() * PLANNED_SHARE - self.expected.whole_s;
         let wanted_s = self.bounds.objective.as_secs_f64() * IN_TIME_SHARE;
         let own_s = self.expected.whole_s - self.expected.queue_s;
@@ -57,11 +57,11 @@
         } else {
             wanted_s
         };
-        Claim {
+        QueueEntry {
             priority: self.priority,
             standing: self.standing,
-            in_time_until: now + seconds(in_time_s.min(left_s)),
-            hopeless_from: now + seconds(left_s),
+            on_time_until: now + seconds(in_time_s.min(left_s)),
+            expires_at: now + seconds(left_s),
         }
     }
 }
@@ -72,22 +72,22 @@
 
 /// What becomes of a request that comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum AdmissionOutcome {
     /// It goes to an engine, as without an account: the pool is not short, or not known.
     Ungated,
     /// It has a place.
     Placed,
     /// It waits, for this time at most.
-    Waits(WaitNumber, Duration),
+    Queued(WaiterId, Duration),
     /// It cannot be served in its time.
-    Refused(ReturnSlot),
+    Refused(RetryAfterSlot),
 }
 
 /// A decision, with what decided it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RoomDecision {
+pub struct AdmissionDecision {
     /// What becomes of the request.
-    pub arrival: Arrival,
+    pub outcome: AdmissionOutcome,
     /// The account, where there was one.
     pub account: Option<RoomAccount>,
     /// Requests that waited here.
@@ -96,23 +96,25 @@
 
 /// Room of one pool at one node.
 #[derive(Clone, Debug, Default)]
-pub struct PoolRoom {
+pub struct PoolAdmission {
     account: Option<RoomAccount>,
-    fill: Option<Fill>,
+    capacity_factor: Option<CapacityFactor>,
     is_short: bool,
-    queue: RoomQueue,
-    returns: ReturnSchedule<()>,
+    queue: AdmissionQueue,
+    returns: RetryAfterSchedule<()>,
     /// Requests that have a place and have not been sent.
     placed: u32,
 }
 
-impl PoolRoom {
+impl PoolAdmission {
     /// Brings the account up to what the node knows now. Whether the pool became short, or ceased to be.
-    pub fn look(&mut self, now: MonotonicTime, load: &PoolLoad) -> bool {
-        let fill = self.fill.get_or_insert(Fill::whole(now));
-        self.account = RoomAccount::of(load, *fill);
+    pub fn update(&mut self, now: MonotonicTime, load: &PoolLoad) -> bool {
+        let factor = self
+            .capacity_factor
+            .get_or_insert(CapacityFactor::full(now));
+        self.account = RoomAccount::of(load, *factor);
         if let Some(account) = &self.account {
-            fill.follow(now, account.refused_share);
+            factor.update(now, account.refused_share);
         }
         let was_short = self.is_short;
         let waiting = self.queue.len();
@@ -137,42 +139,42 @@
     }
 
     /// Decides about a request; `own_taken` are the requests of this node at the pool's engines.
-    pub fn arrives(
+    pub fn decide(
         &mut self,
         now: MonotonicTime,
-        request: &RoomRequest,
+        request: &AdmissionRequest,
         own_taken: u32,
-    ) -> RoomDecision {
+    ) -> AdmissionDecision {
         let waiting = self.queue.len();
         let account = self.account.filter(|_| self.is_short);
-        let arrival = match &account {
-            None => Arrival::Ungated,
-            Some(account) => self.arrives_short(now, request, own_taken, account),
+        let outcome = match &account {
+            None => AdmissionOutcome::Ungated,
+            Some(account) => self.decide_when_short(now, request, own_taken, account),
         };
-        RoomDecision {
-            arrival,
+        AdmissionDecision {
+            outcome,
             account,
             waiting,
         }
     }
 
-    fn arrives_short(
+    fn decide_when_short(
         &mut self,
         now: MonotonicTime,
-        request: &RoomRequest,
+        request: &AdmissionRequest,
         own_taken: u32,
         account: &RoomAccount,
-    ) -> Arrival {
+    ) -> AdmissionOutcome {
         if self.queue.is_empty() && self.has_place(own_taken) {
             self.placed += 1;
-            return Arrival::Placed;
+            return AdmissionOutcome::Placed;
         }
         let claim = request.claim(now);
         if self.can_be_served(now, request, &claim, account) && self.queue.len() < MOST_WAITING {
             let number = self.queue.enter(now, claim);
-            Arrival::Waits(number, claim.hopeless_from.since(now))
+            AdmissionOutcome::Queued(number, claim.expires_at.since(now))
         } else {
-            Arrival::Refused(self.refused(now, request))
+            AdmissionOutcome::Refused(self.retry_slot(now, request))
         }
     }
 
@@ -182,32 +184,32 @@
     fn can_be_served(
         &self,
         now: MonotonicTime,
-        request: &RoomRequest,
-        claim: &Claim,
+        request: &AdmissionRequest,
+        claim: &QueueEntry,
         account: &RoomAccount,
     ) -> bool {
         let ahead = self.queue.ahead(claim);
-        let least_per_s = account.own_freed_per_s * LEAST_SHARE;
-        let in_time_per_s = (account.own_freed_per_s - request.urgent_per_s).max(least_per_s);
+        let least_per_s = account.own_freed_per_s * MIN_CLASS_SHARE;
+        let in_time_per_s = (account.own_freed_per_s - request.more_urgent_per_s).max(least_per_s);
         let fits = |ahead: usize, per_s: f64, until: MonotonicTime| {
             let wait_s = (ahead + 1) as f64 / per_s;
             wait_s <= until.since(now).as_secs_f64()
         };
         let returning_per_s = in_time_per_s * RETURN_SHARE;
-        fits(ahead.in_time, in_time_per_s, claim.in_time_until)
-            || fits(ahead.returning, returning_per_s, claim.in_time_until)
-            || fits(ahead.late, in_time_per_s, claim.hopeless_from)
+        fits(ahead.in_time, in_time_per_s, claim.on_time_until)
+            || fits(ahead.returning, returning_per_s, claim.on_time_until)
+            || fits(ahead.late, in_time_per_s, claim.expires_at)
     }
 
     /// The slot of a request that is refused.
-    pub fn refused(&mut self, now: MonotonicTime, request: &RoomRequest) -> ReturnSlot {
+    pub fn retry_slot(&mut self, now: MonotonicTime, request: &AdmissionRequest) -> RetryAfterSlot {
         let freed_per_s = self.account.map_or(0.0, |account| account.own_freed_per_s);
-        let bounds = ReturnBounds {
+        let bounds = RetryAfterBounds {
             shortest: SHORTEST_RETURN,
             longest: request.bounds.left.mul_f64(RETURN_WITHIN),
         };
         let returns = &mut self.returns;
-        returns.refused(now, &(), request.priority, freed_per_s, bounds)
+        returns.assign(now, &(), request.priority, freed_per_s, bounds)
     }
 
     fn has_place(&self, own_taken: u32) -> bool {
@@ -218,7 +220,7 @@
     }
 
     /// The request that takes a place which is free; all go one after another once the pool is not short any more.
-    pub fn release(&mut self, now: MonotonicTime, own_taken: u32) -> Option<WaitNumber> {
+    pub fn release(&mut self, now: MonotonicTime, own_taken: u32) -> Option<WaiterId> {
         if self.queue.is_empty() || !self.has_place(own_taken) {
             return None;
         }
@@ -228,12 +230,12 @@
     }
 
     /// Notes that a request that had a place was sent, or will not be.
-    pub fn sent(&mut self) {
+    pub fn note_sent(&mut self) {
         self.placed = self.placed.saturating_sub(1);
     }
 
     /// Takes a request out that waits no longer.
-    pub fn leaves(&mut self, number: WaitNumber) {
+    pub fn remove(&mut self, number: WaiterId) {
         self.queue.leave(number);
     }
 }
--- a/crates/routing/src/room/queue.rs
+++ b/crates/routing/src/overload/queue.rs
@@ -8,22 +8,22 @@
 use dalestand_types::MonotonicTime;
 
 use super::ShareStanding;
-use super::order::{Claim, ClassTurns};
-use super::returns::RETURN_SHARE;
+use super::class_scheduler::{ClassScheduler, QueueEntry};
+use super::retry_after::RETURN_SHARE;
 
 /// Names a request that waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct WaitNumber(u64);
+pub struct WaiterId(u64);
 
 /// Place of a request among those of its class: tenants within their share first, then by when it must be sent.
-type Place = (ShareStanding, MonotonicTime, WaitNumber);
+type Place = (ShareStanding, MonotonicTime, WaiterId);
 
-fn in_time_place(claim: &Claim, number: WaitNumber) -> Place {
-    (claim.standing, claim.in_time_until, number)
+fn in_time_place(claim: &QueueEntry, number: WaiterId) -> Place {
+    (claim.standing, claim.on_time_until, number)
 }
 
-fn late_place(claim: &Claim, number: WaitNumber) -> Place {
-    (claim.standing, claim.hopeless_from, number)
+fn late_place(claim: &QueueEntry, number: WaiterId) -> Place {
+    (claim.standing, claim.expires_at, number)
 }
 
 /// Requests of one class.
@@ -40,8 +40,8 @@
 }
 
 impl ClassQueue {
-    fn insert(&mut self, claim: &Claim, number: WaitNumber, now: MonotonicTime) {
-        if claim.in_time_until > now {
+    fn insert(&mut self, claim: &QueueEntry, number: WaiterId, now: MonotonicTime) {
+        if claim.on_time_until > now {
             self.in_time.insert(in_time_place(claim, number));
             self.returning.insert(late_place(claim, number));
         } else {
@@ -49,13 +49,13 @@
         }
     }
 
-    fn remove(&mut self, claim: &Claim, number: WaitNumber) {
+    fn remove(&mut self, claim: &QueueEntry, number: WaiterId) {
         self.in_time.remove(&in_time_place(claim, number));
         self.returning.remove(&late_place(claim, number));
         self.late.remove(&late_place(claim, number));
     }
 
-    fn next(&mut self) -> Option<WaitNumber> {
+    fn next(&mut self) -> Option<WaiterId> {
         self.owed += RETURN_SHARE;
         let place = if self.owed >= 1.0 {
             self.owed -= 1.0;
@@ -73,16 +73,16 @@
 
 /// The queue.
 #[derive(Clone, Debug, Default)]
-pub struct RoomQueue {
+pub struct AdmissionQueue {
     classes: BTreeMap<u8, ClassQueue>,
-    claims: BTreeMap<WaitNumber, Claim>,
-    turns: ClassTurns,
+    claims: BTreeMap<WaiterId, QueueEntry>,
+    turns: ClassScheduler,
     next_number: u64,
 }
 
 /// Requests that stand before a claim.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ahead {
+pub struct QueuedAhead {
     /// Those before it if it can be answered in time.
     pub in_time: usize,
     /// Those before it if it can, and goes by the time that it has left.
@@ -91,7 +91,7 @@
     pub late: usize,
 }
 
-impl RoomQueue {
+impl AdmissionQueue {
     /// Requests that wait.
     pub fn len(&self) -> usize {
         self.claims.len()
@@ -109,23 +109,23 @@
     }
 
     /// Requests that stand before a claim that is made now.
-    pub fn ahead(&self, claim: &Claim) -> Ahead {
+    pub fn ahead(&self, claim: &QueueEntry) -> QueuedAhead {
         let urgent = self.classes.range(..claim.priority);
         let urgent: usize = urgent
             .map(|(_, class)| class.in_time.len() + class.late.len())
             .sum();
         let Some(class) = self.classes.get(&claim.priority) else {
-            return Ahead {
+            return QueuedAhead {
                 in_time: urgent,
                 returning: urgent,
                 late: urgent,
             };
         };
-        let last = WaitNumber(u64::MAX);
+        let last = WaiterId(u64::MAX);
         let in_time = class.in_time.range(..in_time_place(claim, last));
         let returning = class.returning.range(..late_place(claim, last));
         let late = class.late.range(..late_place(claim, last));
-        Ahead {
+        QueuedAhead {
             in_time: urgent + in_time.count(),
             returning: urgent + returning.count(),
             late: urgent + class.in_time.len() + late.count(),
@@ -133,8 +133,8 @@
     }
 
     /// Takes a request in.
-    pub fn enter(&mut self, now: MonotonicTime, claim: Claim) -> WaitNumber {
-        let number = WaitNumber(self.next_number);
+    pub fn enter(&mut self, now: MonotonicTime, claim: QueueEntry) -> WaiterId {
+        let number = WaiterId(self.next_number);
         self.next_number += 1;
         let class = self.classes.entry(claim.priority).or_default();
         class.insert(&claim, number, now);
@@ -143,7 +143,7 @@
     }
 
     /// Takes a request out that no longer waits.
-    pub fn leave(&mut self, number: WaitNumber) {
+    pub fn leave(&mut self, number: WaiterId) {
         let Some(claim) = self.claims.remove(&number) else {
             return;
         };
@@ -156,7 +156,7 @@
     }
 
     /// The request that takes the next place. Those for which it would be too late are passed over.
-    pub fn release(&mut self, now: MonotonicTime) -> Option<WaitNumber> {
+    pub fn release(&mut self, now: MonotonicTime) -> Option<WaiterId> {
         self.sort_out(now);
         let waiting: Vec<u8> = self.classes.keys().copied().collect();
         let priority = self.turns.next(&waiting)?;
@@ -168,7 +168,7 @@
     /// Puts those that can no longer be answered in time behind, and takes those out that no place helps any more.
     fn sort_out(&mut self, now: MonotonicTime) {
         let hopeless = self.claims.iter();
-        let hopeless = hopeless.filter(|(_, claim)| claim.hopeless_from <= now);
+        let hopeless = hopeless.filter(|(_, claim)| claim.expires_at <= now);
         for number in hopeless.map(|(number, _)| *number).collect::<Vec<_>>() {
             self.leave(number);
         }
--- a/crates/routing/src/room/returns.rs
+++ b/crates/routing/src/overload/retry_after.rs
@@ -18,16 +18,16 @@
 
 /// When a refused caller may come back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReturnSlot {
+pub enum RetryAfterSlot {
     /// It has a slot after this time.
     After(Duration),
     /// There is none that it can wait for; the next one would be after this time.
     NoneWithin(Duration),
 }
 
-impl ReturnSlot {
+impl RetryAfterSlot {
     /// The time that the caller is told.
-    pub fn told(self) -> Duration {
+    pub fn delay(self) -> Duration {
         match self {
             Self::After(time) | Self::NoneWithin(time) => time,
         }
@@ -36,7 +36,7 @@
 
 /// For how long a caller can be asked to stay away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReturnBounds {
+pub struct RetryAfterBounds {
     /// No sooner.
     pub shortest: Duration,
     /// No later: it will not wait, or not be served, after that.
@@ -45,12 +45,12 @@
 
 /// Slots of refused callers, by what they compete for.
 #[derive(Clone, Debug)]
-pub struct ReturnSchedule<K> {
+pub struct RetryAfterSchedule<K> {
     /// Earliest next slot by priority.
     next: HashMap<K, BTreeMap<u8, MonotonicTime>>,
 }
 
-impl<K> Default for ReturnSchedule<K> {
+impl<K> Default for RetryAfterSchedule<K> {
     fn default() -> Self {
         Self {
             next: HashMap::new(),
@@ -58,24 +58,24 @@
     }
 }
 
-impl<K: Clone + Eq + Hash> ReturnSchedule<K> {
+impl<K: Clone + Eq + Hash> RetryAfterSchedule<K> {
     /// Gives a refused caller of this priority (0 is the most urgent) a slot, where places come free at `freed_per_s`.
     /// It takes none away from others if it cannot wait for it.
-    pub fn refused(
+    pub fn assign(
         &mut self,
         now: MonotonicTime,
         key: &K,
         priority: u8,
         freed_per_s: f64,
-        bounds: ReturnBounds,
-    ) -> ReturnSlot {
+        bounds: RetryAfterBounds,
+    ) -> RetryAfterSlot {
         let rate = freed_per_s.max(LOWEST_RATE) * RETURN_SHARE;
         let next = self.next.entry(key.clone()).or_default();
         let urgent = next.range(..=priority).map(|(_, slot)| *slot).max();
         let slot = urgent.unwrap_or_default().max(now + bounds.shortest);
         let wait = slot.since(now);
         if wait >= bounds.longest {
-            return ReturnSlot::NoneWithin(wait);
+            return RetryAfterSlot::NoneWithin(wait);
         }
         let gap = Duration::from_secs_f64(1.0 / rate);
         next.insert(priority, slot + gap);
@@ -83,6 +83,6 @@
             *behind = *behind + gap;
         }
         next.retain(|_, slot| *slot > now);
-        ReturnSlot::After(wait)
+        RetryAfterSlot::After(wait)
     }
 }
--- a/crates/routing/src/room/account.rs
+++ b/crates/routing/src/overload/room_account.rs
@@ -54,7 +54,7 @@
     /// What all nodes count of it.
     pub all: ClassFigures,
     /// Age of what others counted; `None` where no other node was heard.
-    pub heard: Option<Duration>,
+    pub figures_age: Option<Duration>,
     /// Nodes, this one among them.
     pub nodes: usize,
 }
@@ -83,12 +83,12 @@
 impl RoomAccount {
     /// The account by what a node knows, where engines are given `fill` of the assumed places. `None` where it knows
     /// too little: it is alone, hears no other node, or knows one engine at most, so that there is nothing to share.
-    pub fn of(load: &PoolLoad, fill: Fill) -> Option<Self> {
-        let heard = load.heard?;
+    pub fn of(load: &PoolLoad, factor: CapacityFactor) -> Option<Self> {
+        let heard = load.figures_age?;
         if load.nodes < 2 || load.engines < 2 || load.slots == 0 {
             return None;
         }
-        let places = f64::from(load.slots) * REQUESTS_A_SLOT * fill.share;
+        let places = f64::from(load.slots) * REQUESTS_A_SLOT * factor.value;
         let taken = f64::from(load.taken);
         let part = part(load);
         let own_taken = f64::from(load.own_taken);
@@ -140,34 +140,34 @@
 
 /// Share of the assumed places that engines are given. It falls while they refuse calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fill {
-    share: f64,
-    looked_at: MonotonicTime,
+pub struct CapacityFactor {
+    value: f64,
+    updated_at: MonotonicTime,
 }
 
-impl Fill {
+impl CapacityFactor {
     /// All assumed places, as of `now`.
-    pub fn whole(now: MonotonicTime) -> Self {
+    pub fn full(now: MonotonicTime) -> Self {
         Self {
-            share: 1.0,
-            looked_at: now,
+            value: 1.0,
+            updated_at: now,
         }
     }
 
     /// Follows the share of the calls that engines refused until `now`.
-    pub fn follow(&mut self, now: MonotonicTime, refused_share: f64) {
-        let passed_s = now.since(self.looked_at).min(LONGEST_STEP).as_secs_f64();
-        self.looked_at = now;
+    pub fn update(&mut self, now: MonotonicTime, refused_share: f64) {
+        let passed_s = now.since(self.updated_at).min(LONGEST_STEP).as_secs_f64();
+        self.updated_at = now;
         let a_second = if refused_share > REFUSED_SHARE {
             SHRINK_A_SECOND
         } else {
             GROWTH_A_SECOND
         };
-        self.share = (self.share * a_second.powf(passed_s)).clamp(LEAST_FILL, 1.0);
+        self.value = (self.value * a_second.powf(passed_s)).clamp(LEAST_FILL, 1.0);
     }
 
     /// The share.
-    pub fn share(&self) -> f64 {
-        self.share
+    pub fn value(&self) -> f64 {
+        self.value
     }
 }
--- a/crates/routing/src/room/shares.rs
+++ b/crates/routing/src/overload/shares.rs
@@ -10,7 +10,7 @@
 use dalestand_types::MonotonicTime;
 
 use super::ShareStanding;
-use super::shortage::{PoolTries, RoomUnit, Shortage};
+use super::shortage::{AttemptRates, CapacityUnit, ShortageDetector};
 use crate::figures::{TenantCode, TenantFigures};
 
 /// Shares older than this decide nothing: they come four times a second, and demand turns within three seconds.
@@ -46,7 +46,7 @@
 
     /// Time after which the share has caught up with what was asked, within a third of what the caller has `left`.
     /// Callers that are refused together are spread by `draw`, from 0 to 1.
-    pub fn catches_up_in(self, left: Duration, draw: f64) -> Duration {
+    pub fn retry_after(self, left: Duration, draw: f64) -> Duration {
         let behind = 1.0 / self.part().max(f64::MIN_POSITIVE) - 1.0;
         let longest_s = left.as_secs_f64() * RETURN_SHARE;
         let wait_s = (CATCHES_UP_IN.as_secs_f64() * behind).min(longest_s);
@@ -64,7 +64,7 @@
 }
 
 /// The service of each unit of weight up to which demands are filled from `room`; `None` if there is enough for all.
-pub fn fair_level(demands: &[WeightedDemand], room: f64) -> Option<f64> {
+pub fn max_min_level(demands: &[WeightedDemand], room: f64) -> Option<f64> {
     let mut demands = demands.to_vec();
     demands.sort_by(|one, other| (one.per_s / one.weight).total_cmp(&(other.per_s / other.weight)));
     let mut weight: f64 = demands.iter().map(|demand| demand.weight).sum();
@@ -89,7 +89,7 @@
     named: HashMap<TenantCode, TenantShare>,
     /// Requests that may pass, by tenant, in parts of one.
     credits: HashMap<TenantCode, f64>,
-    shortage: Shortage,
+    shortage: ShortageDetector,
     worked_out_at: MonotonicTime,
 }
 
@@ -98,8 +98,8 @@
     pub fn refresh(
         &mut self,
         now: MonotonicTime,
-        unit: RoomUnit,
-        tries: PoolTries,
+        unit: CapacityUnit,
+        tries: AttemptRates,
         figures: &HashMap<TenantCode, TenantFigures>,
         weight: impl Fn(TenantCode) -> f64,
     ) {
@@ -124,7 +124,7 @@
             },
         };
         let demands: Vec<WeightedDemand> = asked.iter().map(weighted).collect();
-        let Some(level) = fair_level(&demands, room) else {
+        let Some(level) = max_min_level(&demands, room) else {
             self.shortage.ends();
             self.credits.clear();
             return;
@@ -144,18 +144,22 @@
     }
 
     /// Whether the shares decide anything.
-    pub fn acts(&self, now: MonotonicTime) -> bool {
+    pub fn is_enforced(&self, now: MonotonicTime) -> bool {
         !self.cut.is_empty() && now.since(self.worked_out_at) < SHARES_HOLD
     }
 
     /// Tenants that are cut, with all small ones for one.
-    pub fn tenants_cut(&self, now: MonotonicTime) -> usize {
-        if self.acts(now) { self.cut.len() } else { 0 }
+    pub fn limited_tenants(&self, now: MonotonicTime) -> usize {
+        if self.is_enforced(now) {
+            self.cut.len()
+        } else {
+            0
+        }
     }
 
     /// The share of a tenant, where shares decide anything; that of all small ones for one that is not named.
     pub fn share(&self, now: MonotonicTime, tenant: TenantCode) -> Option<TenantShare> {
-        if !self.acts(now) {
+        if !self.is_enforced(now) {
             return None;
         }
         let is_named = self.cut.contains_key(&tenant) || self.named.contains_key(&tenant);
@@ -167,7 +171,7 @@
     /// How a request of `tenant` stands against its share. All nodes let the same part of a tenant's requests pass, so
     /// each keeps its part of the share by its part of the demand. Where a tenant's first one stands is drawn
     /// (`draw`, from 0 to 1): many nodes that are each asked a little would let all first ones pass.
-    pub fn admit(&mut self, now: MonotonicTime, tenant: TenantCode, draw: f64) -> ShareStanding {
+    pub fn classify(&mut self, now: MonotonicTime, tenant: TenantCode, draw: f64) -> ShareStanding {
         let Some(share) = self.share(now, tenant).filter(|share| share.part() < 1.0) else {
             return ShareStanding::Within;
         };
--- a/crates/routing/src/room/shortage.rs
+++ b/crates/routing/src/overload/shortage.rs
@@ -31,7 +31,7 @@
 
 /// What a pool is short of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum RoomUnit {
+pub enum CapacityUnit {
     /// Time of its engines' slots.
     #[default]
     SlotTime,
@@ -39,7 +39,7 @@
     PromptTokens,
 }
 
-impl RoomUnit {
+impl CapacityUnit {
     /// The unit of a pool with so many slots of which so many are taken.
     pub fn of_pool(serves_prompts: bool, busy_slots: f64, slots: f64) -> Self {
         if serves_prompts && busy_slots < slots * SLOTS_SHORT_FROM {
@@ -51,7 +51,7 @@
 
     /// Whether slots of a pool that serves no prompts stand empty: what its engines refuse meanwhile they refuse for the
     /// moment at which it came, and another engine has room for it. Prompts are short of more than slots.
-    pub fn has_spare_slots(serves_prompts: bool, busy_slots: f64, slots: f64) -> bool {
+    pub fn has_idle_slots(serves_prompts: bool, busy_slots: f64, slots: f64) -> bool {
         !serves_prompts && busy_slots < slots * SLOTS_SHORT_FROM
     }
 
@@ -65,24 +65,24 @@
 
 /// How requests of a pool fare, by all nodes, as means over the last seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct PoolTries {
+pub struct AttemptRates {
     /// Requests a second that engines began.
     pub begun_per_s: f64,
     /// Requests a second that no engine took and that would have been late. Calls that an engine refused and another
     /// took don't count: they follow from the choice of engines as well.
     pub failed_per_s: f64,
     /// Whether slots of engines stand empty all the same.
-    pub has_spare_slots: bool,
+    pub has_idle_slots: bool,
 }
 
-impl PoolTries {
+impl AttemptRates {
     /// What came since the rates were `former`, a time `passed` ago.
     fn since(self, former: Self, passed: Duration) -> Self {
         let kept = (-passed.as_secs_f64() / RATE_TIME_S).exp();
         Self {
             begun_per_s: (self.begun_per_s - former.begun_per_s * kept).max(0.0),
             failed_per_s: (self.failed_per_s - former.failed_per_s * kept).max(0.0),
-            has_spare_slots: self.has_spare_slots,
+            has_idle_slots: self.has_idle_slots,
         }
     }
 
@@ -98,7 +98,7 @@
     /// Room for one unit that is served: more the fewer tries fail, and the most while slots stand empty. Requests of a
     /// tenant that is cut try one engine only, so that a few engines which refuse would keep it cut for ever.
     fn growth(self) -> f64 {
-        if self.has_spare_slots {
+        if self.has_idle_slots {
             return 1.0 + MOST_GROWTH;
         }
         1.0 + MOST_GROWTH * (1.0 - self.failing_part() / SHORT_FROM).max(0.0)
@@ -107,16 +107,16 @@
 
 /// Follows whether a pool is short.
 #[derive(Clone, Debug, Default)]
-pub struct Shortage {
+pub struct ShortageDetector {
     /// Tries of the last time.
-    seen: VecDeque<(MonotonicTime, PoolTries)>,
+    seen: VecDeque<(MonotonicTime, AttemptRates)>,
     /// The most units a second that engines served since the pool turned short; `None` while it isn't.
     most_begun: Option<f64>,
 }
 
-impl Shortage {
+impl ShortageDetector {
     /// The room of the pool in units a second, if it is short. `begun` are the units a second that engines serve.
-    pub fn room(&mut self, now: MonotonicTime, tries: PoolTries, begun: f64) -> Option<f64> {
+    pub fn room(&mut self, now: MonotonicTime, tries: AttemptRates, begun: f64) -> Option<f64> {
         let newest = self.newest_tries(now, tries);
         // Nothing served says nothing of how much could be.
         if begun <= 0.0 {
@@ -138,8 +138,8 @@
     }
 
     /// The tries of the last time out of the means over a longer one.
-    fn newest_tries(&mut self, now: MonotonicTime, tries: PoolTries) -> PoolTries {
-        let is_old = |seen: &(MonotonicTime, PoolTries)| now.since(seen.0) > TRIES_COUNT;
+    fn newest_tries(&mut self, now: MonotonicTime, tries: AttemptRates) -> AttemptRates {
+        let is_old = |seen: &(MonotonicTime, AttemptRates)| now.since(seen.0) > TRIES_COUNT;
         while self.seen.front().is_some_and(is_old) {
             self.seen.pop_front();
         }
--- a/crates/routing/src/room/tenant_meters.rs
+++ b/crates/routing/src/overload/tenant_meters.rs
@@ -12,10 +12,10 @@
 
 /// Tenants of one pool that are named among its figures, the largest. The others are small beside them: together with
 /// those of other nodes they are one row.
-pub const TENANTS_NAMED: usize = 64;
+pub const MAX_NAMED_TENANTS: usize = 64;
 
 /// Tenants that are counted by themselves until the next figures: a small one may turn large meanwhile.
-const TENANTS_COUNTED: usize = 4 * TENANTS_NAMED;
+const TENANTS_COUNTED: usize = 4 * MAX_NAMED_TENANTS;
 
 /// Requests or begun answers a second below which a tenant is forgotten: none came for many seconds.
 const LEAST_COUNTED_PER_S: f64 = 1e-3;
@@ -102,7 +102,7 @@
         self.tenants.retain(|_, meter| !meter.is_silent(now));
         let rows = self.tenants.iter();
         let rows = rows.map(|(code, meter)| (*code, meter.figures(now, usual_slot_s)));
-        let named = largest(rows.collect());
+        let named = top_tenants(rows.collect());
         let is_named = |code: &TenantCode| named.iter().any(|(named, _)| named == code);
         let others = &mut self.others;
         self.tenants.retain(|code, meter| {
@@ -144,7 +144,7 @@
 }
 
 /// The rows of the tenants that ask most, with one that adds up all others.
-pub fn largest(mut rows: Vec<(TenantCode, TenantFigures)>) -> Vec<(TenantCode, TenantFigures)> {
+pub fn top_tenants(mut rows: Vec<(TenantCode, TenantFigures)>) -> Vec<(TenantCode, TenantFigures)> {
     let mut others = TenantFigures::default();
     let mut all = TenantFigures::default();
     rows.retain(|(code, figures)| {
@@ -155,13 +155,13 @@
         }
         is_named
     });
-    if rows.len() > TENANTS_NAMED {
+    if rows.len() > MAX_NAMED_TENANTS {
         let part = |figures: &TenantFigures| part_of(figures.asked, all.asked);
         rows.sort_by(|(one_code, one), (other_code, other)| {
             let by_demand = part(other).total_cmp(&part(one));
             by_demand.then_with(|| one_code.cmp(other_code))
         });
-        for (_, figures) in rows.drain(TENANTS_NAMED..) {
+        for (_, figures) in rows.drain(MAX_NAMED_TENANTS..) {
             others += &figures;
         }
     }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -26,7 +26,7 @@
 
 /// What is known of an attempt that failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptFate {
+pub enum FailureKind {
     /// No byte was sent.
     NotSent,
     /// The engine refused it and did not run it.
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
     /// What is known of the attempt.
-    pub fate: AttemptFate,
+    pub kind: FailureKind,
     /// Whether the request may run again.
     pub repeatable: bool,
     /// Retries of the request so far.
@@ -48,15 +48,15 @@
 
 /// Whether to try again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RetryVerdict {
+pub enum RetryDecision {
     /// Try another engine.
     Retry,
     /// The request may have run and may not run again: its result is unknown.
     MayHaveRun,
     /// The request has used its retries.
-    RequestSpent,
+    RequestLimitReached,
     /// The node has used its retries.
-    NodeSpent,
+    BudgetExhausted,
 }
 
 /// The retries a node may make.
@@ -76,22 +76,22 @@
     }
 
     /// Notes a request's first attempt.
-    pub fn first_attempt(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.savings = (self.savings + self.config.earned).min(self.config.saved);
     }
 
     /// Decides on a retry and, if it is made, pays for it.
-    pub fn decide(&mut self, attempt: &FailedAttempt) -> RetryVerdict {
-        if attempt.fate == AttemptFate::MayHaveRun && !attempt.repeatable {
-            return RetryVerdict::MayHaveRun;
+    pub fn decide(&mut self, attempt: &FailedAttempt) -> RetryDecision {
+        if attempt.kind == FailureKind::MayHaveRun && !attempt.repeatable {
+            return RetryDecision::MayHaveRun;
         }
         if attempt.retries >= self.config.per_request {
-            return RetryVerdict::RequestSpent;
+            return RetryDecision::RequestLimitReached;
         }
         if self.savings < 1.0 {
-            return RetryVerdict::NodeSpent;
+            return RetryDecision::BudgetExhausted;
         }
         self.savings -= 1.0;
-        RetryVerdict::Retry
+        RetryDecision::Retry
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -13,9 +13,9 @@
 use crate::config::RouterConfig;
 use crate::estimate::Estimator;
 use crate::learning::Learned;
+use crate::overload::{RetryAfterBounds, RetryAfterSchedule};
 use crate::prefix::{PrefixMemory, engine_hash};
 use crate::request::{Placement, RouteDecision, RoutePhase, RouteRefusal, RouteRequest};
-use crate::room::{ReturnBounds, ReturnSchedule};
 use crate::track::{Completion, Ticket, Tracks};
 use crate::usables::{Usables, home_weight};
 use crate::view::{EngineView, FleetView};
@@ -38,7 +38,7 @@
     prefixes: PrefixMemory,
     /// Requests admitted a second, by model.
     admitted: HashMap<ModelName, FadingRate>,
-    returns: ReturnSchedule<ModelName>,
+    returns: RetryAfterSchedule<ModelName>,
 }
 
 impl Router {
@@ -49,7 +49,7 @@
             tracks: Tracks::default(),
             prefixes: PrefixMemory::new(config.prefixes_remembered),
             admitted: HashMap::new(),
-            returns: ReturnSchedule::default(),
+            returns: RetryAfterSchedule::default(),
             config,
         }
     }
@@ -139,12 +139,12 @@
     ) -> Duration {
         let admitted = self.admitted.get(&request.model);
         let admitted_per_s = admitted.map_or(0.0, |rate| rate.at(now));
-        let bounds = ReturnBounds { shortest, longest };
+        let bounds = RetryAfterBounds { shortest, longest };
         let urgency = urgency(request.priority);
         let slot = self
             .returns
-            .refused(now, &request.model, urgency, admitted_per_s, bounds);
-        slot.told().min(longest)
+            .assign(now, &request.model, urgency, admitted_per_s, bounds);
+        slot.delay().min(longest)
     }
 
     /// Notes that a request was sent; the ticket is to be given back when it is over.
--- a/crates/routing/src/shared_rate/wallet.rs
+++ b/crates/routing/src/shared_rate/held_permits.rs
@@ -35,11 +35,11 @@
 
 /// The permits of one node, and the engines for which it is to ask for none now.
 #[derive(Clone, Debug, Default)]
-pub struct PermitWallet {
+pub struct HeldPermits {
     engines: HashMap<EngineKey, Held>,
 }
 
-impl PermitWallet {
+impl HeldPermits {
     /// Takes a permit; `None` if none is held.
     pub fn take(&mut self, now: MonotonicTime, engine: EngineKey) -> Option<Permit> {
         let held = self.engines.get_mut(&engine)?;
--- a/crates/routing/src/shared_rate/mod.rs
+++ b/crates/routing/src/shared_rate/mod.rs
@@ -1,7 +1,7 @@
 //! A rate of requests to an engine that all nodes keep together.
 //!
 //! One node issues permits for an engine ([`PermitIssuer`]); a node that is to send it a request asks for one,
-//! and spends it when the request goes out ([`PermitWallet`]). Shares of the rate would not do: with `s` nodes
+//! and spends it when the request goes out ([`HeldPermits`]). Shares of the rate would not do: with `s` nodes
 //! that each hold a bucket of one request, `s + 4 q` go out in four seconds at the rate `q`, which for nine
 //! nodes is twice the rate of an engine that takes two a second; and a share that lies idle at one node is not
 //! there for another.
@@ -14,14 +14,14 @@
 //!
 //! Pure: times come in as arguments, and messages between nodes are its users'.
 
+mod held_permits;
 mod issuer;
-mod wallet;
 
+pub use held_permits::{HeldPermits, Permit};
 pub use issuer::{Grant, PermitIssuer};
-pub use wallet::{Permit, PermitWallet};
 
 use std::time::Duration;
 
 /// For how long a permit holds from the moment at which it was asked for: longer than a usual connection takes
 /// to come up, and short beside the windows in which a rate is counted.
-pub const PERMIT_LIFE: Duration = Duration::from_millis(250);
+pub const PERMIT_LIFETIME: Duration = Duration::from_millis(250);
--- a/crates/routing/src/shared_retry_budget.rs
+++ b/crates/routing/src/shared_retry_budget.rs
@@ -21,7 +21,7 @@
 
 /// Bounds that all nodes keep together.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct SharedRetryTerms {
+pub struct SharedRetryLimits {
     /// Repeated sends for each request.
     pub ratio: f64,
     /// Repeated sends allowed besides.
@@ -44,10 +44,10 @@
 /// This node's part of the budget.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
-    terms: SharedRetryTerms,
+    limits: SharedRetryLimits,
     nodes: NodeCount,
     /// Whether this node hears no other, though there are others.
-    is_cut_off: bool,
+    is_isolated: bool,
     /// When this node started, where a former life of it may have spent from the same window.
     restarted_at: Option<MonotonicTime>,
     pools: HashMap<PoolName, PoolCounts>,
@@ -55,11 +55,11 @@
 
 impl SharedRetryBudget {
     /// A budget that nothing was spent of.
-    pub fn new(terms: SharedRetryTerms) -> Self {
+    pub fn new(limits: SharedRetryLimits) -> Self {
         Self {
-            terms,
+            limits,
             nodes: NodeCount::default(),
-            is_cut_off: false,
+            is_isolated: false,
             restarted_at: None,
             pools: HashMap::new(),
         }
@@ -67,13 +67,13 @@
 
     /// Notes that the node started at `now` and lived before: what its former life spent is not
     /// known, so for a window it has no part of the slack.
-    pub fn restarted(&mut self, now: MonotonicTime) {
+    pub fn note_restart(&mut self, now: MonotonicTime) {
         self.restarted_at = Some(now);
     }
 
     /// Sets the bounds.
-    pub fn set_terms(&mut self, terms: SharedRetryTerms) {
-        self.terms = terms;
+    pub fn set_limits(&mut self, limits: SharedRetryLimits) {
+        self.limits = limits;
     }
 
     /// Notes the number of nodes among which the slack is divided, as it was heard at `now`. Before the first
@@ -84,13 +84,13 @@
 
     /// Notes whether this node hears none of the others: they take it for gone after a time and divide its part
     /// of the slack among themselves.
-    pub fn set_cut_off(&mut self, is_cut_off: bool) {
-        self.is_cut_off = is_cut_off;
+    pub fn set_isolated(&mut self, is_isolated: bool) {
+        self.is_isolated = is_isolated;
     }
 
     /// Notes a request for a pool.
     pub fn request(&mut self, now: MonotonicTime, pool: &PoolName) {
-        let window = self.terms.window;
+        let window = self.limits.window;
         let counts = self.pools.entry(pool.clone()).or_default();
         counts.expire(now, window);
         counts.requests.push_back(now);
@@ -115,17 +115,17 @@
 
     /// Repeated sends left now.
     pub fn left(&mut self, now: MonotonicTime, pool: &PoolName) -> f64 {
-        let SharedRetryTerms {
+        let SharedRetryLimits {
             ratio,
             slack,
             window,
-        } = self.terms;
+        } = self.limits;
         let counts = self.pools.entry(pool.clone()).or_default();
         counts.expire(now, window);
         let restarted = self.restarted_at;
         let may_have_spent = restarted.is_some_and(|at| now.since(at) < window);
         let nodes = self.nodes.get(now);
-        let part = match nodes.filter(|_| !may_have_spent && !self.is_cut_off) {
+        let part = match nodes.filter(|_| !may_have_spent && !self.is_isolated) {
             Some(nodes) => slack / nodes as f64,
             None => 0.0,
         };
--- a/crates/routing/src/source_sums.rs
+++ b/crates/routing/src/source_sums.rs
@@ -13,10 +13,10 @@
 
 use crate::staged::LoadSource;
 
-/// Figures that add up.
-pub trait Figures: Clone + Default + for<'a> AddAssign<&'a Self> {}
+/// Summable that add up.
+pub trait Summable: Clone + Default + for<'a> AddAssign<&'a Self> {}
 
-impl<T: Clone + Default + for<'a> AddAssign<&'a Self>> Figures for T {}
+impl<T: Clone + Default + for<'a> AddAssign<&'a Self>> Summable for T {}
 
 /// Rows of figures by key: this node's own, those that others reported, and the sums of all.
 #[derive(Clone, Debug)]
@@ -27,7 +27,7 @@
     totals: HashMap<K, V>,
 }
 
-impl<K: Clone + Eq + Hash, V: Figures> SourceSums<K, V> {
+impl<K: Clone + Eq + Hash, V: Summable> SourceSums<K, V> {
     /// No figures; a reported row counts for `counts_for`.
     pub fn new(counts_for: Duration) -> Self {
         Self {
--- a/crates/routing/src/staged/signals.rs
+++ b/crates/routing/src/staged/signals.rs
@@ -13,7 +13,7 @@
 use super::EngineKey;
 use super::named_limits::{LimitChange, NamedLimits};
 use super::remembered::Remembered;
-use crate::shared_rate::PermitWallet;
+use crate::shared_rate::HeldPermits;
 
 /// Longest backoff that one answer brings about. An engine that asks for days is asked again after this
 /// time, by one call, so that one wrong answer does not lose it for as long as it lives.
@@ -90,7 +90,7 @@
     starts: Remembered<u64>,
     limits: NamedLimits,
     /// Leave to send requests to engines that take only so many.
-    pub permits: PermitWallet,
+    pub permits: HeldPermits,
     backoffs: HashMap<EngineKey, Backoff>,
     backoffs_noted: u64,
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dalestand_routing::{
-    AttemptFate, FailedAttempt, RetryBudget, RetryBudgetConfig, RetryVerdict, TenantDemand,
+    FailedAttempt, FailureKind, RetryBudget, RetryBudgetConfig, RetryDecision, TenantDemand,
     TenantLimits, TenantRule, TenantTotals, aged_priority, summing_node,
 };
 use dalestand_types::{MonotonicTime, NodeId, Priority, TenantName};
@@ -27,26 +27,29 @@
     assert_eq!(aged_priority(Priority(250), longest), Priority(255));
 }
 
-fn failed(fate: AttemptFate, repeatable: bool, retries: u32) -> FailedAttempt {
+fn failed(kind: FailureKind, repeatable: bool, retries: u32) -> FailedAttempt {
     FailedAttempt {
-        fate,
+        kind,
         repeatable,
         retries,
     }
 }
 
 #[rstest]
-#[case::not_sent(failed(AttemptFate::NotSent, false, 0), RetryVerdict::Retry)]
-#[case::refused(failed(AttemptFate::Refused, false, 1), RetryVerdict::Retry)]
-#[case::sent(failed(AttemptFate::MayHaveRun, false, 0), RetryVerdict::MayHaveRun)]
-#[case::sent_and_repeatable(failed(AttemptFate::MayHaveRun, true, 0), RetryVerdict::Retry)]
-#[case::too_often(failed(AttemptFate::Refused, true, 2), RetryVerdict::RequestSpent)]
+#[case::not_sent(failed(FailureKind::NotSent, false, 0), RetryDecision::Retry)]
+#[case::refused(failed(FailureKind::Refused, false, 1), RetryDecision::Retry)]
+#[case::sent(failed(FailureKind::MayHaveRun, false, 0), RetryDecision::MayHaveRun)]
+#[case::sent_and_repeatable(failed(FailureKind::MayHaveRun, true, 0), RetryDecision::Retry)]
+#[case::too_often(
+    failed(FailureKind::Refused, true, 2),
+    RetryDecision::RequestLimitReached
+)]
 fn a_retry_depends_on_what_is_known_of_the_attempt(
     #[case] attempt: FailedAttempt,
-    #[case] verdict: RetryVerdict,
+    #[case] decision: RetryDecision,
 ) {
     let mut budget = RetryBudget::new(RetryBudgetConfig::default());
-    assert_eq!(budget.decide(&attempt), verdict);
+    assert_eq!(budget.decide(&attempt), decision);
 }
 
 #[test]
@@ -54,10 +57,10 @@
     let mut budget = RetryBudget::new(RetryBudgetConfig::default());
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.first_attempt();
+        budget.record_first_attempt();
         for retry in 0..2 {
-            let attempt = failed(AttemptFate::NotSent, true, retry);
-            if budget.decide(&attempt) == RetryVerdict::Retry {
+            let attempt = failed(FailureKind::NotSent, true, retry);
+            if budget.decide(&attempt) == RetryDecision::Retry {
                 retries += 1;
             }
         }
--- a/crates/routing/tests/room.rs
+++ b/crates/routing/tests/room.rs
@@ -4,9 +4,10 @@
 use std::time::Duration;
 
 use dalestand_routing::ClassFigures;
-use dalestand_routing::room::{
-    Arrival, Claim, ClassTurns, Fill, LEAST_SHARE, PoolLoad, PoolRoom, ReturnBounds,
-    ReturnSchedule, ReturnSlot, RoomAccount, RoomQueue, RoomRequest, ShareStanding, WaitNumber,
+use dalestand_routing::overload::{
+    AdmissionOutcome, AdmissionQueue, AdmissionRequest, CapacityFactor, ClassScheduler,
+    MIN_CLASS_SHARE, PoolAdmission, PoolLoad, QueueEntry, RetryAfterBounds, RetryAfterSchedule,
+    RetryAfterSlot, RoomAccount, ShareStanding, WaiterId,
 };
 use dalestand_routing::staged::{Expectation, TimeBounds};
 use dalestand_types::MonotonicTime;
@@ -43,17 +44,17 @@
         taken_age: Duration::from_millis(50),
         own: figures(400.0, 200.0),
         all: figures(4_000.0, 2_000.0),
-        heard: Some(Duration::from_millis(300)),
+        figures_age: Some(Duration::from_millis(300)),
         nodes: 10,
     }
 }
 
 fn account(load: &PoolLoad) -> Option<RoomAccount> {
-    RoomAccount::of(load, Fill::whole(NOW))
+    RoomAccount::of(load, CapacityFactor::full(NOW))
 }
 
-fn request(priority: u8, objective_ms: u64, left_ms: u64) -> RoomRequest {
-    RoomRequest {
+fn request(priority: u8, objective_ms: u64, left_ms: u64) -> AdmissionRequest {
+    AdmissionRequest {
         priority,
         standing: ShareStanding::Within,
         bounds: TimeBounds {
@@ -64,37 +65,37 @@
             whole_s: 0.1,
             queue_s: 0.0,
         },
-        urgent_per_s: 0.0,
+        more_urgent_per_s: 0.0,
     }
 }
 
-fn claim(priority: u8, standing: ShareStanding, in_time_ms: u64, hopeless_ms: u64) -> Claim {
-    Claim {
+fn claim(priority: u8, standing: ShareStanding, in_time_ms: u64, hopeless_ms: u64) -> QueueEntry {
+    QueueEntry {
         priority,
         standing,
-        in_time_until: after(in_time_ms),
-        hopeless_from: after(hopeless_ms),
+        on_time_until: after(in_time_ms),
+        expires_at: after(hopeless_ms),
     }
 }
 
-fn short_room() -> PoolRoom {
-    let mut room = PoolRoom::default();
-    room.look(NOW, &full());
+fn short_room() -> PoolAdmission {
+    let mut room = PoolAdmission::default();
+    room.update(NOW, &full());
     assert!(room.is_short());
     room
 }
 
 #[rstest]
-#[case::never_heard(PoolLoad { heard: None, ..full() })]
+#[case::never_heard(PoolLoad { figures_age: None, ..full() })]
 #[case::alone(PoolLoad { nodes: 1, ..full() })]
 #[case::one_engine(PoolLoad { engines: 1, ..full() })]
 #[case::no_slots(PoolLoad { slots: 0, ..full() })]
 fn without_knowledge_there_is_no_account_and_requests_go_as_before(#[case] load: PoolLoad) {
     assert_eq!(account(&load), None);
-    let mut room = PoolRoom::default();
-    room.look(NOW, &load);
-    let decision = room.arrives(NOW, &request(2, 1_000, 3_000), load.own_taken);
-    assert_eq!(decision.arrival, Arrival::Ungated);
+    let mut room = PoolAdmission::default();
+    room.update(NOW, &load);
+    let decision = room.decide(NOW, &request(2, 1_000, 3_000), load.own_taken);
+    assert_eq!(decision.outcome, AdmissionOutcome::Ungated);
 }
 
 proptest! {
@@ -131,9 +132,9 @@
     #[test]
     fn no_class_starves(classes in prop::collection::btree_set(0_u8..=255, 1..40)) {
         let waiting: Vec<u8> = classes.into_iter().collect();
-        let share = LEAST_SHARE.min(1.0 / waiting.len() as f64);
+        let share = MIN_CLASS_SHARE.min(1.0 / waiting.len() as f64);
         let rounds = 400;
-        let mut turns = ClassTurns::default();
+        let mut turns = ClassScheduler::default();
         let mut released: BTreeMap<u8, u32> = BTreeMap::new();
         for _ in 0..rounds {
             let next = turns.next(&waiting).expect("some wait");
@@ -152,7 +153,7 @@
         claims in prop::collection::vec((0_u8..4, 0_u64..500, 1_u64..1_000), 1..60),
         at in 0_u64..1_000,
     ) {
-        let mut queue = RoomQueue::default();
+        let mut queue = AdmissionQueue::default();
         let mut live = Vec::new();
         for (priority, in_time, hopeless) in claims {
             let claim = claim(priority, ShareStanding::Within, in_time, hopeless);
@@ -161,7 +162,7 @@
                 live.push(number);
             }
         }
-        let mut released: Vec<WaitNumber> = std::iter::from_fn(|| queue.release(after(at))).collect();
+        let mut released: Vec<WaiterId> = std::iter::from_fn(|| queue.release(after(at))).collect();
         released.sort();
         prop_assert_eq!(released, live);
         prop_assert!(queue.is_empty());
@@ -173,13 +174,13 @@
         freed_per_s in 1.0_f64..2_000.0,
         priorities in prop::collection::vec(0_u8..3, 1..300),
     ) {
-        let bounds = ReturnBounds { shortest: Duration::from_millis(50), longest: Duration::from_secs(1) };
-        let mut returns = ReturnSchedule::default();
+        let bounds = RetryAfterBounds { shortest: Duration::from_millis(50), longest: Duration::from_secs(1) };
+        let mut returns = RetryAfterSchedule::default();
         let mut slots = Vec::new();
         let mut sorted = priorities;
         sorted.sort_unstable();
         for priority in sorted {
-            if let ReturnSlot::After(wait) = returns.refused(NOW, &"pool", priority, freed_per_s, bounds) {
+            if let RetryAfterSlot::After(wait) = returns.assign(NOW, &"pool", priority, freed_per_s, bounds) {
                 slots.push(wait);
             }
         }
@@ -190,7 +191,7 @@
 
 #[rstest]
 fn a_caller_that_was_refused_once_does_not_wait_for_all_that_came_meanwhile() {
-    let mut queue = RoomQueue::default();
+    let mut queue = AdmissionQueue::default();
     for newcomer in 0..20 {
         queue.enter(NOW, claim(2, ShareStanding::Within, 800 + newcomer, 2_700));
     }
@@ -204,7 +205,7 @@
 
 #[rstest]
 fn the_urgent_go_first_then_the_timely_then_tenants_within_their_share() {
-    let mut queue = RoomQueue::default();
+    let mut queue = AdmissionQueue::default();
     let late = queue.enter(NOW, claim(2, ShareStanding::Within, 0, 500));
     let over = queue.enter(NOW, claim(2, ShareStanding::Over, 800, 500));
     let within = queue.enter(NOW, claim(2, ShareStanding::Within, 800, 900));
@@ -215,7 +216,7 @@
 
 #[rstest]
 fn a_request_that_can_no_longer_be_in_time_gives_way_while_it_waits() {
-    let mut queue = RoomQueue::default();
+    let mut queue = AdmissionQueue::default();
     let first = queue.enter(NOW, claim(2, ShareStanding::Within, 100, 2_000));
     let second = queue.enter(NOW, claim(2, ShareStanding::Within, 900, 2_500));
     assert_eq!(queue.release(after(200)), Some(second));
@@ -226,12 +227,13 @@
 fn a_full_pool_has_requests_wait_and_places_that_come_free_are_given_in_order() {
     let mut room = short_room();
     let waits = room
-        .arrives(NOW, &request(2, 1_000, 3_000), OWN_PLACES)
-        .arrival;
+        .decide(NOW, &request(2, 1_000, 3_000), OWN_PLACES)
+        .outcome;
     let urgent = room
-        .arrives(NOW, &request(0, 1_000, 3_000), OWN_PLACES)
-        .arrival;
-    let (Arrival::Waits(less, _), Arrival::Waits(urgent, _)) = (waits, urgent) else {
+        .decide(NOW, &request(0, 1_000, 3_000), OWN_PLACES)
+        .outcome;
+    let (AdmissionOutcome::Queued(less, _), AdmissionOutcome::Queued(urgent, _)) = (waits, urgent)
+    else {
         panic!("{waits:?} {urgent:?}");
     };
     assert_eq!(room.release(NOW, OWN_PLACES), None);
@@ -241,7 +243,7 @@
         None,
         "its place is taken until it is sent"
     );
-    room.sent();
+    room.note_sent();
     assert_eq!(room.release(NOW, OWN_PLACES - 1), Some(less));
 }
 
@@ -250,30 +252,30 @@
     let mut room = short_room();
     // Places come free at 200 a second, and an answer takes 0.1 s: 180 can be answered within the second that they have.
     // Taking in fewer than half of them would leave places empty.
-    let arrivals: Vec<Arrival> = (0..400)
+    let outcomes: Vec<AdmissionOutcome> = (0..400)
         .map(|_| {
-            room.arrives(NOW, &request(2, 1_000, 1_000), OWN_PLACES)
-                .arrival
+            room.decide(NOW, &request(2, 1_000, 1_000), OWN_PLACES)
+                .outcome
         })
         .collect();
-    let waiting = arrivals
+    let waiting = outcomes
         .iter()
-        .filter(|arrival| matches!(arrival, Arrival::Waits(..)))
+        .filter(|outcome| matches!(outcome, AdmissionOutcome::Queued(..)))
         .count();
     assert!((90..=180).contains(&waiting), "{waiting}");
-    let Arrival::Refused(ReturnSlot::After(first)) = arrivals[waiting] else {
-        panic!("{:?}", arrivals[waiting]);
+    let AdmissionOutcome::Refused(RetryAfterSlot::After(first)) = outcomes[waiting] else {
+        panic!("{:?}", outcomes[waiting]);
     };
     assert!(first < Duration::from_millis(100), "{first:?}");
-    let Some(Arrival::Refused(ReturnSlot::NoneWithin(none))) = arrivals.last() else {
-        panic!("{:?}", arrivals.last());
+    let Some(AdmissionOutcome::Refused(RetryAfterSlot::NoneWithin(none))) = outcomes.last() else {
+        panic!("{:?}", outcomes.last());
     };
     assert!(*none >= Duration::from_millis(333), "told truly: {none:?}");
     // The more urgent still gets in.
     let urgent = room
-        .arrives(NOW, &request(0, 500, 1_000), OWN_PLACES)
-        .arrival;
-    assert!(matches!(urgent, Arrival::Waits(..)), "{urgent:?}");
+        .decide(NOW, &request(0, 500, 1_000), OWN_PLACES)
+        .outcome;
+    assert!(matches!(urgent, AdmissionOutcome::Queued(..)), "{urgent:?}");
 }
 
 #[rstest]
@@ -281,13 +283,13 @@
     let mut room = short_room();
     let request = request(2, 1_000, 3_000);
     assert!(matches!(
-        room.arrives(NOW, &request, OWN_PLACES).arrival,
-        Arrival::Waits(..)
+        room.decide(NOW, &request, OWN_PLACES).outcome,
+        AdmissionOutcome::Queued(..)
     ));
-    room.look(
+    room.update(
         after(100),
         &PoolLoad {
-            heard: None,
+            figures_age: None,
             ..full()
         },
     );
@@ -299,10 +301,10 @@
 fn a_pool_at_its_limit_does_not_go_to_and_fro() {
     let mut room = short_room();
     for taken in [PLACES * 85 / 100, PLACES * 88 / 100, PLACES * 75 / 100] {
-        let changed = room.look(after(50), &PoolLoad { taken, ..full() });
+        let changed = room.update(after(50), &PoolLoad { taken, ..full() });
         assert!(!changed && room.is_short(), "{taken}");
     }
-    assert!(room.look(
+    assert!(room.update(
         after(100),
         &PoolLoad {
             taken: PLACES * 65 / 100,
@@ -314,30 +316,30 @@
 
 #[rstest]
 fn engines_that_refuse_are_given_less_and_more_again_by_and_by() {
-    let mut fill = Fill::whole(NOW);
+    let mut factor = CapacityFactor::full(NOW);
     for step in 1..40 {
-        fill.follow(after(step * 250), 0.3);
+        factor.update(after(step * 250), 0.3);
     }
-    assert_eq!(fill.share(), 0.5, "no less than engines work on at once");
-    fill.follow(after(10_250), 0.0);
-    assert!((0.5..0.54).contains(&fill.share()));
-    let before = fill.share();
+    assert_eq!(factor.value(), 0.5, "no less than engines work on at once");
+    factor.update(after(10_250), 0.0);
+    assert!((0.5..0.54).contains(&factor.value()));
+    let before = factor.value();
     // A clock that went back, and a node that stood still for ten seconds: one second's change at most.
-    fill.follow(NOW, 0.3);
-    assert_eq!(fill.share(), before);
-    fill.follow(after(60_000), 0.0);
-    assert!(fill.share() <= before * 1.06);
+    factor.update(NOW, 0.3);
+    assert_eq!(factor.value(), before);
+    factor.update(after(60_000), 0.0);
+    assert!(factor.value() <= before * 1.06);
 }
 
 #[rstest]
 fn the_more_urgent_takes_the_next_slot() {
-    let bounds = ReturnBounds {
+    let bounds = RetryAfterBounds {
         shortest: Duration::from_millis(50),
         longest: Duration::from_secs(1),
     };
-    let mut returns = ReturnSchedule::default();
-    let mut slot = |priority| returns.refused(NOW, &"pool", priority, 40.0, bounds);
-    let ms = |milliseconds| ReturnSlot::After(Duration::from_millis(milliseconds));
+    let mut returns = RetryAfterSchedule::default();
+    let mut slot = |priority| returns.assign(NOW, &"pool", priority, 40.0, bounds);
+    let ms = |milliseconds| RetryAfterSlot::After(Duration::from_millis(milliseconds));
     assert_eq!(slot(2), ms(50));
     assert_eq!(slot(2), ms(150));
     assert_eq!(slot(0), ms(50));
--- a/crates/routing/tests/shared_rate.rs
+++ b/crates/routing/tests/shared_rate.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use dalestand_routing::shared_rate::{Grant, PERMIT_LIFE, Permit, PermitIssuer, PermitWallet};
+use dalestand_routing::shared_rate::{Grant, HeldPermits, PERMIT_LIFETIME, Permit, PermitIssuer};
 use dalestand_routing::staged::EngineKey;
 use dalestand_types::{MonotonicTime, RequestRate};
 use proptest::prelude::*;
@@ -97,7 +97,7 @@
     let mut random = StdRng::seed_from_u64(run.seed);
     let rate = RequestRate::per_second(run.limit).expect("a rate");
     let mut issuers = [PermitIssuer::default(), PermitIssuer::default()];
-    let mut wallets = vec![PermitWallet::default(); run.nodes];
+    let mut held = vec![HeldPermits::default(); run.nodes];
     // Each node hears of the change at a moment of its own.
     let hears: Vec<u64> = (0..run.nodes)
         .map(|_| run.changes_at + random.random_range(0..=run.disagreement))
@@ -110,11 +110,11 @@
             issuers[0] = PermitIssuer::default();
         }
         for node in 0..run.nodes {
-            let is_open = wallets[node].closed_until(now, ENGINE).is_none();
+            let is_open = held[node].closed_until(now, ENGINE).is_none();
             if !is_open || !random.random_bool(run.demand) {
                 continue;
             }
-            if let Some(permit) = wallets[node].take(now, ENGINE) {
+            if let Some(permit) = held[node].take(now, ENGINE) {
                 let at = ms + random.random_range(0..run.longest_connect);
                 coming
                     .entry(at)
@@ -152,11 +152,11 @@
                     asked_at,
                     grant,
                 } => {
-                    let valid_until = MonotonicTime::from_millis(asked_at) + PERMIT_LIFE;
-                    wallets[node].add(now, ENGINE, grant.permits, valid_until);
+                    let valid_until = MonotonicTime::from_millis(asked_at) + PERMIT_LIFETIME;
+                    held[node].add(now, ENGINE, grant.permits, valid_until);
                     if grant.permits == 0 {
-                        wallets[node].close(now, ENGINE, grant.retry_in);
-                    } else if let Some(permit) = wallets[node].take(now, ENGINE) {
+                        held[node].close(now, ENGINE, grant.retry_in);
+                    } else if let Some(permit) = held[node].take(now, ENGINE) {
                         // The request that asked.
                         let at = ms + 1 + random.random_range(0..run.longest_connect);
                         coming
@@ -167,7 +167,7 @@
                 }
                 Happens::GoesOut { permit, node } => {
                     if !permit.is_valid(now) {
-                        wallets[node].give_back(permit);
+                        held[node].give_back(permit);
                     } else {
                         arrived.push(ms);
                     }
--- a/crates/routing/tests/shared_retry_budget.rs
+++ b/crates/routing/tests/shared_retry_budget.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 
 use dalestand_routing::{
-    CallArrival, CallCounts, CallPurpose, SharedRetryBudget, SharedRetryTerms,
+    CallCounts, CallOutcome, CallPurpose, SharedRetryBudget, SharedRetryLimits,
 };
 use dalestand_types::{MonotonicTime, PoolName};
 use proptest::prelude::*;
 use rstest::rstest;
 
-const TERMS: SharedRetryTerms = SharedRetryTerms {
+const TERMS: SharedRetryLimits = SharedRetryLimits {
     ratio: 0.2,
     slack: 54.0,
     window: Duration::from_secs(10),
@@ -125,7 +125,7 @@
     if let Some(nodes) = nodes {
         budget.set_nodes(now, nodes);
     }
-    budget.set_cut_off(cut_off);
+    budget.set_isolated(cut_off);
     let is_counted = nodes.is_some() && !cut_off;
     assert_eq!(budget.take(now, &pool).is_some(), is_counted);
 }
@@ -149,7 +149,7 @@
     assert!(spent_before > 0);
     let mut budget = SharedRetryBudget::new(TERMS);
     budget.set_nodes(MonotonicTime::ZERO, 1);
-    budget.restarted(start);
+    budget.note_restart(start);
     assert_eq!(spend(&mut budget, start + Duration::from_secs(9)), 0);
     let later = start + Duration::from_secs(10);
     assert_eq!(spend(&mut budget, later), spent_before);
@@ -159,21 +159,21 @@
     prop_oneof![Just(CallPurpose::Prefill), Just(CallPurpose::Run)]
 }
 
-fn arrival() -> impl Strategy<Value = CallArrival> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        1 => Just(CallArrival::TakenUp),
-        3 => Just(CallArrival::NotTakenUp),
-        1 => Just(CallArrival::NotArrived),
+        1 => Just(CallOutcome::Accepted),
+        3 => Just(CallOutcome::NotAccepted),
+        1 => Just(CallOutcome::NotDelivered),
     ]
 }
 
 /// Calls of one request beyond the first, counted as the users do from what engines saw: the first prefill
 /// that is taken up is left out.
-fn beyond_the_first(calls: &[(CallPurpose, CallArrival)]) -> usize {
+fn beyond_the_first(calls: &[(CallPurpose, CallOutcome)]) -> usize {
     let arrived = calls
         .iter()
-        .filter(|(_, arrival)| *arrival != CallArrival::NotArrived);
-    let is_prefilled = calls.contains(&(CallPurpose::Prefill, CallArrival::TakenUp));
+        .filter(|(_, outcome)| *outcome != CallOutcome::NotDelivered);
+    let is_prefilled = calls.contains(&(CallPurpose::Prefill, CallOutcome::Accepted));
     arrived
         .count()
         .saturating_sub(usize::from(is_prefilled) + 1)
@@ -185,7 +185,7 @@
     #[test]
     fn every_call_that_counts_is_taken_from_the_budget(
         requests in proptest::collection::vec(
-            (0_usize..5, proptest::collection::vec((purpose(), arrival()), 1..7)),
+            (0_usize..5, proptest::collection::vec((purpose(), outcome()), 1..7)),
             1..200,
         ),
     ) {
@@ -203,7 +203,7 @@
             budget.request(now, &pool);
             let mut counts = CallCounts::default();
             let mut made = Vec::new();
-            for (purpose, arrival) in calls {
+            for (purpose, outcome) in calls {
                 let is_repeat = counts.is_repeat();
                 let taken = if is_repeat {
                     budget.take(now, &pool)
@@ -213,8 +213,8 @@
                 if is_repeat && taken.is_none() {
                     break;
                 }
-                made.push((purpose, arrival));
-                let is_free = counts.came_out(purpose, arrival);
+                made.push((purpose, outcome));
+                let is_free = counts.record(purpose, outcome);
                 if let Some(send) = taken.filter(|_| is_free) {
                     budget.give_back(&pool, send);
                 }
@@ -227,17 +227,17 @@
 }
 
 #[rstest]
-#[case::refused_then_run(&[(CallPurpose::Prefill, CallArrival::NotTakenUp), (CallPurpose::Run, CallArrival::TakenUp)], 1)]
-#[case::prefilled_then_run(&[(CallPurpose::Prefill, CallArrival::TakenUp), (CallPurpose::Run, CallArrival::TakenUp)], 0)]
-#[case::run_refused_then_prefill_refused(&[(CallPurpose::Run, CallArrival::NotTakenUp), (CallPurpose::Prefill, CallArrival::NotTakenUp), (CallPurpose::Run, CallArrival::TakenUp)], 2)]
-#[case::prefilled_twice(&[(CallPurpose::Prefill, CallArrival::TakenUp), (CallPurpose::Prefill, CallArrival::TakenUp), (CallPurpose::Run, CallArrival::TakenUp)], 1)]
-#[case::nothing_arrived(&[(CallPurpose::Run, CallArrival::NotArrived), (CallPurpose::Run, CallArrival::TakenUp)], 0)]
-fn calls_that_are_taken(#[case] calls: &[(CallPurpose, CallArrival)], #[case] expected: usize) {
+#[case::refused_then_run(&[(CallPurpose::Prefill, CallOutcome::NotAccepted), (CallPurpose::Run, CallOutcome::Accepted)], 1)]
+#[case::prefilled_then_run(&[(CallPurpose::Prefill, CallOutcome::Accepted), (CallPurpose::Run, CallOutcome::Accepted)], 0)]
+#[case::run_refused_then_prefill_refused(&[(CallPurpose::Run, CallOutcome::NotAccepted), (CallPurpose::Prefill, CallOutcome::NotAccepted), (CallPurpose::Run, CallOutcome::Accepted)], 2)]
+#[case::prefilled_twice(&[(CallPurpose::Prefill, CallOutcome::Accepted), (CallPurpose::Prefill, CallOutcome::Accepted), (CallPurpose::Run, CallOutcome::Accepted)], 1)]
+#[case::nothing_arrived(&[(CallPurpose::Run, CallOutcome::NotDelivered), (CallPurpose::Run, CallOutcome::Accepted)], 0)]
+fn calls_that_are_taken(#[case] calls: &[(CallPurpose, CallOutcome)], #[case] expected: usize) {
     let mut counts = CallCounts::default();
     let mut taken = 0;
-    for (purpose, arrival) in calls {
+    for (purpose, outcome) in calls {
         let is_repeat = counts.is_repeat();
-        let is_free = counts.came_out(*purpose, *arrival);
+        let is_free = counts.record(*purpose, *outcome);
         taken += usize::from(is_repeat && !is_free);
     }
     assert_eq!(taken, expected);
--- a/crates/routing/tests/tenant_shares.rs
+++ b/crates/routing/tests/tenant_shares.rs
@@ -3,10 +3,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use dalestand_routing::room::ShareStanding;
-use dalestand_routing::room::shares::{PoolShares, WeightedDemand, fair_level};
-use dalestand_routing::room::shortage::{PoolTries, RoomUnit, Shortage};
-use dalestand_routing::room::tenant_meters::{TENANTS_NAMED, TenantMeters, largest};
+use dalestand_routing::overload::ShareStanding;
+use dalestand_routing::overload::shares::{PoolShares, WeightedDemand, max_min_level};
+use dalestand_routing::overload::shortage::{AttemptRates, CapacityUnit, ShortageDetector};
+use dalestand_routing::overload::tenant_meters::{MAX_NAMED_TENANTS, TenantMeters, top_tenants};
 use dalestand_routing::{TenantCode, TenantFigures, WorkRate};
 use dalestand_types::{MonotonicTime, TenantName};
 use proptest::prelude::*;
@@ -16,10 +16,10 @@
 const SMALL: TenantCode = TenantCode(101);
 
 /// A pool in which one of two tries fails.
-const SHORT: PoolTries = PoolTries {
+const SHORT: AttemptRates = AttemptRates {
     begun_per_s: 200.0,
     failed_per_s: 200.0,
-    has_spare_slots: false,
+    has_idle_slots: false,
 };
 
 fn at(milliseconds: u64) -> MonotonicTime {
@@ -45,7 +45,7 @@
 fn shares(figures: &HashMap<TenantCode, TenantFigures>, weight: f64) -> PoolShares {
     let mut shares = PoolShares::default();
     let weight = |tenant| if tenant == BIG { weight } else { 1.0 };
-    shares.refresh(at(0), RoomUnit::SlotTime, SHORT, figures, weight);
+    shares.refresh(at(0), CapacityUnit::SlotTime, SHORT, figures, weight);
     shares
 }
 
@@ -60,7 +60,7 @@
 }
 
 fn served(demands: &[WeightedDemand], room: f64) -> Vec<f64> {
-    let level = fair_level(demands, room).unwrap_or(f64::INFINITY);
+    let level = max_min_level(demands, room).unwrap_or(f64::INFINITY);
     let served = demands.iter();
     served
         .map(|demand| demand.per_s.min(level * demand.weight))
@@ -122,7 +122,7 @@
         let (requests, mut passed) = (2_000, 0_usize);
         for request in 0..requests {
             let place = request % nodes.len();
-            let standing = nodes[place].admit(at(0), BIG, draws[place]);
+            let standing = nodes[place].classify(at(0), BIG, draws[place]);
             passed += usize::from(standing == ShareStanding::Within);
         }
         let expected = part * requests as f64;
@@ -136,27 +136,27 @@
 fn a_tenant_under_its_share_is_served_although_the_pool_is_full_of_another() {
     let mut shares = shares(&storm(), 1.0);
     for _ in 0..100 {
-        assert_eq!(shares.admit(at(0), SMALL, 0.0), ShareStanding::Within);
+        assert_eq!(shares.classify(at(0), SMALL, 0.0), ShareStanding::Within);
     }
     // 200 slots are served; 20 of them are the small one's.
     assert!((part(&shares, BIG) - 180.0 / 400.0).abs() < 1e-6);
-    assert_eq!(shares.tenants_cut(at(0)), 1);
+    assert_eq!(shares.limited_tenants(at(0)), 1);
     let share = shares.share(at(0), BIG).expect("a share");
     let left = Duration::from_secs(3);
-    let soonest = share.catches_up_in(left, 0.0);
-    assert!(soonest >= Duration::from_millis(100) && soonest < share.catches_up_in(left, 1.0));
-    assert!(share.catches_up_in(left, 1.0) <= left / 3);
+    let soonest = share.retry_after(left, 0.0);
+    assert!(soonest >= Duration::from_millis(100) && soonest < share.retry_after(left, 1.0));
+    assert!(share.retry_after(left, 1.0) <= left / 3);
 }
 
 #[rstest]
 #[case::one_of_two_tries_fails(SHORT, true)]
-#[case::one_of_thirty(PoolTries { begun_per_s: 290.0, failed_per_s: 10.0, ..PoolTries::default() }, false)]
-#[case::none_was_made(PoolTries::default(), false)]
-fn shares_act_in_a_pool_that_is_short(#[case] tries: PoolTries, #[case] acts: bool) {
+#[case::one_of_thirty(AttemptRates { begun_per_s: 290.0, failed_per_s: 10.0, ..AttemptRates::default() }, false)]
+#[case::none_was_made(AttemptRates::default(), false)]
+fn shares_act_in_a_pool_that_is_short(#[case] tries: AttemptRates, #[case] acts: bool) {
     let mut shares = PoolShares::default();
-    shares.refresh(at(0), RoomUnit::SlotTime, tries, &storm(), |_| 1.0);
-    assert_eq!(shares.acts(at(0)), acts);
-    let standing = shares.admit(at(0), BIG, 0.0);
+    shares.refresh(at(0), CapacityUnit::SlotTime, tries, &storm(), |_| 1.0);
+    assert_eq!(shares.is_enforced(at(0)), acts);
+    let standing = shares.classify(at(0), BIG, 0.0);
     let expected = if acts {
         ShareStanding::Over
     } else {
@@ -168,11 +168,11 @@
 #[rstest]
 fn a_node_that_wakes_with_old_shares_refuses_nobody_for_them() {
     let mut shares = shares(&storm(), 1.0);
-    assert!(shares.acts(at(900)));
-    assert!(!shares.acts(at(10_000)));
+    assert!(shares.is_enforced(at(900)));
+    assert!(!shares.is_enforced(at(10_000)));
     assert_eq!(shares.share(at(10_000), BIG), None);
     for _ in 0..100 {
-        assert_eq!(shares.admit(at(10_000), BIG, 0.0), ShareStanding::Within);
+        assert_eq!(shares.classify(at(10_000), BIG, 0.0), ShareStanding::Within);
     }
 }
 
@@ -199,20 +199,29 @@
 
 #[rstest]
 fn the_unit_is_what_the_pool_is_short_of() {
-    assert_eq!(RoomUnit::of_pool(false, 1.0, 100.0), RoomUnit::SlotTime);
-    assert_eq!(RoomUnit::of_pool(true, 50.0, 100.0), RoomUnit::PromptTokens);
-    assert_eq!(RoomUnit::of_pool(true, 95.0, 100.0), RoomUnit::SlotTime);
+    assert_eq!(
+        CapacityUnit::of_pool(false, 1.0, 100.0),
+        CapacityUnit::SlotTime
+    );
+    assert_eq!(
+        CapacityUnit::of_pool(true, 50.0, 100.0),
+        CapacityUnit::PromptTokens
+    );
+    assert_eq!(
+        CapacityUnit::of_pool(true, 95.0, 100.0),
+        CapacityUnit::SlotTime
+    );
 }
 
 /// Engines come while tenants are cut: each half second no try fails and engines serve what the room lets through.
 #[rstest]
 fn room_that_comes_is_in_use_within_three_seconds() {
-    let mut shortage = Shortage::default();
+    let mut shortage = ShortageDetector::default();
     let mut begun = shortage.room(at(0), SHORT, 100.0).expect("short");
-    let sound = PoolTries {
+    let sound = AttemptRates {
         begun_per_s: 400.0,
         failed_per_s: 0.0,
-        has_spare_slots: false,
+        has_idle_slots: false,
     };
     for step in 1..=6 {
         let room = shortage.room(at(1_100 + step * 500), sound, begun);
@@ -231,13 +240,19 @@
     let mut begun = 1.4;
     let mut shares = PoolShares::default();
     for step in 0..32 {
-        let tries = PoolTries {
+        let tries = AttemptRates {
             begun_per_s: 27.0,
             failed_per_s: 3.0,
-            has_spare_slots: RoomUnit::has_spare_slots(false, f64::from(begun), f64::from(SLOTS)),
+            has_idle_slots: CapacityUnit::has_idle_slots(false, f64::from(begun), f64::from(SLOTS)),
         };
         let figures = HashMap::from([(BIG, slots(asked, begun)), (SMALL, slots(0.4, 0.4))]);
-        shares.refresh(at(step * 250), RoomUnit::SlotTime, tries, &figures, |_| 1.0);
+        shares.refresh(
+            at(step * 250),
+            CapacityUnit::SlotTime,
+            tries,
+            &figures,
+            |_| 1.0,
+        );
         let part = shares
             .share(at(step * 250), BIG)
             .map_or(1.0, |share| share.part());
@@ -250,7 +265,7 @@
 /// Tries may fail for other reasons than load: the cut tenants must not be cut ever more.
 #[rstest]
 fn room_does_not_dwindle_while_tries_fail() {
-    let mut shortage = Shortage::default();
+    let mut shortage = ShortageDetector::default();
     let mut begun = 200.0;
     for step in 0..100 {
         let room = shortage.room(at(step * 250), SHORT, begun);
@@ -269,10 +284,10 @@
         meters.asked(now, BIG, 10);
         meters.asked(now, BIG, 10);
     }
-    assert!(meters.len() <= 4 * TENANTS_NAMED);
+    assert!(meters.len() <= 4 * MAX_NAMED_TENANTS);
     let rows = meters.figures(at(2_000));
-    assert!(rows.len() <= TENANTS_NAMED + 1);
-    assert!(meters.len() <= TENANTS_NAMED);
+    assert!(rows.len() <= MAX_NAMED_TENANTS + 1);
+    assert!(meters.len() <= MAX_NAMED_TENANTS);
     let asked = |code| {
         let row = rows.iter().find(|(row, _)| *row == code);
         row.expect("a row").1.asked.prompt_tokens_per_s
@@ -286,8 +301,14 @@
     });
     let mut shares = PoolShares::default();
     let served = served.collect();
-    shares.refresh(at(2_000), RoomUnit::PromptTokens, SHORT, &served, |_| 1.0);
-    let unknown = shares.admit(at(2_000), TenantCode(99_999_999), 0.0);
+    shares.refresh(
+        at(2_000),
+        CapacityUnit::PromptTokens,
+        SHORT,
+        &served,
+        |_| 1.0,
+    );
+    let unknown = shares.classify(at(2_000), TenantCode(99_999_999), 0.0);
     assert_eq!(unknown, ShareStanding::Within);
     let big = shares.share(at(2_000), BIG).expect("a share");
     assert!(big.part() < 0.5, "{big:?}");
@@ -308,20 +329,20 @@
             };
             (TenantCode(2 + tenant), slots(asked, asked / 2.0))
         });
-        largest(rows.collect())
+        top_tenants(rows.collect())
     };
     let mut fleet: HashMap<TenantCode, TenantFigures> = HashMap::new();
     let mut asked = 0.0;
     for node in 0..nodes {
         let rows = rows_of(node);
-        assert!(rows.len() <= TENANTS_NAMED + 1);
+        assert!(rows.len() <= MAX_NAMED_TENANTS + 1);
         for (code, figures) in rows {
             asked += f64::from(figures.asked.slots);
             *fleet.entry(code).or_default() += &figures;
         }
     }
-    let rows = largest(fleet.into_iter().collect());
-    assert_eq!(rows.len(), TENANTS_NAMED + 1);
+    let rows = top_tenants(fleet.into_iter().collect());
+    assert_eq!(rows.len(), MAX_NAMED_TENANTS + 1);
     let counted = rows
         .iter()
         .map(|(_, figures)| f64::from(figures.asked.slots));
