--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -11,7 +11,7 @@
 use dalestand_edge::routed::{Dialect, EngineEntry, FleetForm};
 use dalestand_edge::unknown_headers::UnknownHeaders;
 use dalestand_engine_link::{EngineLink, LinkLimits};
-use dalestand_planner::{ScalingAccount, ZoneEngines};
+use dalestand_planner::{ScalingDecision, ZoneEngines};
 use dalestand_routes::{RouteTable, SplitPicker};
 use dalestand_routing::staged::{EngineKey, LinkQueue, StagedRouter};
 use dalestand_routing::{NodeCount, SharedRetryBudget};
@@ -28,13 +28,13 @@
 use crate::node::counts::InFlight;
 use crate::node::metrics::ForwardingMetrics;
 use crate::node::settings::ForwardingSettings;
-use crate::permits::desk::PermitDesk;
-use crate::quarantine::state::Quarantine;
+use crate::permits::state::PermitState;
+use crate::quarantine::state::QuarantineState;
 use crate::roles::authority::Authority;
 use crate::roles::demand::DemandMeter;
 use crate::serve::class_counts::ClassCounts;
 use crate::serve::held_bytes::HeldBytes;
-use crate::serve::rooms::Rooms;
+use crate::serve::pool_admissions::PoolAdmissions;
 use crate::serve::tenant_shares::TenantShares;
 
 /// A node has at least this many connections to each engine, however many nodes there are.
@@ -73,7 +73,7 @@
     /// Parts sent to engines that other nodes have not heard of.
     pub(crate) placements: RefCell<Placements>,
     /// Leave to send requests to engines that take only so many.
-    pub(crate) permits: PermitDesk,
+    pub(crate) permits: PermitState,
     /// Whether this node acts for all.
     pub(crate) authority: Authority,
     /// Requests by tenant.
@@ -87,13 +87,13 @@
     /// Requests of this node by tenant, and the shares of tenants.
     pub(crate) tenant_shares: Rc<TenantShares>,
     /// Who waits for a place in a pool that is short.
-    pub(crate) rooms: Rooms,
+    pub(crate) admissions: PoolAdmissions,
     /// Figures that add up over all nodes.
     pub(crate) sums: FleetSums,
     /// What was weighed when engines were last ordered, by pool; empty unless this node orders them.
-    pub(crate) scaling_accounts: RefCell<BTreeMap<PoolName, ScalingAccount>>,
+    pub(crate) scaling_accounts: RefCell<BTreeMap<PoolName, ScalingDecision>>,
     /// Requests that end engines.
-    pub(crate) quarantine: Quarantine,
+    pub(crate) quarantine: QuarantineState,
     pub(crate) metrics: ForwardingMetrics,
     /// The era of the key-value service; changes when it was restored.
     pub(crate) store_era: watch::Sender<u64>,
@@ -132,7 +132,7 @@
             splits: RefCell::default(),
             work_changed: Notify::new(),
             dissemination: Dissemination::new(&settings),
-            permits: PermitDesk::default(),
+            permits: PermitState::default(),
             authority: Authority::default(),
             usage: UsageCounts::new(NodeNumber::of(settings.node.as_str()), settings.usage()),
             placements: RefCell::default(),
@@ -140,10 +140,10 @@
             role_changes: RefCell::default(),
             classes: Rc::default(),
             tenant_shares: Rc::default(),
-            rooms: Rooms::default(),
+            admissions: PoolAdmissions::default(),
             sums: FleetSums::default(),
             scaling_accounts: RefCell::default(),
-            quarantine: Quarantine::default(),
+            quarantine: QuarantineState::default(),
             store_era: watch::Sender::new(0),
             started: BootInstant::now(),
             table: RefCell::default(),
@@ -214,24 +214,24 @@
 
     /// Whether the engine's run has said in an answer that it drains.
     fn drains(&self, engine: EngineKey) -> bool {
-        self.router.borrow().signals.drains(engine)
+        self.router.borrow().signals.is_draining(engine)
     }
 
     /// When the engine started, as its entry or another node told.
     fn born(&self, engine: EngineKey) -> Option<u64> {
-        let born = self.router.borrow().signals.born(engine);
+        let born = self.router.borrow().signals.started_at_ms(engine);
         Some(born).filter(|born| *born > 0)
     }
 
     /// Takes an engine out that has said that it drains; whether that is news here.
     pub(crate) fn engine_drains(&self, engine: EngineKey) -> bool {
-        let is_news = self.router.borrow_mut().signals.note_draining(engine);
+        let is_news = self.router.borrow_mut().signals.record_draining(engine);
         is_news && self.fleet.borrow_mut().drain(engine)
     }
 
     /// Forgets all that was known of an engine but where it is: it has started again.
     pub(crate) fn engine_restarted(&self, engine: EngineKey) {
-        self.router.borrow_mut().forget(engine);
+        self.router.borrow_mut().forget_engine(engine);
         let born = self.born(engine);
         self.fleet.borrow_mut().set_born(engine, born);
         if !self.fleet().draining().any(|draining| draining == engine) {
@@ -262,7 +262,7 @@
                 && former.role != entry.role
             {
                 let engine = EngineKey::of(&entry.run);
-                self.router.borrow_mut().health.has_changed_role(engine);
+                self.router.borrow_mut().health.end_role_change(engine);
             }
             if let Some(former) = &former {
                 fleet.remove(former);
@@ -277,7 +277,7 @@
         }
         let mut router = self.router.borrow_mut();
         for engine in gone {
-            router.forget(engine);
+            router.forget_engine(engine);
         }
     }
 
@@ -326,21 +326,24 @@
     /// since, whatever their time.
     pub(crate) fn era_has_risen(&self, era: u64) {
         self.authority.drop_mandate();
-        self.quarantine.keep_again();
+        self.quarantine.rewrite_stored();
         self.store_era.send_replace(era);
     }
 
     /// Notes bytes that are written to this node's link.
     pub(crate) fn sent(&self, bytes: usize) {
         let time = self.settings.link_time(bytes);
-        self.uplink.borrow_mut().sent(self.now(), time);
+        self.uplink.borrow_mut().push(self.now(), time);
     }
 
     /// Notes that an engine was ordered to change its role: it is avoided, here and at the other
     /// nodes, until its entry shows the change, for `at_most` this time.
     pub(crate) fn changes_role(&self, engine: EngineKey, at_most: Duration) {
         let until = self.now() + at_most;
-        self.router.borrow_mut().health.changes_role(engine, until);
+        self.router
+            .borrow_mut()
+            .health
+            .begin_role_change(engine, until);
         self.role_changes.borrow_mut().push((engine, at_most));
         self.work_changed.notify_one();
     }
@@ -376,7 +379,7 @@
         let now = self.now();
         self.nodes.borrow_mut().set(now, nodes);
         self.budget.borrow_mut().set_nodes(now, nodes);
-        self.router.borrow_mut().unreported.set_nodes(nodes);
+        self.router.borrow_mut().unreported.set_node_count(nodes);
     }
 
     /// Nodes known, this one among them.
@@ -398,7 +401,7 @@
 fn retry_budget(settings: &ForwardingSettings) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(settings.retry_terms());
     if settings.retries.former_life {
-        budget.restarted(MonotonicTime::ZERO);
+        budget.note_restart(MonotonicTime::ZERO);
     }
     budget
 }
--- a/crates/forwarding/src/dissemination/engine_notices.rs
+++ b/crates/forwarding/src/dissemination/engine_notices.rs
@@ -106,12 +106,12 @@
     let signals = &router.signals;
     let start = |engine: EngineKey| EngineStart {
         engine: engine.0,
-        born: signals.born(engine),
+        born: signals.started_at_ms(engine),
     };
     let draining = fleet.draining().map(start).map(EngineNotice::Drains);
     let limits = signals.limits().iter();
     let limits = limits.map(|(engine, _, _)| EngineNotice::Limit(engine));
-    let started = signals.starts();
+    let started = signals.start_times();
     let started = started.map(|(engine, _)| EngineNotice::Started(start(engine)));
     let mut announced = chunk_for_turn(draining.collect(), turn);
     announced.extend(chunk_for_turn(limits.collect(), turn));
--- a/crates/forwarding/src/dissemination/own_figures.rs
+++ b/crates/forwarding/src/dissemination/own_figures.rs
@@ -25,7 +25,7 @@
 
 /// Called when a request found no capacity: computes tenant shares at once if none are in effect.
 pub(crate) fn on_shortage(context: &Context, now: MonotonicTime) {
-    if context.tenant_shares.wants_figures(now) {
+    if context.tenant_shares.needs_refresh(now) {
         update_own_figures(context, now);
         context.sums.refresh_demand(now);
         refresh_tenant_shares(context, now);
--- a/crates/forwarding/src/dissemination/receive/exchange.rs
+++ b/crates/forwarding/src/dissemination/receive/exchange.rs
@@ -12,7 +12,7 @@
 use crate::dissemination::receive::news::apply_and_forward;
 use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::engine_entries;
-use crate::quarantine::evidence::take_all;
+use crate::quarantine::evidence::apply_records;
 
 pub(super) fn handle(context: &Context, socket: &UdpSocket, relay: SocketAddr, exchange: Exchange) {
     let dissemination = &context.dissemination;
@@ -22,7 +22,7 @@
     apply_demand(context, source, exchange.demand);
     dissemination.set_lease_holder(exchange.holder);
     apply_and_forward(context, exchange.news);
-    take_all(context, &exchange.stopped);
+    apply_records(context, &exchange.stopped);
     engine_entries::merge(context, exchange.changes, ChangeSource::Relay);
     request_if_newer(context, socket, relay, exchange.declaration);
 }
--- a/crates/forwarding/src/dissemination/receive/mod.rs
+++ b/crates/forwarding/src/dissemination/receive/mod.rs
@@ -22,7 +22,7 @@
 use crate::dissemination::recent_changes::ChangeSource;
 use crate::dissemination::sums;
 use crate::fleet::engine_entries;
-use crate::permits::{asking, issuing};
+use crate::permits::{grants, requester};
 
 /// Size of the longest datagram. A truncated one would be unreadable, and a relay whose tables are
 /// unreadable counts as lost.
@@ -75,8 +75,8 @@
         Message::Declaration(part) => declaration::handle(context, part),
         Message::Engines(notices) => engine_notices::handle(context, &notices),
         Message::Limits(limits) => engine_notices::handle_limits(context, &limits),
-        Message::PermitRequest(request) => issuing::answer(context, socket, sender, &request),
-        Message::PermitAnswer(answer) => asking::take(context, answer),
+        Message::PermitRequest(request) => grants::respond(context, socket, sender, &request),
+        Message::PermitAnswer(answer) => requester::handle_answer(context, answer),
         Message::Sums(sums) => sums::handle(context, sums),
         Message::Usage(report) => context.usage.take_report(report),
     }
--- a/crates/forwarding/src/dissemination/receive/table.rs
+++ b/crates/forwarding/src/dissemination/receive/table.rs
@@ -13,7 +13,7 @@
 use crate::dissemination::receive::news::apply_news;
 use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::engine_entries;
-use crate::quarantine::evidence::take_all;
+use crate::quarantine::evidence::apply_records;
 
 /// Applies a table if it comes from the relay that this node follows.
 pub(super) fn handle(context: &Context, socket: &UdpSocket, relay: SocketAddr, table: Table) {
@@ -54,7 +54,7 @@
     for news in &table.news {
         apply_news(context, news);
     }
-    take_all(context, &table.stopped);
+    apply_records(context, &table.stopped);
     engine_entries::merge(context, table.changes, ChangeSource::Relay);
     request_if_newer(context, socket, relay, table.declaration);
     if dissemination.entries.borrow().digest() == table.entries_digest {
--- a/crates/forwarding/src/dissemination/send.rs
+++ b/crates/forwarding/src/dissemination/send.rs
@@ -19,7 +19,7 @@
 use crate::dissemination::pacing::{REPORT_INTERVAL, exchange_interval, pause_after};
 use crate::dissemination::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
 use crate::dissemination::{DisseminationRole, TABLE_INTERVAL};
-use crate::quarantine::evidence::told;
+use crate::quarantine::evidence::stopped_records;
 
 const DEMAND_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -72,7 +72,11 @@
         "reads_store" => role.reads_store, "nodes" => context.node_count());
     if role.is_relay {
         // Replaced by the reports of its members and of the other relays.
-        context.router.borrow_mut().work.forget(LoadSource::Fleet);
+        context
+            .router
+            .borrow_mut()
+            .work
+            .forget_source(LoadSource::Fleet);
     }
 }
 
@@ -170,7 +174,7 @@
         news,
         changes,
         stopped: if demand_is_due {
-            told(context)
+            stopped_records(context)
         } else {
             Vec::new()
         },
--- a/crates/forwarding/src/dissemination/tables.rs
+++ b/crates/forwarding/src/dissemination/tables.rs
@@ -14,7 +14,7 @@
 use crate::dissemination::pacing::pause_after;
 use crate::dissemination::receive::news::answer_parts_requests;
 use crate::dissemination::transmit::{LoadHeader, send, send_changes, send_loads, send_news};
-use crate::quarantine::evidence::told;
+use crate::quarantine::evidence::stopped_records;
 
 /// How often tables include the list of relays.
 const RELAYS_INTERVAL: Duration = Duration::from_secs(1);
@@ -82,7 +82,7 @@
         changes: changes.next().unwrap_or_default(),
         entries_digest: dissemination.entries.borrow().digest(),
         stopped: if includes_relays {
-            told(context)
+            stopped_records(context)
         } else {
             Vec::new()
         },
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -19,7 +19,7 @@
 use crate::fleet::follow::Follower;
 use crate::fleet::restored_entries::RESTORED_ENTRIES_LAPSE;
 use crate::fleet::signals::apply_start;
-use crate::quarantine::engine_end::{EndProof, engine_ended};
+use crate::quarantine::engine_end::{EndProof, record_engine_end};
 
 /// Relays ask for changes of engines' entries again after up to this time for each relay, at random.
 /// Whichever asks first tells the others within 25 ms, so that the fleet hears of a change after a few
@@ -87,7 +87,7 @@
             }
             if let Some(entry) = context.entry(&record.key).filter(|entry| entry.accepting) {
                 let engine = EngineKey::of(&entry.run);
-                engine_ended(context, engine, &entry.run, EndProof::EntryGone);
+                record_engine_end(context, engine, &entry.run, EndProof::EntryGone);
             }
             changes.push((record.key, None));
             continue;
@@ -105,7 +105,7 @@
         }
         let (engine, era) = (EngineKey::of(&entry.run), Revision(record.revision).era());
         let mut router = context.router.borrow_mut();
-        router.signals.note_entry(engine, entry.accepting, era);
+        router.signals.record_entry(engine, entry.accepting, era);
         drop(router);
         changes.push((record.key, Some(entry)));
     }
@@ -155,7 +155,7 @@
 /// service, which tells of a former start.
 fn note_born(context: &Context, entry: &EngineEntry, source: ChangeSource) {
     let (engine, born) = (EngineKey::of(&entry.run), entry.born.unwrap_or_default());
-    let known = context.router.borrow().signals.born(engine);
+    let known = context.router.borrow().signals.started_at_ms(engine);
     if source == ChangeSource::Store || born > known {
         apply_start(context, engine, born, NoticeSource::Entry);
     }
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -40,7 +40,7 @@
         let role = context.dissemination.role(now);
         self.is_relay.set(i64::from(role.is_relay));
         self.reads_store.set(i64::from(role.reads_store));
-        let report_age = context.router.borrow().work.mean_age(now, |_| true);
+        let report_age = context.router.borrow().work.mean_report_age(now, |_| true);
         let held = context.authority.held_token();
         self.authority_token.set(held.unwrap_or_default() as i64);
         self.usage_counted.set(context.usage.counted() as i64);
@@ -54,7 +54,7 @@
         self.set_repeats_left(context);
         self.scaling.set(&context.scaling_accounts.borrow());
         self.set_tenants_over_share(context);
-        self.room.set(context.rooms.standing());
+        self.room.set(context.admissions.summaries());
         self.sums.set(context, now);
         let mut buffer = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buffer)?;
@@ -75,7 +75,7 @@
 
     fn set_tenants_over_share(&self, context: &Context) {
         self.tenants_over_share.reset();
-        for (pool, tenants) in context.tenant_shares.tenants_cut(context.now()) {
+        for (pool, tenants) in context.tenant_shares.tenants_over_share(context.now()) {
             let gauge = self.tenants_over_share.with_label_values(&[pool.as_str()]);
             gauge.set(tenants as i64);
         }
@@ -86,9 +86,9 @@
     let router = context.router.borrow();
     StandingSignals {
         draining: context.fleet().draining().len(),
-        backing_off: router.signals.backing_off(context.now()),
+        backing_off: router.signals.backing_off_count(context.now()),
         limited: router.signals.limits().iter().count(),
-        issued_for: context.permits.issued_for(),
+        issued_for: context.permits.issuing_engine_count(),
     }
 }
 
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -9,14 +9,14 @@
 use dalestand_clock::{BootInstant, timeout};
 use dalestand_edge::routed::EngineTerms;
 use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
-use dalestand_quarantine::CRASHES_ALLOWED;
-use dalestand_routing::staged::{AttemptResult, ClosedFor, EngineChoice, EngineKey};
-use dalestand_routing::{CallArrival, CallPurpose, RepeatedSend};
+use dalestand_quarantine::STOP_AFTER_CRASHES;
+use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
+use dalestand_routing::{CallOutcome, CallPurpose, RepeatedSend};
 use dalestand_types::{PoolName, RequestRate};
 
 use crate::context::Context;
 use crate::permits::passage::Passage;
-use crate::quarantine::engine_end::{EndProof, ask_listener, engine_ended};
+use crate::quarantine::engine_end::{EndProof, ask_listener, record_engine_end};
 use crate::quarantine::evidence::{crashes, is_stopped};
 use crate::quarantine::run_watch::{RunWatch, Unfinished};
 use crate::serve::class_counts::BusySlot;
@@ -152,7 +152,7 @@
             let result = if exchange.head.status.is_server_error() {
                 AttemptResult::Failed
             } else {
-                AttemptResult::Sound(took)
+                AttemptResult::Success(took)
             };
             work.begun();
             if let Some(tenant) = progress.tenant.clone()
@@ -186,12 +186,16 @@
         }
         Judged::NotSent => {
             watch.over();
-            (AttemptEnd::NotSent, "not sent", Some(AttemptResult::Silent))
+            (
+                AttemptEnd::NotSent,
+                "not sent",
+                Some(AttemptResult::NoResponse),
+            )
         }
         Judged::NoListener => {
             watch.over();
-            engine_ended(context, engine.key, &engine.run, EndProof::NoListener);
-            let silent = Some(AttemptResult::Silent);
+            record_engine_end(context, engine.key, &engine.run, EndProof::NoListener);
+            let silent = Some(AttemptResult::NoResponse);
             (AttemptEnd::NotSent, "no listener", silent)
         }
         Judged::Withheld => {
@@ -208,13 +212,17 @@
         }
         Judged::Silent => {
             watch.unfinished(Unfinished::Silent);
-            (AttemptEnd::Unknown, "silent", Some(AttemptResult::Silent))
+            (
+                AttemptEnd::Unknown,
+                "silent",
+                Some(AttemptResult::NoResponse),
+            )
         }
     };
     if let Some(result) = result {
         let now = context.now();
         let mut router = context.router.borrow_mut();
-        router.health.note(now, engine.key, result);
+        router.health.record(now, engine.key, result);
     }
     if call.purpose == CallPurpose::Run && matches!(end, AttemptEnd::Refused | AttemptEnd::NotSent)
     {
@@ -223,12 +231,12 @@
     if call.purpose == CallPurpose::Run && matches!(end, AttemptEnd::Answered(_)) {
         count_usage(context, progress);
     }
-    let arrival = match &end {
-        AttemptEnd::Answered(_) => CallArrival::TakenUp,
-        AttemptEnd::Refused | AttemptEnd::Unknown => CallArrival::NotTakenUp,
-        AttemptEnd::NotSent => CallArrival::NotArrived,
+    let call_outcome = match &end {
+        AttemptEnd::Answered(_) => CallOutcome::Accepted,
+        AttemptEnd::Refused | AttemptEnd::Unknown => CallOutcome::NotAccepted,
+        AttemptEnd::NotSent => CallOutcome::NotDelivered,
     };
-    let is_free = progress.call_counts.came_out(call.purpose, arrival);
+    let is_free = progress.call_counts.record(call.purpose, call_outcome);
     if let Some(send) = taken.filter(|_| is_free) {
         context.budget.borrow_mut().give_back(call.pool, send);
     }
@@ -242,7 +250,7 @@
     context: &Context,
     progress: &mut Progress,
     call: &Call<'_>,
-    closed: ClosedFor,
+    closed: ClosedReason,
 ) -> AttemptEnd {
     let (none, signals) = (Duration::ZERO, closed.into());
     let record = progress.record(call.purpose, &call.choice, "withheld", none, signals);
@@ -274,7 +282,7 @@
     let Some(former) = progress.tried.last().filter(|_| progress.runs > 0) else {
         return;
     };
-    if crashes(context, progress.fingerprint) + 1 >= CRASHES_ALLOWED {
+    if crashes(context, progress.fingerprint) + 1 >= STOP_AFTER_CRASHES {
         ask_listener(context, pool, *former).await;
     }
 }
--- a/crates/forwarding/src/serve/rooms.rs
+++ b/crates/forwarding/src/serve/pool_admissions.rs
@@ -5,21 +5,21 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dalestand_routing::room::{PoolRoom, RoomAccount, WaitNumber};
+use dalestand_routing::overload::{PoolAdmission, RoomAccount, WaiterId};
 use dalestand_types::{MonotonicTime, PoolName};
 use tokio::sync::oneshot;
 
 /// The rooms of one node, by pool.
 #[derive(Default)]
-pub(crate) struct Rooms {
+pub(crate) struct PoolAdmissions {
     desks: RefCell<HashMap<PoolName, Rc<Desk>>>,
 }
 
 /// One pool's room, and who waits for it.
 #[derive(Default)]
 pub(super) struct Desk {
-    pub(super) room: RefCell<PoolRoom>,
-    pub(super) waiters: RefCell<HashMap<WaitNumber, oneshot::Sender<Place>>>,
+    pub(super) room: RefCell<PoolAdmission>,
+    pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Place>>>,
     pub(super) looked_at: Cell<Option<MonotonicTime>>,
     /// First tries a second at this node, by priority.
     pub(super) asked: RefCell<Vec<(u8, f64)>>,
@@ -32,7 +32,7 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        self.0.room.borrow_mut().sent();
+        self.0.room.borrow_mut().note_sent();
     }
 }
 
@@ -65,16 +65,16 @@
     }
 }
 
-impl Rooms {
+impl PoolAdmissions {
     /// Requests that wait, and places that this node may have, by pool that has an account.
-    pub(crate) fn standing(&self) -> Vec<(PoolName, usize, f64)> {
+    pub(crate) fn summaries(&self) -> Vec<(PoolName, usize, f64)> {
         let desks = self.desks.borrow();
-        let standing = desks.iter().map(|(pool, desk)| {
+        let summaries = desks.iter().map(|(pool, desk)| {
             let room = desk.room.borrow();
             let places = room.account().map_or(0.0, |account| account.own_places);
             (pool.clone(), room.waiting(), places)
         });
-        standing.collect()
+        summaries.collect()
     }
 
     /// The room of a pool.
