--- a/crates/routing/src/staged/admission.rs
+++ b/crates/routing/src/staged/admission.rs
@@ -1,46 +1,46 @@
-//! Whether a request is begun at all, and for how long an engine may keep it waiting.
+//! Load shedding before a request is sent, and the response timeout after it was sent.
 //!
-//! Above capacity every request that is begun delays all others. One that cannot be answered in time
-//! is refused before any engine has worked on it, and one that was begun is not thrown away while it
-//! keeps to what was expected: work thrown away is work done twice.
+//! Under overload, every request sent to an engine delays all others there. A request that cannot be answered
+//! in time is rejected before any engine works on it. A request that was sent is not cancelled while it takes no
+//! longer than estimated, because its work would have to be repeated.
 
 use std::time::Duration;
 
-/// A request is begun if queues leave it this multiple of its objective.
-const BEGUN_WITHIN_OBJECTIVES: f64 = 0.9;
+/// Share of the objective within which a response must be expected to start.
+const OBJECTIVE_SHARE: f64 = 0.9;
 
-/// Share of the time left that the expected time may take: expectations err.
-const SHARE_OF_TIME_LEFT: f64 = 0.9;
+/// Share of the remaining time that the estimated latency may take; a margin for estimation errors.
+const REMAINING_TIME_SHARE: f64 = 0.9;
 
-/// Times that an engine may take against what was expected of it before it counts as failed.
-const PATIENCE_FACTOR: f64 = 2.0;
+/// Response timeout as a multiple of the estimated latency.
+const RESPONSE_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// Callers come back within this share of the time that they have left.
-const RETURN_SHARE: f64 = 1.0 / 3.0;
+/// Maximum retry-after time as a share of the request's remaining time.
+const RETRY_AFTER_SHARE: f64 = 1.0 / 3.0;
 
-/// Shortest time after which a caller is asked to come back.
-const SHORTEST_RETURN: Duration = Duration::from_millis(50);
+/// Minimum retry-after time.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// What a request still has.
+/// Time limits of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TimeBounds {
-    /// Time until its final answer is due.
+    /// Remaining time until the deadline for the whole response.
     pub left: Duration,
-    /// Time within which its answer is to begin; zero where none is stated.
+    /// Time within which the response should start; zero if no objective is set.
     pub objective: Duration,
 }
 
-/// What is expected of a request before it is begun.
+/// Estimated latency of a request before it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LatencyEstimate {
-    /// Seconds until its answer begins.
+    /// Seconds until the response starts.
     pub total_s: f64,
-    /// Those of them that go to work which is there before.
+    /// The share of `total_s` spent waiting for work queued before the request, in seconds.
     pub queue_s: f64,
 }
 
 impl LatencyEstimate {
-    /// The same behind a further queue of `queue_s` seconds.
+    /// Adds a queueing delay of `queue_s` seconds.
     #[must_use]
     pub fn with_added_queue(self, queue_s: f64) -> Self {
         Self {
@@ -50,34 +50,33 @@
     }
 }
 
-/// For how long a request's caller should stay away, if it cannot be answered in time; `None` if it
-/// is to be begun.
+/// The retry-after time to return if the request is to be rejected; `None` if it is to be sent.
 ///
-/// Late is what comes after the objective because of queues. A request that takes longer by itself
-/// is not to blame on the load, so it is refused only if the queues alone are as long.
+/// A request is rejected if queueing makes it miss its objective. One that would miss it even without queueing is
+/// rejected only if the queueing time alone reaches the objective, because load is not the cause of its latency.
 pub fn rejection_retry_after(expected: LatencyEstimate, bounds: TimeBounds) -> Option<Duration> {
     let left_s = bounds.left.as_secs_f64();
     let objective_s = bounds.objective.as_secs_f64();
     let own_s = expected.total_s - expected.queue_s;
-    let wanted_s = objective_s * BEGUN_WITHIN_OBJECTIVES;
-    // Without a queue it is begun whatever is expected: only answers show that engines are faster.
-    let is_hopeless = expected.queue_s > 0.0 && expected.total_s > left_s * SHARE_OF_TIME_LEFT;
-    let allowed_s = if own_s <= wanted_s {
-        wanted_s - own_s
+    let target_s = objective_s * OBJECTIVE_SHARE;
+    // Without a queue it is always sent: only responses can correct an estimate that is too high.
+    let misses_deadline =
+        expected.queue_s > 0.0 && expected.total_s > left_s * REMAINING_TIME_SHARE;
+    let allowed_queue_s = if own_s <= target_s {
+        target_s - own_s
     } else {
-        wanted_s
+        target_s
     };
-    let is_late = objective_s > 0.0 && expected.queue_s > allowed_s;
-    if !is_hopeless && !is_late {
+    let misses_objective = objective_s > 0.0 && expected.queue_s > allowed_queue_s;
+    if !misses_deadline && !misses_objective {
         return None;
     }
-    let queue_s = (expected.total_s - objective_s).min(left_s * RETURN_SHARE);
-    Some(Duration::from_secs_f64(queue_s.max(0.0)).max(SHORTEST_RETURN))
+    let excess_s = (expected.total_s - objective_s).min(left_s * RETRY_AFTER_SHARE);
+    Some(Duration::from_secs_f64(excess_s.max(0.0)).max(MIN_RETRY_AFTER))
 }
 
-/// How long an engine may leave a call without an answer: `least`, or longer where longer was
-/// expected when it was chosen.
-pub fn response_timeout(expected_s: f64, least: Duration) -> Duration {
-    let expected = Duration::try_from_secs_f64(expected_s * PATIENCE_FACTOR);
-    expected.unwrap_or(Duration::MAX).max(least)
+/// How long to wait for an engine's response: a multiple of the estimated latency, but at least `min`.
+pub fn response_timeout(expected_s: f64, min: Duration) -> Duration {
+    let expected = Duration::try_from_secs_f64(expected_s * RESPONSE_TIMEOUT_FACTOR);
+    expected.unwrap_or(Duration::MAX).max(min)
 }
--- a/crates/routing/src/staged/remembered.rs
+++ b/crates/routing/src/staged/bounded_map.rs
@@ -1,22 +1,22 @@
-//! What is remembered of engines, as many as may matter at once.
+//! A map by engine with a bounded number of entries.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::EngineKey;
 
-/// Engines of which something is remembered, the newest: more than end while an older entry of one may still
-/// come from a reading, a relay or a restored service. 200 KB for each thing that is remembered.
-const MOST_REMEMBERED: usize = 16_384;
+/// Maximum number of engines in a map. Larger than the number of engines that can end while outdated entries of
+/// them may still arrive from the key-value service or from relays. Some 200 KB for each map.
+const MAX_ENGINES: usize = 16_384;
 
-/// What is remembered of the engines of which it was learnt last.
+/// A map by engine that evicts the engine that was added first.
 #[derive(Clone, Debug)]
-pub(super) struct Remembered<V> {
+pub(super) struct BoundedMap<V> {
     values: HashMap<EngineKey, V>,
-    /// In the order in which they were learnt.
+    /// Engines in order of insertion.
     order: VecDeque<EngineKey>,
 }
 
-impl<V> Default for Remembered<V> {
+impl<V> Default for BoundedMap<V> {
     fn default() -> Self {
         Self {
             values: HashMap::new(),
@@ -25,7 +25,7 @@
     }
 }
 
-impl<V> Remembered<V> {
+impl<V> BoundedMap<V> {
     pub(super) fn get(&self, engine: EngineKey) -> Option<&V> {
         self.values.get(&engine)
     }
@@ -34,13 +34,13 @@
         self.values.iter().map(|(engine, value)| (*engine, value))
     }
 
-    /// Sets a value; whether there was none.
+    /// Sets the value of an engine. Returns whether the engine had none before.
     pub(super) fn set(&mut self, engine: EngineKey, value: V) -> bool {
         if self.values.insert(engine, value).is_some() {
             return false;
         }
         self.order.push_back(engine);
-        if self.order.len() > MOST_REMEMBERED
+        if self.order.len() > MAX_ENGINES
             && let Some(oldest) = self.order.pop_front()
         {
             self.values.remove(&oldest);
--- a/crates/routing/src/staged/candidates.rs
+++ b/crates/routing/src/staged/candidate_sampler.rs
@@ -1,10 +1,9 @@
-//! Which engines a choice compares: those that keep the prompt's parts, the affinity target, and some
-//! drawn at random.
+//! Selects the engines that a choice compares: engines that cache the prompt's parts, the affinity target and
+//! a random sample.
 //!
-//! The best of `n` engines drawn at random lies among the best `1 / (n + 1)` of all on average,
-//! whatever their number, so the quality of a choice does not depend on the size of the fleet, and its
-//! cost does not either. Random order also decides between engines that look alike: nodes that knew
-//! nothing of engines' work used to take the first in the order of keys, all of them the same.
+//! On average, the best of `n` random engines lies among the best `1 / (n + 1)` of all, so neither the quality
+//! nor the cost of a choice depends on the size of the fleet. The random order also breaks ties between equal
+//! engines: with a fixed order, all nodes would choose the same one.
 
 use std::cell::RefCell;
 
@@ -12,33 +11,31 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 
-use super::parts::PartDirectory;
-use super::pool::{EnginePool, SampleSize};
+use super::engine_pool::{EnginePool, SampleSize};
+use super::part_directory::PartDirectory;
 use super::{EngineKey, Stage, StagedEngine, StagedRequest};
 
-/// Engines compared for a prompt, of one stage. Fleets of up to so many engines of a stage are compared
-/// whole. Of 32 the best is among the best 3 in 100; three such samples, of which a choice for a prompt is
-/// made, take a tenth of a millisecond.
+/// Engines of one stage compared for a prompt. If the stage has no more engines than this, all are compared.
 const PROMPT_SAMPLE: SampleSize = SampleSize {
     engines: 32,
     preferred_zone: 24,
 };
 
-/// Engines compared for an opaque request. Of their work a node knows only its own, so that more of
-/// them would only bring it back to the few that it has learnt to be fast.
+/// Engines compared for an opaque request. A node knows only its own work at these engines: with a larger
+/// sample it would send most requests to the few engines that it has found to be fast.
 const OPAQUE_SAMPLE: SampleSize = SampleSize {
     engines: 8,
     preferred_zone: 6,
 };
 
-/// Engines drawn where all of the first sample are closed or were tried. Where one engine in a hundred is
-/// open, 99 choices in 100 find one.
-const SECOND_SAMPLE: SampleSize = SampleSize {
+/// Engines drawn if all of the first sample are closed or were tried. If one engine in a hundred is open, the
+/// sample contains an open one with a probability of 99 percent.
+const FALLBACK_SAMPLE: SampleSize = SampleSize {
     engines: 512,
     preferred_zone: 256,
 };
 
-/// Draws the engines that are compared.
+/// Draws the engines that a choice compares.
 #[derive(Clone, Debug)]
 pub struct CandidateSampler(RefCell<ChaCha8Rng>);
 
@@ -49,17 +46,17 @@
 }
 
 impl CandidateSampler {
-    /// Draws that differ from those of another seed.
+    /// Creates a sampler whose draws are determined by `seed`.
     pub fn seeded(seed: u64) -> Self {
         Self(RefCell::new(ChaCha8Rng::seed_from_u64(seed)))
     }
 
-    /// A number from 0 to 1.
-    pub(super) fn chance(&self) -> f64 {
+    /// A random number, uniform in `[0, 1)`.
+    pub(super) fn uniform(&self) -> f64 {
         self.0.borrow_mut().random_range(0.0..1.0)
     }
 
-    /// Engines of `stage` for a prompt, `target` and holders of its parts among them.
+    /// Engines of `stage` to compare for a prompt, including the affinity target and holders of its parts.
     pub(super) fn for_prompt<'p>(
         &self,
         pool: &'p EnginePool,
@@ -71,15 +68,15 @@
     ) -> Vec<&'p StagedEngine> {
         let random = &mut *self.0.borrow_mut();
         let sample = pool.sample(random, stage, preferred, PROMPT_SAMPLE);
-        let mut candidates = open(sample, request, &is_open);
+        let mut candidates = eligible(sample, request, &is_open);
         if candidates.is_empty() {
-            let sample = pool.sample(random, stage, preferred, SECOND_SAMPLE);
-            candidates = open(sample, request, &is_open);
+            let sample = pool.sample(random, stage, preferred, FALLBACK_SAMPLE);
+            candidates = eligible(sample, request, &is_open);
         }
-        // Where all are compared, nothing is missing.
+        // Otherwise the sample already contains all engines.
         if PROMPT_SAMPLE.engines < pool.count(stage) {
-            let named = known.parts.holders(&request.parts);
-            for key in named.into_iter().chain(known.target) {
+            let holders = known.parts.holders(&request.parts);
+            for key in holders.into_iter().chain(known.affinity_target) {
                 let engine = pool.get(key).filter(|engine| engine.stage == stage);
                 if let Some(engine) = engine
                     && is_open(key)
@@ -93,7 +90,7 @@
         candidates
     }
 
-    /// Engines for an opaque request.
+    /// Engines to compare for an opaque request.
     pub(super) fn for_opaque<'p>(
         &self,
         pool: &'p EnginePool,
@@ -102,32 +99,32 @@
         is_open: impl Fn(EngineKey) -> bool,
     ) -> Vec<&'p StagedEngine> {
         let random = &mut *self.0.borrow_mut();
-        // Those that were tried must not use the sample up.
+        // Makes up for engines that were tried and are removed from the sample.
         let size = SampleSize {
             engines: OPAQUE_SAMPLE.engines + request.tried.len(),
             preferred_zone: OPAQUE_SAMPLE.preferred_zone + request.tried.len(),
         };
         let sample = pool.sample(random, Stage::Opaque, preferred, size);
-        let candidates = open(sample, request, &is_open);
+        let candidates = eligible(sample, request, &is_open);
         if !candidates.is_empty() {
             return candidates;
         }
-        let sample = pool.sample(random, Stage::Opaque, preferred, SECOND_SAMPLE);
-        open(sample, request, &is_open)
+        let sample = pool.sample(random, Stage::Opaque, preferred, FALLBACK_SAMPLE);
+        eligible(sample, request, &is_open)
     }
 }
 
-/// Engines that a prompt should be compared at for what is known of them.
+/// Sources of engines that are compared for a prompt in addition to the random sample.
 #[derive(Clone, Copy)]
 pub(super) struct KnownCandidates<'a> {
-    /// Which engines keep which parts.
+    /// Prompt parts cached by engines.
     pub(super) parts: &'a PartDirectory,
-    /// The engine that all nodes agree on for the prompt.
-    pub(super) target: Option<EngineKey>,
+    /// The engine that every node computes for the prompt's affinity part.
+    pub(super) affinity_target: Option<EngineKey>,
 }
 
-/// Engines that were not tried and are not closed to calls.
-fn open<'p>(
+/// Removes engines that were tried before or are closed to calls.
+fn eligible<'p>(
     mut sample: Vec<&'p StagedEngine>,
     request: &StagedRequest,
     is_open: impl Fn(EngineKey) -> bool,
--- a/crates/routing/src/staged/cost.rs
+++ b/crates/routing/src/staged/cost.rs
@@ -1,200 +1,206 @@
-//! What an engine costs a request: the time that is expected of it, and what risks, other requests and
-//! other nodes add.
+//! The cost of sending a request to an engine, in seconds: the expected latency plus penalties for failure
+//! risk, for the delay caused to other requests, and for requests of other nodes that are not reported yet.
 
 use dalestand_types::{MonotonicTime, ZoneName};
 
-use super::chooser::StagedRouter;
-use super::pool::EnginePool;
-use super::unreported::ExpectedSends;
+use super::engine_pool::EnginePool;
+use super::staged_router::StagedRouter;
+use super::unreported_sends::ExpectedSends;
 use super::{EngineKey, Stage, StagedEngine, StagedRequest};
 
-/// Added time of an engine in another zone than the node's, in seconds.
-const OTHER_ZONE_S: f64 = 3e-3;
+/// Cost of an engine in another zone than the node's, in seconds.
+const CROSS_ZONE_COST_S: f64 = 3e-3;
 
-/// Time that a failed attempt is taken to cost, in seconds.
-const FAILURE_S: f64 = 0.4;
+/// Assumed cost of one failed attempt, in seconds; multiplied by the engine's failure rate.
+const FAILED_ATTEMPT_COST_S: f64 = 0.4;
 
-/// Added time of an engine that is avoided, in seconds: it is taken only where there is no other.
-const AVOIDED_S: f64 = 1_000.0;
+/// Cost of an avoided engine, in seconds. High enough that it is chosen only if there is no alternative.
+const AVOIDED_ENGINE_COST_S: f64 = 1_000.0;
 
-/// Added time of an engine that is not the affinity target of the prompt's leading parts, in seconds.
-/// Without it nodes that have not heard of each other's choices would read a new part at several
-/// engines. It also decides which parts have a target: those that take longer to read than this.
-/// With targets for whatever came first, parts of 55 tokens that each request has sent thousands of
-/// requests a minute to four engines, to save a millisecond each.
-const NOT_TARGET_S: f64 = 15e-3;
+/// Cost of an engine that neither caches the prompt's leading parts nor is their affinity target, in
+/// seconds. Keeps nodes that do not know each other's choices from prefilling a new part on several
+/// engines.
+///
+/// Also the shortest prefill time for which a part gets an affinity target: a target for a very short
+/// part that many prompts begin with would overload one engine to save almost nothing.
+const AFFINITY_MISS_COST_S: f64 = 15e-3;
 
-/// Weight of the delay that a prompt brings to each other request of its engine.
-const OTHERS_WEIGHT: f64 = 0.2;
+/// Weight of the delay that a prefill on a decode engine causes to each request running there.
+const INTERFERENCE_WEIGHT: f64 = 0.2;
 
-/// Most others that count.
-const OTHERS_COUNTED: u32 = 12;
+/// Maximum number of running requests for which that delay is counted.
+const MAX_DELAYED_REQUESTS: u32 = 12;
 
-/// Tokens from which it pays to take them from another engine.
-const FETCHED_FROM_TOKENS: u32 = 1_000;
+/// Fewer cached tokens than this are prefilled again instead of fetched from another engine.
+const MIN_FETCHED_TOKENS: u32 = 1_000;
 
-/// A part that is kept twice drives other parts out of memory, and so many of their tokens are read
-/// again for each token taken.
-const READ_AGAIN_FOR_FETCHED: f64 = 0.3;
+/// Tokens of other parts that have to be prefilled again for each fetched token, because the second
+/// copy evicts them from the KV cache.
+const EVICTED_PER_FETCHED_TOKEN: f64 = 0.3;
 
-/// What goes on from moved memory waits for one step of the batch, which takes up to this time in
-/// seconds where prompts are read between the tokens; it does not wait for those prompts.
-const STEP_WITH_READING_S: f64 = 50e-3;
+/// Longest batch step of a decode engine that also prefills prompts, in seconds. A request that
+/// continues from a transferred KV cache waits for one step, not for the queued prompts.
+const MAX_BATCH_STEP_S: f64 = 50e-3;
 
-/// Moving memory between zones takes this multiple of the time within one.
-const OTHER_ZONE_MOVE_FACTOR: f64 = 2.0;
+/// Duration of a KV cache transfer between zones, relative to one within a zone.
+const CROSS_ZONE_TRANSFER_FACTOR: f64 = 2.0;
 
-/// Added time for each request of a batch, as a share of a slot, in seconds.
-const BATCH_S: f64 = 0.25;
+/// Cost of an engine with all slots taken, in seconds; grows with the square of the share taken.
+const FULL_BATCH_COST_S: f64 = 0.25;
 
-/// Time of an opaque request where no engine's is known, in seconds.
-const PRIOR_OPAQUE_S: f64 = 30e-3;
+/// Assumed latency of an opaque request while no engine's latency is known, in seconds.
+const PRIOR_OPAQUE_LATENCY_S: f64 = 30e-3;
 
-/// What is expected of an engine, and what it is compared by.
+/// Expected latency of a request on an engine, and the cost by which engines are compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct EngineCost {
-    /// Expected seconds until the engine has done its part up to the first token.
+    /// Expected seconds until the engine has finished its stage, up to the first token.
     pub(super) expected_s: f64,
-    /// Those of them that go to work which is there before.
+    /// The share of `expected_s` spent waiting for work queued before the request.
     pub(super) queue_s: f64,
-    /// The expected time with what risks, other requests and other nodes add, in seconds.
+    /// `expected_s` plus all penalties, in seconds.
     pub(super) cost_s: f64,
-    /// What another request adds to it, in seconds.
-    pub(super) added_s: f64,
-    /// Prompt tokens that it still has to read.
+    /// Increase of the cost by one more request, in seconds.
+    pub(super) marginal_s: f64,
+    /// Prompt tokens that the engine has to prefill.
     pub(super) unread_tokens: u32,
-    /// The engine from which it is to take what it does not keep of the prompt.
+    /// The engine from which to fetch cached parts that this engine lacks.
     pub(super) fetch_from: Option<EngineKey>,
 }
 
-/// What is the same for all engines that are compared to read one prompt.
-pub(super) struct PrefillTerms<'a> {
+/// Inputs of [`StagedRouter::prefill_cost`] that are the same for all engines compared for one prompt.
+pub(super) struct PrefillContext<'a> {
     pub(super) now: MonotonicTime,
     pub(super) zone: &'a ZoneName,
     pub(super) request: &'a StagedRequest,
-    /// The part by which prompts stay together.
-    pub(super) affinity: Option<u64>,
-    /// The engine that all nodes agree on for that part.
-    pub(super) target: Option<EngineKey>,
-    /// The engine that has read most of the prompt, with the tokens.
-    pub(super) holder: Option<(EngineKey, u32)>,
+    /// The part that ties prompts to a common engine.
+    pub(super) affinity_part: Option<u64>,
+    /// The engine that every node computes for that part.
+    pub(super) affinity_target: Option<EngineKey>,
+    /// The engine that caches most of the prompt, with the number of leading tokens cached there.
+    pub(super) best_holder: Option<(EngineKey, u32)>,
     pub(super) unreported: ExpectedSends,
 }
 
 impl StagedRouter {
-    /// What is the same for the engines of `stage`.
-    pub(super) fn prefill_terms<'a>(
+    /// Computes the inputs that all engines of `stage` share.
+    pub(super) fn prefill_context<'a>(
         &self,
         now: MonotonicTime,
         zone: &'a ZoneName,
         pool: &EnginePool,
         stage: Stage,
         request: &'a StagedRequest,
-    ) -> PrefillTerms<'a> {
-        let affinity = self.affinity(stage, request);
+    ) -> PrefillContext<'a> {
+        let affinity_part = self.affinity_part(stage, request);
         let is_open = self.is_open(now);
-        let is_new = |key| !request.tried.contains(&key) && is_open(key);
-        let target = affinity.and_then(|part| pool.affinity_target(stage, part, is_new));
-        let may_give =
+        let is_eligible = |key| !request.tried.contains(&key) && is_open(key);
+        let affinity_target =
+            affinity_part.and_then(|part| pool.affinity_target(stage, part, is_eligible));
+        let may_serve =
             |key| pool.get(key).is_some() && is_open(key) && !self.health.is_avoided(now, key);
-        let holder = self.parts.best_holder(&request.parts, may_give);
-        PrefillTerms {
+        let best_holder = self.parts.best_holder(&request.parts, may_serve);
+        PrefillContext {
             now,
             zone,
             request,
-            affinity,
-            target,
-            holder: holder.filter(|_| request.link_mbps > 0.0),
+            affinity_part,
+            affinity_target,
+            best_holder: best_holder.filter(|_| request.link_mbps > 0.0),
             unreported: self.expected_sends(now, stage, pool),
         }
     }
 
-    /// The part by which prompts stay together: the one at whose end a reading has taken longer than
-    /// what an engine other than the target is charged. The last part is the request's own.
-    fn affinity(&self, stage: Stage, request: &StagedRequest) -> Option<u64> {
+    /// The first part up to whose end a prefill takes at least [`AFFINITY_MISS_COST_S`]. The last part is
+    /// left out: it belongs to this request alone.
+    fn affinity_part(&self, stage: Stage, request: &StagedRequest) -> Option<u64> {
         let (_, shared) = request.parts.split_last()?;
         let mut tokens = 0_u32;
         shared.iter().find_map(|part| {
             tokens = tokens.saturating_add(part.tokens);
-            let takes_s = self.prefill_speeds.usual_s(stage, f64::from(tokens))
+            let prefill_s = self.prefill_speeds.usual_s(stage, f64::from(tokens))
                 - self.prefill_speeds.usual_s(stage, 0.0);
-            (takes_s >= NOT_TARGET_S).then_some(part.id)
+            (prefill_s >= AFFINITY_MISS_COST_S).then_some(part.id)
         })
     }
 
-    /// What an engine costs that is to read the prompt.
+    /// Cost of prefilling the prompt on `engine`.
     pub(super) fn prefill_cost(
         &self,
-        terms: &PrefillTerms<'_>,
+        context: &PrefillContext<'_>,
         engine: &StagedEngine,
     ) -> EngineCost {
-        let request = terms.request;
-        let mut kept = self.parts.cached_tokens(engine.key, &request.parts);
-        let missing = |(_, tokens): (EngineKey, u32)| tokens.saturating_sub(kept);
-        let fetched = terms.holder.map_or(0, missing);
-        let fetched = if fetched >= FETCHED_FROM_TOKENS {
+        let request = context.request;
+        let mut cached = self.parts.cached_tokens(engine.key, &request.parts);
+        let missing = |(_, tokens): (EngineKey, u32)| tokens.saturating_sub(cached);
+        let fetched = context.best_holder.map_or(0, missing);
+        let fetched = if fetched >= MIN_FETCHED_TOKENS {
             fetched
         } else {
             0
         };
-        kept += fetched;
-        let fetch_s = move_s(request, fetched, false);
-        let unread = request.prompt_tokens.saturating_sub(kept);
+        cached += fetched;
+        let fetch_s = transfer_s(request, fetched, false);
+        let unread = request.prompt_tokens.saturating_sub(cached);
         let work = self.work.total(engine.key);
         let slowness = self.prefill_speeds.slowness(engine.key);
-        let reading_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
-        let ahead = work.unread_tokens as f64 + f64::from(unread);
-        let starts_s = |starting| match engine.stage {
+        let prefill_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
+        let tokens_with_queue = work.unread_tokens as f64 + f64::from(unread);
+        let start_queue_s = |starting| match engine.stage {
             Stage::Decode => self.decode_start_times.queue_s(starting),
             Stage::Prefill | Stage::Opaque => 0.0,
         };
-        let own_starts_s = starts_s(work.starting);
-        let ahead_s = reading_s(ahead);
-        let unread_s = reading_s(f64::from(unread));
-        let nothing_s = reading_s(0.0);
-        let expected_s = request.send_s + ahead_s + own_starts_s + fetch_s;
-        let displaced_s = (reading_s(f64::from(fetched)) - nothing_s) * READ_AGAIN_FOR_FETCHED;
-        let chance = self.unreported.quantile(engine.key, terms.affinity);
-        let drawn = match terms.affinity {
-            Some(_) => terms.unreported.draw(work, chance),
+        let known_start_queue_s = start_queue_s(work.starting);
+        let prefill_with_queue_s = prefill_s(tokens_with_queue);
+        let own_prefill_s = prefill_s(f64::from(unread));
+        let empty_prefill_s = prefill_s(0.0);
+        let expected_s = request.send_s + prefill_with_queue_s + known_start_queue_s + fetch_s;
+        let eviction_s =
+            (prefill_s(f64::from(fetched)) - empty_prefill_s) * EVICTED_PER_FETCHED_TOKEN;
+        let quantile = self.unreported.quantile(engine.key, context.affinity_part);
+        let sampled = match context.affinity_part {
+            Some(_) => context.unreported.draw(work, quantile),
             None => work,
         };
-        let drawn_ahead = drawn.unread_tokens as f64 + f64::from(unread);
-        let drawn_request_s = reading_s(terms.unreported.tokens_each) - nothing_s
+        let sampled_tokens_with_queue = sampled.unread_tokens as f64 + f64::from(unread);
+        let unreported_request_s = prefill_s(context.unreported.tokens_each) - empty_prefill_s
             + self.decode_start_times.queue_s(1);
-        let drawn_part = match terms.affinity {
-            Some(_) => terms.unreported.draw_fraction(chance),
+        let sampled_fraction = match context.affinity_part {
+            Some(_) => context.unreported.draw_fraction(quantile),
             None => 0.0,
         };
-        let others_s = match engine.stage {
+        let interference_s = match engine.stage {
             Stage::Decode => {
-                let others = f64::from(drawn.requests.min(OTHERS_COUNTED));
-                (unread_s - nothing_s) * others * OTHERS_WEIGHT
+                let delayed = f64::from(sampled.requests.min(MAX_DELAYED_REQUESTS));
+                (own_prefill_s - empty_prefill_s) * delayed * INTERFERENCE_WEIGHT
             }
             Stage::Prefill | Stage::Opaque => 0.0,
         };
         let cost_s = expected_s
-            + drawn_part * drawn_request_s
-            + (starts_s(drawn.starting) - own_starts_s)
-            + (reading_s(drawn_ahead) - ahead_s)
-            + displaced_s
-            + batch_s(engine, drawn.requests)
-            + others_s
-            + not_target_s(terms, engine, kept)
-            + self.common_s(terms.now, terms.zone, engine)
-            + self.failing_s(terms.now, engine);
+            + sampled_fraction * unreported_request_s
+            + (start_queue_s(sampled.starting) - known_start_queue_s)
+            + (prefill_s(sampled_tokens_with_queue) - prefill_with_queue_s)
+            + eviction_s
+            + batch_load_s(engine, sampled.requests)
+            + interference_s
+            + affinity_miss_s(context, engine, cached)
+            + self.zone_and_avoidance_s(context.now, context.zone, engine)
+            + self.failure_s(context.now, engine);
         EngineCost {
             expected_s,
-            queue_s: ahead_s - unread_s + own_starts_s,
+            queue_s: prefill_with_queue_s - own_prefill_s + known_start_queue_s,
             cost_s,
-            added_s: drawn_request_s + batch_s(engine, drawn.requests + 1)
-                - batch_s(engine, drawn.requests),
+            marginal_s: unreported_request_s + batch_load_s(engine, sampled.requests + 1)
+                - batch_load_s(engine, sampled.requests),
             unread_tokens: unread,
-            fetch_from: terms.holder.filter(|_| fetched > 0).map(|(key, _)| key),
+            fetch_from: context
+                .best_holder
+                .filter(|_| fetched > 0)
+                .map(|(key, _)| key),
         }
     }
 
-    /// What an engine costs that is to go on from the memory that `prefill` holds.
+    /// Cost of decoding on `engine` from the KV cache that `prefill` holds.
     pub(super) fn decode_cost(
         &self,
         now: MonotonicTime,
@@ -203,51 +209,51 @@
         unreported: ExpectedSends,
         engine: &StagedEngine,
     ) -> EngineCost {
-        let kept = self.parts.cached_tokens(engine.key, &request.parts);
-        let moved = request.prompt_tokens.saturating_sub(kept);
+        let cached = self.parts.cached_tokens(engine.key, &request.parts);
+        let transferred = request.prompt_tokens.saturating_sub(cached);
         let work = self.work.total(engine.key);
         let slowness = self.prefill_speeds.slowness(engine.key);
-        let reading_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
-        let waiting_s = reading_s(work.unread_tokens as f64);
+        let prefill_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
+        let queued_prefill_s = prefill_s(work.unread_tokens as f64);
         let queue_s = self.decode_start_times.queue_s(work.starting);
         let expected_s = request.send_s
             + self.decode_start_times.expected_s(work.starting)
-            + move_s(request, moved, engine.zone == prefill.zone)
-            + waiting_s.min(STEP_WITH_READING_S);
-        let added_s = reading_s(unreported.tokens_each) - reading_s(0.0)
+            + transfer_s(request, transferred, engine.zone == prefill.zone)
+            + queued_prefill_s.min(MAX_BATCH_STEP_S);
+        let marginal_s = prefill_s(unreported.tokens_each) - prefill_s(0.0)
             + self.decode_start_times.queue_s(1)
-            + batch_s(engine, work.requests + 1)
-            - batch_s(engine, work.requests);
+            + batch_load_s(engine, work.requests + 1)
+            - batch_load_s(engine, work.requests);
         let cost_s = expected_s
-            + batch_s(engine, work.requests)
+            + batch_load_s(engine, work.requests)
             + self.avoided_s(now, engine)
-            + self.failing_s(now, engine);
+            + self.failure_s(now, engine);
         EngineCost {
             expected_s,
             queue_s,
             cost_s,
-            added_s,
+            marginal_s,
             ..EngineCost::default()
         }
     }
 
-    /// What each of `engines` costs an opaque request.
+    /// Cost of an opaque request on each of `engines`.
     pub(super) fn opaque_costs(
         &self,
         now: MonotonicTime,
         zone: &ZoneName,
         engines: &[&StagedEngine],
     ) -> Vec<EngineCost> {
-        let failed_share = |engine: &&StagedEngine| self.health.failed_share(now, engine.key);
-        let least_failing = engines
+        let failure_rate = |engine: &&StagedEngine| self.health.failure_rate(now, engine.key);
+        let lowest_failure_rate = engines
             .iter()
-            .map(failed_share)
+            .map(failure_rate)
             .fold(f64::INFINITY, f64::min);
         let known_s = |engine: &&StagedEngine| self.health.latency_ms(engine.key) / 1_000.0;
         let known: Vec<f64> = engines.iter().map(known_s).filter(|s| *s > 0.0).collect();
-        // An engine not used yet is taken for a usual one: taken for a slow one, it would never be.
-        let usual_s = if known.is_empty() {
-            PRIOR_OPAQUE_S
+        // An engine without a known latency is assumed to have the mean one, so that it is tried at all.
+        let mean_s = if known.is_empty() {
+            PRIOR_OPAQUE_LATENCY_S
         } else {
             known.iter().sum::<f64>() / known.len() as f64
         };
@@ -255,18 +261,20 @@
             let own_s = Some(known_s(engine)).filter(|s| *s > 0.0);
             let requests = f64::from(self.work.total(engine.key).requests);
             let load = requests / f64::from(engine.slots.max(1));
-            let failing = failed_share(engine) - least_failing;
-            let expected_s = own_s.unwrap_or(usual_s) * (0.5 + load);
+            let excess_failure_rate = failure_rate(engine) - lowest_failure_rate;
+            let expected_s = own_s.unwrap_or(mean_s) * (0.5 + load);
             EngineCost {
                 expected_s,
-                cost_s: expected_s + failing * FAILURE_S + self.common_s(now, zone, engine),
+                cost_s: expected_s
+                    + excess_failure_rate * FAILED_ATTEMPT_COST_S
+                    + self.zone_and_avoidance_s(now, zone, engine),
                 ..EngineCost::default()
             }
         };
         engines.iter().map(cost).collect()
     }
 
-    /// What others may have sent to each engine of a stage since they reported.
+    /// Requests that other nodes are expected to have sent to each engine of `stage` since their last reports.
     pub(super) fn expected_sends(
         &self,
         now: MonotonicTime,
@@ -277,50 +285,58 @@
         self.unreported.expected(now, stage, pool.count(stage), age)
     }
 
-    /// Time added by the zone and by silence.
-    fn common_s(&self, now: MonotonicTime, zone: &ZoneName, engine: &StagedEngine) -> f64 {
+    /// Cost of another zone and of an avoided engine.
+    fn zone_and_avoidance_s(
+        &self,
+        now: MonotonicTime,
+        zone: &ZoneName,
+        engine: &StagedEngine,
+    ) -> f64 {
         let zone_s = if engine.zone == *zone {
             0.0
         } else {
-            OTHER_ZONE_S
+            CROSS_ZONE_COST_S
         };
         zone_s + self.avoided_s(now, engine)
     }
 
     fn avoided_s(&self, now: MonotonicTime, engine: &StagedEngine) -> f64 {
         if self.health.is_avoided(now, engine.key) {
-            AVOIDED_S
+            AVOIDED_ENGINE_COST_S
         } else {
             0.0
         }
     }
 
-    fn failing_s(&self, now: MonotonicTime, engine: &StagedEngine) -> f64 {
-        self.health.failed_share(now, engine.key) * FAILURE_S
+    fn failure_s(&self, now: MonotonicTime, engine: &StagedEngine) -> f64 {
+        self.health.failure_rate(now, engine.key) * FAILED_ATTEMPT_COST_S
     }
 }
 
-/// Added time of an engine that neither keeps the parts by which prompts stay together nor is their
-/// target.
-fn not_target_s(terms: &PrefillTerms<'_>, engine: &StagedEngine, kept: u32) -> f64 {
-    let Some(affinity) = terms.affinity.filter(|_| terms.target != Some(engine.key)) else {
+/// Cost of an engine that neither caches the prompt up to its affinity part nor is that part's target.
+fn affinity_miss_s(context: &PrefillContext<'_>, engine: &StagedEngine, cached: u32) -> f64 {
+    let Some(affinity_part) = context
+        .affinity_part
+        .filter(|_| context.affinity_target != Some(engine.key))
+    else {
         return 0.0;
     };
-    let mut up_to_affinity = 0_u32;
-    for part in &terms.request.parts {
-        up_to_affinity = up_to_affinity.saturating_add(part.tokens);
-        if part.id == affinity {
+    let mut tokens_through_affinity = 0_u32;
+    for part in &context.request.parts {
+        tokens_through_affinity = tokens_through_affinity.saturating_add(part.tokens);
+        if part.id == affinity_part {
             break;
         }
     }
-    if kept >= up_to_affinity {
+    if cached >= tokens_through_affinity {
         0.0
     } else {
-        NOT_TARGET_S
+        AFFINITY_MISS_COST_S
     }
 }
 
-fn move_s(request: &StagedRequest, tokens: u32, same_zone: bool) -> f64 {
+/// Time to transfer the KV cache of `tokens` between two engines, in seconds.
+fn transfer_s(request: &StagedRequest, tokens: u32, same_zone: bool) -> f64 {
     if request.link_mbps <= 0.0 {
         return 0.0;
     }
@@ -328,13 +344,13 @@
     let factor = if same_zone {
         1.0
     } else {
-        OTHER_ZONE_MOVE_FACTOR
+        CROSS_ZONE_TRANSFER_FACTOR
     };
     bits / (request.link_mbps * 1e6) * factor
 }
 
-/// Each request of a batch slows all others a little; a full batch makes them wait.
-fn batch_s(engine: &StagedEngine, requests: u32) -> f64 {
+/// Cost of the load on an engine: each request of a batch slows the others, and a full batch queues them.
+fn batch_load_s(engine: &StagedEngine, requests: u32) -> f64 {
     let share = f64::from(requests) / f64::from(engine.slots.max(1));
-    share * share * BATCH_S
+    share * share * FULL_BATCH_COST_S
 }
--- a/crates/routing/src/staged/pool.rs
+++ b/crates/routing/src/staged/engine_pool.rs
@@ -1,7 +1,7 @@
-//! The engines of one pool, kept in the orders in which choices look at them.
+//! The engines of one pool, indexed for sampling and rendezvous hashing.
 //!
-//! Every change and every look costs the logarithm of the number of engines at most, so that a choice
-//! costs by the engines it compares and not by those there are.
+//! Updates and lookups take logarithmic time, so the cost of a choice depends on the number of engines
+//! compared and not on the size of the pool.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,39 +12,39 @@
 use super::{EngineKey, Stage, StagedEngine};
 use crate::prefix::rendezvous_weight;
 
-/// Engines among which the affinity target of a part is chosen by rendezvous. The arcs of a ring of
-/// engines differ by a factor of ten and more; the best of sixteen neighbours evens them out to a
-/// quarter (the square root of one in sixteen). Up to so many engines it is plain rendezvous.
-const TARGET_NEIGHBOURS: usize = 16;
+/// Number of neighbours on the hash ring among which rendezvous hashing picks a part's affinity target.
+/// Evens out the unequal arcs of the ring to about a quarter (the square root of 1/16). In a stage with at
+/// most so many engines it is plain rendezvous hashing.
+const AFFINITY_CANDIDATES: usize = 16;
 
-/// An engine with its place among those of its stage and zone.
+/// An engine with its position in the list of its stage and zone.
 #[derive(Clone, Debug)]
-struct Placed {
+struct IndexedEngine {
     engine: StagedEngine,
-    place: usize,
+    position: usize,
 }
 
 /// Engines of one stage.
 #[derive(Clone, Debug, Default)]
 struct StageEngines {
     zones: BTreeMap<ZoneName, Vec<EngineKey>>,
-    /// Engines by a hash of their keys.
+    /// Engines ordered by a hash of their keys.
     ring: BTreeSet<(u64, EngineKey)>,
 }
 
 /// Engines of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct EnginePool {
-    engines: HashMap<EngineKey, Placed>,
+    engines: HashMap<EngineKey, IndexedEngine>,
     stages: HashMap<Stage, StageEngines>,
 }
 
-/// How many engines a choice compares.
+/// Limits on the number of engines that one choice compares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SampleSize {
-    /// Most engines in all.
+    /// Maximum number of engines in total.
     pub engines: usize,
-    /// Most engines of the preferred zone; more only where the other zones have too few.
+    /// Maximum number of engines of the preferred zone, exceeded only if other zones have too few.
     pub preferred_zone: usize,
 }
 
@@ -68,26 +68,27 @@
 }
 
 impl EnginePool {
-    /// Adds an engine, in place of the one with the same key.
+    /// Adds an engine, replacing the one with the same key.
     pub fn insert(&mut self, engine: StagedEngine) {
         self.remove(engine.key);
         let stage = self.stages.entry(engine.stage).or_default();
         let zone = stage.zones.entry(engine.zone.clone()).or_default();
-        let place = zone.len();
+        let position = zone.len();
         zone.push(engine.key);
-        stage.ring.insert(ring_place(engine.key));
-        self.engines.insert(engine.key, Placed { engine, place });
+        stage.ring.insert(ring_position(engine.key));
+        self.engines
+            .insert(engine.key, IndexedEngine { engine, position });
     }
 
-    /// Takes an engine out.
+    /// Removes an engine.
     pub fn remove(&mut self, key: EngineKey) -> Option<StagedEngine> {
-        let Placed { engine, place } = self.engines.remove(&key)?;
+        let IndexedEngine { engine, position } = self.engines.remove(&key)?;
         let stage = self.stages.get_mut(&engine.stage)?;
-        stage.ring.remove(&ring_place(key));
+        stage.ring.remove(&ring_position(key));
         if let Some(zone) = stage.zones.get_mut(&engine.zone) {
-            zone.swap_remove(place);
-            if let Some(moved) = zone.get(place).and_then(|key| self.engines.get_mut(key)) {
-                moved.place = place;
+            zone.swap_remove(position);
+            if let Some(moved) = zone.get(position).and_then(|key| self.engines.get_mut(key)) {
+                moved.position = position;
             }
             if zone.is_empty() {
                 stage.zones.remove(&engine.zone);
@@ -96,14 +97,14 @@
         Some(engine)
     }
 
-    /// The engine of this key.
+    /// The engine with this key.
     pub fn get(&self, key: EngineKey) -> Option<&StagedEngine> {
-        self.engines.get(&key).map(|placed| &placed.engine)
+        self.engines.get(&key).map(|indexed| &indexed.engine)
     }
 
     /// All engines, in no order.
     pub fn iter(&self) -> impl Iterator<Item = &StagedEngine> {
-        self.engines.values().map(|placed| &placed.engine)
+        self.engines.values().map(|indexed| &indexed.engine)
     }
 
     /// Number of engines.
@@ -116,7 +117,7 @@
         self.engines.is_empty()
     }
 
-    /// Engines of a stage, in an order that says nothing.
+    /// Engines of a stage, in hash order.
     pub fn keys(&self, stage: Stage) -> impl Iterator<Item = EngineKey> {
         let stage = self.stages.get(&stage).into_iter();
         stage.flat_map(|stage| stage.ring.iter().map(|(_, key)| *key))
@@ -127,13 +128,13 @@
         self.stages.get(&stage).map_or(0, |stage| stage.ring.len())
     }
 
-    /// Whether its engines serve prompts.
+    /// Whether the pool has prefill or decode engines.
     pub fn serves_prompts(&self) -> bool {
         self.count(Stage::Prefill) + self.count(Stage::Decode) > 0
     }
 
-    /// The engine of `stage` that all nodes agree on for a part of prompts, of those that `may_take`
-    /// it. Nodes that know different engines disagree for the few parts which these engines take.
+    /// The engine of `stage` that every node computes for a prompt part, among those that `may_take` selects.
+    /// Nodes that know different sets of engines disagree only on the parts of the differing engines.
     pub fn affinity_target(
         &self,
         stage: Stage,
@@ -144,15 +145,15 @@
         let start = (rendezvous_weight(part, 0), EngineKey(0));
         let after = ring.range(start..);
         let before = ring.range(..start);
-        let around = after.chain(before).map(|(_, key)| *key);
-        around
+        let clockwise = after.chain(before).map(|(_, key)| *key);
+        clockwise
             .filter(|key| may_take(*key))
-            .take(TARGET_NEIGHBOURS)
+            .take(AFFINITY_CANDIDATES)
             .max_by_key(|key| rendezvous_weight(part, key.0))
     }
 
-    /// Engines of `stage` drawn at random and in random order, each at most once: all of them where
-    /// they are no more than `size` allows.
+    /// A random sample of the engines of `stage`, without repetition and in random order. Contains all of
+    /// them if `size` allows it.
     pub fn sample(
         &self,
         random: &mut impl Rng,
@@ -168,30 +169,33 @@
         let from_others = others.min(size.engines - size.preferred_zone.min(own.len()));
         let from_own = own.len().min(size.engines - from_others);
         let drawn_own = index::sample(random, own.len(), from_own);
-        let mut keys: Vec<EngineKey> = drawn_own.into_iter().map(|place| own[place]).collect();
+        let mut keys: Vec<EngineKey> = drawn_own
+            .into_iter()
+            .map(|position| own[position])
+            .collect();
         let drawn_others = index::sample(random, others, from_others);
-        keys.extend(drawn_others.into_iter().filter_map(|place| {
+        keys.extend(drawn_others.into_iter().filter_map(|position| {
             let zones = stage.zones.iter().filter(|(zone, _)| *zone != preferred);
-            nth(zones.map(|(_, keys)| keys.as_slice()), place)
+            nth(zones.map(|(_, keys)| keys.as_slice()), position)
         }));
         keys.iter().filter_map(|key| self.get(*key)).collect()
     }
 }
 
-/// The engine at `place`, counted through all lists.
-fn nth<'a>(lists: impl Iterator<Item = &'a [EngineKey]>, place: usize) -> Option<EngineKey> {
-    let mut place = place;
+/// The engine at `position` in the concatenation of all lists.
+fn nth<'a>(lists: impl Iterator<Item = &'a [EngineKey]>, position: usize) -> Option<EngineKey> {
+    let mut position = position;
     for keys in lists {
-        if let Some(key) = keys.get(place) {
+        if let Some(key) = keys.get(position) {
             return Some(*key);
         }
-        place -= keys.len();
+        position -= keys.len();
     }
     None
 }
 
-/// Where an engine stands on the ring: keys of engines with similar names are close to each other,
-/// their hashes are not.
-fn ring_place(key: EngineKey) -> (u64, EngineKey) {
+/// Position of an engine on the hash ring. The key is hashed again because keys of engines with similar
+/// names are close to each other.
+fn ring_position(key: EngineKey) -> (u64, EngineKey) {
     (rendezvous_weight(key.0, 0), key)
 }
--- a/crates/routing/src/staged/health.rs
+++ b/crates/routing/src/staged/health.rs
@@ -1,4 +1,5 @@
-//! How engines fail, from this node's own attempts: faster than any list of machines.
+//! Failure rates and latencies of engines, measured by this node's own attempts. They react faster than lists of
+//! engines do.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,64 +8,66 @@
 
 use super::EngineKey;
 
-/// First time for which an engine that gave no answer is avoided; doubles with each further one.
-const FIRST_AVOIDANCE: Duration = Duration::from_millis(1_000);
+/// Time for which an engine is avoided after one attempt without a response; doubles with each further one.
+const INITIAL_AVOIDANCE_NO_RESPONSE: Duration = Duration::from_millis(1_000);
 
-/// The same for an engine that refused: it is full or changes its role, and refuses at once, so
-/// that it looks idle.
-const FIRST_AVOIDANCE_REFUSED: Duration = Duration::from_millis(100);
+/// The same after a refusal. Without it, an engine that is full or changes its role would look idle, because it
+/// refuses immediately.
+const INITIAL_AVOIDANCE_REFUSED: Duration = Duration::from_millis(100);
 
-/// Longest time for which an engine is avoided that refused.
-const LONGEST_AVOIDANCE_REFUSED: Duration = Duration::from_millis(1_600);
+/// Maximum time for which an engine is avoided after refusals.
+const MAX_AVOIDANCE_REFUSED: Duration = Duration::from_millis(1_600);
 
-/// Longest time for which an engine is avoided that gave no answer.
-const LONGEST_AVOIDANCE: Duration = Duration::from_secs(8);
+/// Maximum time for which an engine is avoided after attempts without a response.
+const MAX_AVOIDANCE_NO_RESPONSE: Duration = Duration::from_secs(8);
 
-/// Weight of the newest attempt in the share of failures.
+/// Weight of the newest attempt in the moving averages of failure rate and latency.
 const NEWEST_WEIGHT: f64 = 0.12;
 
-/// An engine not used for this long is taken to fail half as often as it did.
-const FORGETTING_HALF_LIFE: Duration = Duration::from_secs(3);
+/// Half-life of the failure rate of an engine that is not used.
+const FAILURE_RATE_HALF_LIFE: Duration = Duration::from_secs(3);
 
-/// What an attempt tells of its engine.
+/// Result of an attempt, as far as it concerns the engine's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
-    /// A sound answer after this time.
+    /// A successful response after this time.
     Success(Duration),
-    /// An answer that says the engine failed, or one that broke off.
+    /// A response that reports a failure of the engine, or one that broke off.
     Failed,
-    /// A refusal: the engine is full.
+    /// A refusal by an engine without free capacity.
     Refused,
-    /// No connection, or no answer in time.
+    /// No connection, or no response in time.
     NoResponse,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Record {
-    failed_share: f64,
+struct HealthRecord {
+    failure_rate: f64,
     latency_ms: f64,
     updated_at: MonotonicTime,
-    silences: u32,
+    /// Attempts without a response since the last success.
+    unanswered: u32,
+    /// Refusals since the last success or role change.
     refusals: u32,
     avoided_until: MonotonicTime,
-    /// Until when the engine is taken to change its role. An answer to a request that it took
-    /// before does not end this.
-    changes_until: MonotonicTime,
+    /// Latest end of a role change of the engine. Not reset by a successful response, which may belong to
+    /// a request accepted before the change.
+    role_change_until: MonotonicTime,
 }
 
-/// Records of engines.
+/// Health records by engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineHealth {
-    engines: HashMap<EngineKey, Record>,
+    engines: HashMap<EngineKey, HealthRecord>,
 }
 
 impl EngineHealth {
-    /// Notes how an attempt came out.
+    /// Records the result of an attempt.
     pub fn record(&mut self, now: MonotonicTime, engine: EngineKey, result: AttemptResult) {
         let record = self.engines.entry(engine).or_default();
         let failed = match result {
             AttemptResult::Success(latency) => {
-                record.silences = 0;
+                record.unanswered = 0;
                 record.refusals = 0;
                 record.avoided_until = now;
                 let latency_ms = latency.as_secs_f64() * 1_000.0;
@@ -76,78 +79,78 @@
             }
             AttemptResult::Failed => 1.0,
             AttemptResult::Refused => {
-                // Requests sent before the first refusal came are refused too, and say no more.
+                // Requests sent before the first refusal arrived are refused as well; they do not prolong it.
                 if now >= record.avoided_until {
-                    let avoidance = FIRST_AVOIDANCE_REFUSED * 2_u32.pow(record.refusals.min(8));
+                    let avoidance = INITIAL_AVOIDANCE_REFUSED * 2_u32.pow(record.refusals.min(8));
                     record.refusals += 1;
-                    record.avoided_until = now + avoidance.min(LONGEST_AVOIDANCE_REFUSED);
+                    record.avoided_until = now + avoidance.min(MAX_AVOIDANCE_REFUSED);
                 }
                 1.0
             }
             AttemptResult::NoResponse => {
-                let doublings = record.silences.min(8);
-                let avoidance = FIRST_AVOIDANCE * 2_u32.pow(doublings);
-                record.silences += 1;
-                record.avoided_until = now + avoidance.min(LONGEST_AVOIDANCE);
+                let doublings = record.unanswered.min(8);
+                let avoidance = INITIAL_AVOIDANCE_NO_RESPONSE * 2_u32.pow(doublings);
+                record.unanswered += 1;
+                record.avoided_until = now + avoidance.min(MAX_AVOIDANCE_NO_RESPONSE);
                 1.0
             }
         };
-        let share = record.share_at(now);
-        record.failed_share = share + NEWEST_WEIGHT * (failed - share);
+        let rate = record.failure_rate_at(now);
+        record.failure_rate = rate + NEWEST_WEIGHT * (failed - rate);
         record.updated_at = now;
     }
 
-    /// Notes that an engine changes its role and refuses requests meanwhile: it is avoided until it
-    /// has changed, or until a time, in case the change never shows.
+    /// Records that an engine changes its role and refuses requests meanwhile. It is avoided until
+    /// [`Self::end_role_change`] is called, or until `until` if that never happens.
     pub fn begin_role_change(&mut self, engine: EngineKey, until: MonotonicTime) {
         let record = self.engines.entry(engine).or_default();
-        record.changes_until = until;
+        record.role_change_until = until;
     }
 
-    /// Notes that an engine has changed its role: what is known of its refusals is over.
+    /// Records that an engine has changed its role, and discards its refusals.
     pub fn end_role_change(&mut self, engine: EngineKey) {
         if let Some(record) = self.engines.get_mut(&engine) {
-            record.changes_until = MonotonicTime::ZERO;
+            record.role_change_until = MonotonicTime::ZERO;
             record.avoided_until = MonotonicTime::ZERO;
             record.refusals = 0;
         }
     }
 
-    /// Whether the engine is avoided while there is another.
+    /// Whether the engine is to be avoided if there is an alternative.
     pub fn is_avoided(&self, now: MonotonicTime, engine: EngineKey) -> bool {
         let record = self.engines.get(&engine);
-        record.is_some_and(|record| now < record.avoided_until.max(record.changes_until))
+        record.is_some_and(|record| now < record.avoided_until.max(record.role_change_until))
     }
 
-    /// Whether an engine gave no answer when it was last called, and that is not long ago.
+    /// Whether an attempt got no response, none has succeeded since, and the latest attempt is recent.
     pub fn is_unresponsive(&self, now: MonotonicTime, engine: EngineKey) -> bool {
         let record = self.engines.get(&engine);
         record.is_some_and(|record| {
-            record.silences > 0 && now.since(record.updated_at) < LONGEST_AVOIDANCE
+            record.unanswered > 0 && now.since(record.updated_at) < MAX_AVOIDANCE_NO_RESPONSE
         })
     }
 
-    /// Share of its attempts that failed lately, 0 to 1.
-    pub fn failed_share(&self, now: MonotonicTime, engine: EngineKey) -> f64 {
+    /// Moving average of the share of failed attempts, 0 to 1.
+    pub fn failure_rate(&self, now: MonotonicTime, engine: EngineKey) -> f64 {
         let record = self.engines.get(&engine);
-        record.map_or(0.0, |record| record.share_at(now))
+        record.map_or(0.0, |record| record.failure_rate_at(now))
     }
 
-    /// Usual time of a sound answer in milliseconds; 0 where none is known.
+    /// Moving average of the latency of successful responses, in milliseconds; 0 if there were none.
     pub fn latency_ms(&self, engine: EngineKey) -> f64 {
         let record = self.engines.get(&engine);
         record.map_or(0.0, |record| record.latency_ms)
     }
 
-    /// Forgets an engine.
+    /// Drops the record of an engine.
     pub fn forget(&mut self, engine: EngineKey) {
         self.engines.remove(&engine);
     }
 }
 
-impl Record {
-    fn share_at(&self, now: MonotonicTime) -> f64 {
+impl HealthRecord {
+    fn failure_rate_at(&self, now: MonotonicTime) -> f64 {
         let idle = now.since(self.updated_at).as_secs_f64();
-        self.failed_share * 0.5_f64.powf(idle / FORGETTING_HALF_LIFE.as_secs_f64())
+        self.failure_rate * 0.5_f64.powf(idle / FAILURE_RATE_HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/routing/src/staged/link_queue.rs
+++ b/crates/routing/src/staged/link_queue.rs
@@ -1,25 +1,25 @@
-//! What a node has written and its own link has not yet carried.
+//! The transmit queue of a node's own network link.
 //!
-//! It is a queue that no decision reaches any more: a request in it goes to its engine even if the
-//! engine leaves or the caller goes meanwhile. So it is counted before requests are begun.
+//! Requests in it can no longer be rerouted or cancelled, so the queueing time counts in the latency estimate on
+//! which admission is based.
 
 use std::time::Duration;
 
 use dalestand_types::MonotonicTime;
 
-/// The queue, as the time at which it is empty.
+/// The transmit queue, represented by the time at which it will be empty.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LinkQueue {
     empty_at: MonotonicTime,
 }
 
 impl LinkQueue {
-    /// Notes what the link carries in `time`.
+    /// Adds a message that takes `time` to transmit.
     pub fn push(&mut self, now: MonotonicTime, time: Duration) {
         self.empty_at = self.empty_at.max(now) + time;
     }
 
-    /// Time until what is sent now begins to be carried.
+    /// Time until the transmission of a message sent now would start.
     pub fn wait(&self, now: MonotonicTime) -> Duration {
         self.empty_at.since(now)
     }
--- a/crates/routing/src/staged/mod.rs
+++ b/crates/routing/src/staged/mod.rs
@@ -1,109 +1,108 @@
-//! Choice of engines for opaque requests, and for prompts that may be read on one engine and
-//! answered on another.
+//! Choice of engines for opaque requests, and for prompts whose prefill and decode stages may run on
+//! different engines.
 //!
-//! Callers name the parts that their prompts are made of, and engines keep the parts they have
-//! read. The router remembers which engine was sent which parts ([`PartDirectory`]), counts the
-//! work that this node and its peers have at each engine ([`WorkTable`]), notes how engines fail
-//! ([`EngineHealth`]) and learns how fast they read ([`PrefillSpeeds`]). It has no clock and sends
-//! nothing.
+//! Callers identify the parts of which their prompts consist, and engines cache the parts that they have
+//! prefilled. The router tracks which engine caches which parts ([`PartDirectory`]), the outstanding work
+//! of this node and its peers at each engine ([`WorkTable`]), failures ([`EngineHealth`]) and prefill
+//! speeds ([`PrefillSpeeds`]). It reads no clock and does no I/O.
 
 mod admission;
-mod candidates;
-mod chooser;
+mod bounded_map;
+mod candidate_sampler;
 mod cost;
+mod decode_start_times;
+mod engine_pool;
+mod engine_rate_limits;
 mod health;
-mod levelled;
 mod link_queue;
-mod named_limits;
-mod parts;
-mod pool;
-mod reading;
-mod remembered;
+mod part_directory;
+mod prefill_speeds;
 mod signals;
-mod starts;
-mod unreported;
-mod work;
+mod staged_router;
+mod unreported_sends;
+mod water_filling;
+mod work_table;
 
 pub use crate::prefix::rendezvous_weight;
 pub use admission::{LatencyEstimate, TimeBounds, rejection_retry_after, response_timeout};
-pub use candidates::CandidateSampler;
-pub use chooser::{EngineChoice, PromptPlan, StagedRouter};
+pub use candidate_sampler::CandidateSampler;
+pub use decode_start_times::DecodeStartTimes;
+pub use engine_pool::{EnginePool, SampleSize};
+pub use engine_rate_limits::{EngineRateLimits, LimitChange};
 pub use health::{AttemptResult, EngineHealth};
 pub use link_queue::LinkQueue;
-pub use named_limits::{EngineRateLimits, LimitChange};
-pub use parts::PartDirectory;
-pub use pool::{EnginePool, SampleSize};
-pub use reading::PrefillSpeeds;
+pub use part_directory::PartDirectory;
+pub use prefill_speeds::PrefillSpeeds;
 pub use signals::{ClosedReason, ProbeCall, ProbeOutcome, SignalTable};
-pub use starts::DecodeStartTimes;
-pub use unreported::{ExpectedSends, UnreportedSends};
-pub use work::{EngineWork, LoadSource, ReportSlice, SummedWork, WorkTable};
+pub use staged_router::{EngineChoice, PromptPlan, StagedRouter};
+pub use unreported_sends::{ExpectedSends, UnreportedSends};
+pub use work_table::{EngineWork, LoadSource, ReportSlice, SummedWork, WorkTable};
 
 use std::sync::Arc;
 
 use dalestand_types::ZoneName;
 
-/// A number for an engine's run that all nodes agree on.
+/// A hash of an engine's run name, equal on all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineKey(pub u64);
 
 impl EngineKey {
-    /// The number of the run of this name.
+    /// The key of the run with this name.
     pub fn of(run: &str) -> Self {
         Self(crate::prefix::text_hash(run))
     }
 }
 
-/// A part of a prompt, as the caller names it.
+/// A part of a prompt, as identified by the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names the part; equal parts have equal numbers.
+    /// Identifier of the content; equal parts have equal ids.
     pub id: u64,
-    /// Its tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What an engine does with prompts.
+/// The stage of request processing that an engine serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// Reads prompts and hands its memory of them on.
+    /// Prefills prompts and transfers the resulting KV cache to a decode engine.
     Prefill,
-    /// Generates, from another engine's memory or after reading the prompt itself.
+    /// Generates tokens, from a transferred KV cache or after prefilling the prompt itself.
     Decode,
-    /// Serves requests that are no prompts.
+    /// Serves requests that are not prompts.
     Opaque,
 }
 
-/// An engine that may be chosen.
+/// An engine that requests may be routed to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StagedEngine {
-    /// Its run.
+    /// Key of the run.
     pub key: EngineKey,
     /// Name of the run.
     pub run: Arc<str>,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneName,
-    /// What it does.
+    /// Stage that it serves.
     pub stage: Stage,
-    /// Requests it works on at once.
+    /// Maximum number of requests it processes concurrently.
     pub slots: u32,
-    /// Tokens its memory holds; 0 where it keeps none.
+    /// Capacity of its KV cache in tokens; 0 if it has none.
     pub memory_tokens: u64,
 }
 
-/// What the choice must know of a request.
+/// The properties of a request that determine the choice of its engines.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StagedRequest {
-    /// Parts of the prompt, in order; none for an opaque request.
+    /// Parts of the prompt, in order; empty for an opaque request.
     pub parts: Vec<PromptPart>,
-    /// Tokens of the whole prompt.
+    /// Length of the whole prompt in tokens.
     pub prompt_tokens: u32,
-    /// Bytes of memory of one token.
+    /// Size of the KV cache of one token in bytes.
     pub token_bytes: u64,
-    /// Speed of the link over which memory moves, in megabits a second.
+    /// Bandwidth of the link for KV cache transfers, in megabits per second; 0 if there is none.
     pub link_mbps: f64,
-    /// Time that the node's own link takes to carry the request once, in seconds.
+    /// Time to transmit the request once over the node's own link, in seconds.
     pub send_s: f64,
-    /// Runs tried before.
+    /// Engines to which the request was sent before.
     pub tried: Vec<EngineKey>,
 }
--- a/crates/routing/src/staged/signals.rs
+++ b/crates/routing/src/staged/signals.rs
@@ -1,9 +1,8 @@
-//! What engines say of themselves in their answers: that they drain, and for how long they want no calls.
+//! Signals that engines send in their responses: draining, backoff times and rate limits.
 //!
-//! It reaches a node with the answer, whatever the state of the key-value service, and binds this node
-//! from then on. That an engine's run drains is final: an entry of the same run that says otherwise is
-//! older, or was written by an engine that does not know better. Nothing but time ends a backoff: an entry
-//! that lapses and is written again is the same run's.
+//! They apply from the response on and do not depend on the key-value service. Draining is final for a run of an
+//! engine: a registry entry of the same run that says otherwise is outdated. A backoff ends only by time, even if
+//! the engine's entry expires and is written again meanwhile.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,58 +10,57 @@
 use dalestand_types::{LimitSignal, MonotonicTime, RequestRate};
 
 use super::EngineKey;
-use super::named_limits::{EngineRateLimits, LimitChange};
-use super::remembered::Remembered;
+use super::bounded_map::BoundedMap;
+use super::engine_rate_limits::{EngineRateLimits, LimitChange};
 use crate::shared_rate::PermitWallet;
 
-/// Longest backoff that one answer brings about. An engine that asks for days is asked again after this
-/// time, by one call, so that one wrong answer does not lose it for as long as it lives.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(600);
+/// Maximum duration of a backoff. Limits the effect of a wrong response that asks for days: after this time
+/// the engine gets a probe call.
+const MAX_BACKOFF: Duration = Duration::from_secs(600);
 
-/// Calls return to an engine within this share of the backoff after its end, each node at a moment of its
-/// own: nodes that were refused together would come back together, with all that they held back.
-const RETURN_SPREAD: f64 = 0.25;
+/// Maximum extension of a backoff, as a share of its duration. Each node extends it by a random amount, so that
+/// nodes refused at the same time do not all call again at the same time.
+const BACKOFF_JITTER: f64 = 0.25;
 
-/// Calls of this node that may be without an answer at an engine just after its backoff. Each time the
-/// engine takes one up, twice as many.
-const FIRST_RETURNING: u32 = 1;
+/// Maximum number of unanswered probe calls of this node right after a backoff. Doubles with each accepted call.
+const INITIAL_PROBES: u32 = 1;
 
-/// From this many calls at once on an engine counts as returned: a node's part of an engine's slots.
-const RETURNED: u32 = 8;
+/// Probing ends when the number of allowed unanswered calls reaches this value, about one node's share of an
+/// engine's slots.
+const RECOVERED_AT_PROBES: u32 = 8;
 
-/// Time after which a caller may come back where an engine is just being asked whether it takes calls
-/// again: a usual call takes less.
-const RETURNING_SOON: Duration = Duration::from_millis(200);
+/// Retry-after time while an engine is being probed; longer than a typical call.
+const PROBE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Backoffs from which on those that are over are thrown away, called or not.
-const MANY_BACKOFFS: usize = 1_024;
+/// Number of stored backoffs from which expired ones are removed.
+const BACKOFF_CLEANUP_THRESHOLD: usize = 1_024;
 
-/// Why an engine is to get no request.
+/// Reason why an engine is closed to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosedReason {
-    /// It has said that it drains.
+    /// It has signalled that it is draining.
     Draining,
-    /// It wants no calls until this time.
+    /// It has asked for no calls until this time.
     Backoff(MonotonicTime),
-    /// Its backoff is over, and as many calls as may be are asking whether it takes any again.
+    /// Its backoff is over, and the maximum number of probe calls is unanswered.
     Probing,
-    /// It takes only so many requests of all nodes together, and this node is to ask for none until this time.
+    /// It is rate limited, and this node may not request permits until this time.
     Limit(MonotonicTime),
 }
 
-/// A backoff that an engine asked for, and the return from it.
+/// A backoff that an engine asked for, and the probing after it.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
     until: MonotonicTime,
-    /// Calls that may be without an answer once it is over.
+    /// Maximum number of unanswered calls after the end of the backoff.
     allowed: u32,
-    /// Those that are.
+    /// Number of unanswered calls after the end of the backoff.
     unanswered: u32,
-    /// Tells calls made after this backoff from those made after an earlier one.
+    /// Sequence number; matches probe calls to the backoff after which they were made.
     number: u64,
 }
 
-/// A call to an engine whose backoff has ended a short time ago.
+/// A probe call to an engine after its backoff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct ProbeCall {
@@ -70,158 +68,162 @@
     backoff: u64,
 }
 
-/// How a call to an engine came out, as far as that tells whether it takes calls again.
+/// Outcome of a probe call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// The engine took it up.
+    /// The engine accepted the call.
     Accepted,
-    /// The engine refused it, or said nothing.
+    /// The engine refused the call or did not respond.
     NotAccepted,
 }
 
-/// What engines said of themselves. All of it is said of one start of an engine: nothing of it holds for
-/// another start under the same name.
+/// The signals received from engines. They apply to one start of an engine only, not to a later start under the
+/// same name.
 #[derive(Clone, Debug, Default)]
 pub struct SignalTable {
-    draining: Remembered<()>,
-    /// Engines whose entries say that they drain, with the era of the key-value service that told it.
-    listed_draining: Remembered<u64>,
-    /// When engines started, by their own clocks, in milliseconds since 1970.
-    starts: Remembered<u64>,
+    draining: BoundedMap<()>,
+    /// Engines whose registry entries say that they are draining, with the era of the key-value service that
+    /// reported it.
+    entry_draining: BoundedMap<u64>,
+    /// Start times of engines by their own clocks, in milliseconds since the Unix epoch.
+    starts: BoundedMap<u64>,
     limits: EngineRateLimits,
-    /// Leave to send requests to engines that take only so many.
+    /// Permits to send requests to engines with a rate limit.
     pub permits: PermitWallet,
     backoffs: HashMap<EngineKey, Backoff>,
-    backoffs_noted: u64,
+    /// Sequence number of the newest backoff.
+    last_backoff: u64,
 }
 
 impl SignalTable {
-    /// Notes that an engine drains; whether that is news.
+    /// Records that an engine is draining. Returns whether that is new.
     pub fn record_draining(&mut self, engine: EngineKey) -> bool {
         self.draining.set(engine, ())
     }
 
-    /// Notes what an engine's entry says, as the key-value service told it in an era. In one era an engine that
-    /// drained takes work again only if it started anew, or if another writer had said that it drains; the
-    /// copy from which a later era began may be older than what it said.
+    /// Records an engine's registry entry, as reported by the key-value service in `era`.
+    ///
+    /// An accepting entry clears the draining state unless it comes from a later era. Within one era it is newer:
+    /// the engine has restarted, or another writer had marked it. A later era may have started from an older copy.
     pub fn record_entry(&mut self, engine: EngineKey, accepting: bool, era: u64) {
-        let known = self.listed_draining.get(engine);
+        let known = self.entry_draining.get(engine);
         if !accepting {
-            self.listed_draining.set(engine, era);
+            self.entry_draining.set(engine, era);
         } else if known.is_some_and(|known| *known >= era) {
-            self.listed_draining.remove(engine);
+            self.entry_draining.remove(engine);
         }
     }
 
-    /// Notes when an engine started. What it said before holds no longer, if it had started before.
-    pub fn record_start(&mut self, engine: EngineKey, born: u64) {
-        if !self.starts.set(engine, born) {
+    /// Records when an engine started, in milliseconds since the Unix epoch. Discards all signals of a previous
+    /// start.
+    pub fn record_start(&mut self, engine: EngineKey, started_at_ms: u64) {
+        if !self.starts.set(engine, started_at_ms) {
             self.draining.remove(engine);
-            self.listed_draining.remove(engine);
+            self.entry_draining.remove(engine);
             self.limits.forget(engine);
             self.permits.forget(engine);
             self.backoffs.remove(&engine);
         }
     }
 
-    /// When the engine started, in milliseconds since 1970; 0 where that is not known.
+    /// When the engine started, in milliseconds since the Unix epoch; 0 if that is not known.
     pub fn started_at_ms(&self, engine: EngineKey) -> u64 {
-        let born = self.starts.get(engine);
-        born.copied().unwrap_or_default()
+        let started_at_ms = self.starts.get(engine);
+        started_at_ms.copied().unwrap_or_default()
     }
 
-    /// Engines of which it is known when they started.
+    /// Engines with a known start time, in milliseconds since the Unix epoch.
     pub fn start_times(&self) -> impl Iterator<Item = (EngineKey, u64)> {
         let starts = self.starts.iter();
-        starts.map(|(engine, born)| (engine, *born))
+        starts.map(|(engine, started_at_ms)| (engine, *started_at_ms))
     }
 
-    /// Notes that an engine asked at `now` for the time `asked` without calls; whether it had not done so
-    /// before. `place`, from 0 to 1, is this node's place among those that return.
+    /// Records that an engine asked at `now` for no calls during `requested`. Returns whether it was not backing
+    /// off already. `jitter`, from 0 to 1, sets this node's share of [`BACKOFF_JITTER`].
     ///
-    /// Each refusal binds for as long as it asks: a shorter one that comes later takes nothing back.
+    /// A later, shorter backoff does not shorten an earlier one.
     pub fn record_backoff(
         &mut self,
         now: MonotonicTime,
         engine: EngineKey,
-        asked: Duration,
-        place: f64,
+        requested: Duration,
+        jitter: f64,
     ) -> bool {
-        let asked = asked.min(LONGEST_BACKOFF);
-        let until = now + asked + asked.mul_f64(RETURN_SPREAD * place);
+        let requested = requested.min(MAX_BACKOFF);
+        let until = now + requested + requested.mul_f64(BACKOFF_JITTER * jitter);
         let known = self.backoffs.get(&engine).copied();
-        let is_news = known.is_none_or(|known| known.until <= now);
-        if self.backoffs.len() >= MANY_BACKOFFS {
-            // Who has not been called since then is taken for any other engine.
+        let is_new = known.is_none_or(|known| known.until <= now);
+        if self.backoffs.len() >= BACKOFF_CLEANUP_THRESHOLD {
+            // Engines that were not called since their backoff ended are no longer probed.
             self.backoffs.retain(|_, backoff| now < backoff.until);
         }
-        self.backoffs_noted += 1;
+        self.last_backoff += 1;
         let backoff = Backoff {
             until: known.map_or(until, |known| known.until.max(until)),
-            allowed: FIRST_RETURNING,
+            allowed: INITIAL_PROBES,
             unanswered: 0,
-            number: self.backoffs_noted,
+            number: self.last_backoff,
         };
         self.backoffs.insert(engine, backoff);
-        is_news
+        is_new
     }
 
-    /// Notes what an answer says of its engine's limit; see [`EngineRateLimits::record_answer`].
+    /// Records the limit in a response; see [`EngineRateLimits::record_answer`].
     pub fn record_limit(
         &mut self,
         now: MonotonicTime,
         engine: EngineKey,
-        said: LimitSignal,
+        signal: LimitSignal,
         request_sent_at: Option<MonotonicTime>,
     ) -> Option<LimitChange> {
         let change = self
             .limits
-            .record_answer(now, engine, said, request_sent_at)?;
+            .record_answer(now, engine, signal, request_sent_at)?;
         self.limit_changed(now, engine, change);
         Some(change)
     }
 
-    /// Notes what another node heard of an engine's limit; see [`EngineRateLimits::record_peer`].
+    /// Records a limit that another node received; see [`EngineRateLimits::record_peer`].
     pub fn record_peer_limit(
         &mut self,
         now: MonotonicTime,
         engine: EngineKey,
         rate: Option<RequestRate>,
-        heard_at: MonotonicTime,
+        received_at: MonotonicTime,
     ) -> Option<LimitChange> {
-        let change = self.limits.record_peer(engine, rate, heard_at)?;
+        let change = self.limits.record_peer(engine, rate, received_at)?;
         self.limit_changed(now, engine, change);
         Some(change)
     }
 
-    /// How many requests engines take.
+    /// Rate limits of engines.
     pub fn limits(&self) -> &EngineRateLimits {
         &self.limits
     }
 
-    /// An engine whose limit has ended is returned to as after a backoff: all nodes hear of the end within a
-    /// moment, and each has held requests back.
+    /// Starts probing an engine whose limit has ended, as after a backoff: all nodes learn of the end at almost the
+    /// same time, and each may have queued requests for it.
     fn limit_changed(&mut self, now: MonotonicTime, engine: EngineKey, change: LimitChange) {
         if change.current.is_some() {
             return;
         }
         self.permits.forget(engine);
-        self.backoffs_noted += 1;
-        let number = self.backoffs_noted;
+        self.last_backoff += 1;
+        let number = self.last_backoff;
         self.backoffs.entry(engine).or_insert(Backoff {
             until: now,
-            allowed: FIRST_RETURNING,
+            allowed: INITIAL_PROBES,
             unanswered: 0,
             number,
         });
     }
 
-    /// Whether the engine's run has said that it drains, in an answer or in its entry.
+    /// Whether the engine is draining, according to a response or to its registry entry.
     pub fn is_draining(&self, engine: EngineKey) -> bool {
-        self.draining.get(engine).is_some() || self.listed_draining.get(engine).is_some()
+        self.draining.get(engine).is_some() || self.entry_draining.get(engine).is_some()
     }
 
-    /// Why the engine is to get no request at `now`.
+    /// Why the engine is closed to requests at `now`; `None` if it is open.
     pub fn closed(&self, now: MonotonicTime, engine: EngineKey) -> Option<ClosedReason> {
         if self.is_draining(engine) {
             return Some(ClosedReason::Draining);
@@ -244,7 +246,8 @@
         until.map(ClosedReason::Limit)
     }
 
-    /// After how long one of `engines` may take calls again; `None` if none is backing off or limited.
+    /// Time until one of the engines that `engines` selects may accept calls again; `None` if none of them is
+    /// backing off or rate limited.
     pub fn time_until_open(
         &self,
         now: MonotonicTime,
@@ -255,14 +258,14 @@
         let waits = closed.filter_map(|engine| match self.closed(now, engine)? {
             ClosedReason::Draining => None,
             ClosedReason::Backoff(until) | ClosedReason::Limit(until) => {
-                Some(until.since(now).max(RETURNING_SOON))
+                Some(until.since(now).max(PROBE_RETRY_AFTER))
             }
-            ClosedReason::Probing => Some(RETURNING_SOON),
+            ClosedReason::Probing => Some(PROBE_RETRY_AFTER),
         });
         waits.min()
     }
 
-    /// Notes a call that is about to go out; what it yields tells later how it came out.
+    /// Registers a call that is about to be sent. Returns a handle for [`Self::finish_probe`] if it is a probe.
     pub fn begin_call(&mut self, now: MonotonicTime, engine: EngineKey) -> Option<ProbeCall> {
         let backoff = self.backoffs.get_mut(&engine)?;
         if now < backoff.until {
@@ -275,23 +278,23 @@
         })
     }
 
-    /// Notes how a call came out that [`Self::begin_call`] noted.
-    pub fn finish_probe(&mut self, call: ProbeCall, end: ProbeOutcome) {
+    /// Records the outcome of a probe call that [`Self::begin_call`] returned.
+    pub fn finish_probe(&mut self, call: ProbeCall, outcome: ProbeOutcome) {
         let backoff = self.backoffs.get_mut(&call.engine);
         let Some(backoff) = backoff.filter(|backoff| backoff.number == call.backoff) else {
             return;
         };
         backoff.unanswered -= 1;
-        match end {
+        match outcome {
             ProbeOutcome::Accepted => backoff.allowed *= 2,
-            ProbeOutcome::NotAccepted => backoff.allowed = FIRST_RETURNING,
+            ProbeOutcome::NotAccepted => backoff.allowed = INITIAL_PROBES,
         }
-        if backoff.allowed >= RETURNED {
+        if backoff.allowed >= RECOVERED_AT_PROBES {
             self.backoffs.remove(&call.engine);
         }
     }
 
-    /// Engines that want no calls at `now`.
+    /// Number of engines that are backing off at `now`.
     pub fn backing_off_count(&self, now: MonotonicTime) -> usize {
         let backoffs = self.backoffs.values();
         backoffs.filter(|backoff| now < backoff.until).count()
--- a/crates/routing/src/staged/chooser.rs
+++ b/crates/routing/src/staged/staged_router.rs
@@ -1,36 +1,35 @@
-//! The choice itself: the engine, or the two engines, by which a request is expected to be answered
-//! first.
+//! Chooses the engine, or the prefill and decode engines, with the lowest cost for a request.
 
 use dalestand_types::{MonotonicTime, ZoneName};
 
-use super::candidates::{CandidateSampler, KnownCandidates};
+use super::candidate_sampler::{CandidateSampler, KnownCandidates};
 use super::cost::EngineCost;
+use super::decode_start_times::DecodeStartTimes;
+use super::engine_pool::EnginePool;
 use super::health::EngineHealth;
-use super::levelled::{Costed, draw_levelled};
-use super::parts::PartDirectory;
-use super::pool::EnginePool;
-use super::reading::PrefillSpeeds;
+use super::part_directory::PartDirectory;
+use super::prefill_speeds::PrefillSpeeds;
 use super::signals::SignalTable;
-use super::starts::DecodeStartTimes;
-use super::unreported::{ExpectedSends, UnreportedSends};
-use super::work::WorkTable;
+use super::unreported_sends::{ExpectedSends, UnreportedSends};
+use super::water_filling::{EngineWithCost, draw_water_filled};
+use super::work_table::WorkTable;
 use super::{EngineKey, LatencyEstimate, Stage, StagedEngine, StagedRequest};
 
-/// An engine with what is expected of it.
+/// A chosen engine with its estimates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineChoice {
     /// The engine.
     pub engine: StagedEngine,
-    /// Expected time until the engine has done its part up to the answer's begin, in seconds.
+    /// Expected time until the engine has finished its stage, up to the first token, in seconds.
     pub expected_s: f64,
-    /// The share of it that goes to work which is there before, in seconds.
+    /// The share of `expected_s` spent waiting for work queued before the request, in seconds.
     pub queue_s: f64,
-    /// What choices are compared by: the expected time with what risks, other requests and other
-    /// nodes add, in seconds.
+    /// `expected_s` plus penalties for failure risk, for delaying other requests and for unreported
+    /// requests of other nodes, in seconds. Engines and plans are compared by it.
     pub cost_s: f64,
-    /// Prompt tokens that it still has to read.
+    /// Prompt tokens that the engine has to prefill.
     pub unread_tokens: u32,
-    /// The engine from which it is to take what it does not keep of the prompt.
+    /// The engine from which to fetch cached parts that this engine lacks.
     pub fetch_from: Option<EngineKey>,
 }
 
@@ -54,41 +53,41 @@
     }
 }
 
-/// Where a prompt is to run.
+/// The engines that process a prompt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PromptPlan {
-    /// Read and answered on one engine.
+    /// One engine prefills and decodes.
     Colocated(EngineChoice),
-    /// Read on the first, answered on the second.
+    /// One engine prefills, another decodes.
     Disaggregated {
         prefill: EngineChoice,
         decode: EngineChoice,
     },
 }
 
-/// Memory and decisions of one node about the engines of all pools.
+/// Routing state of one node for the engines of all pools.
 #[derive(Clone, Debug, Default)]
 pub struct StagedRouter {
-    /// Parts kept by engines.
+    /// Prompt parts cached by engines.
     pub parts: PartDirectory,
-    /// Work at engines.
+    /// Outstanding work at engines.
     pub work: WorkTable,
-    /// How engines fail.
+    /// Failures and latencies of engines.
     pub health: EngineHealth,
-    /// What they say of themselves.
+    /// Drain, backoff and rate-limit signals of engines.
     pub signals: SignalTable,
-    /// How fast they read.
+    /// Prefill speeds of engines.
     pub prefill_speeds: PrefillSpeeds,
-    /// How fast they begin answers.
+    /// Times from a transferred KV cache to the first token.
     pub decode_start_times: DecodeStartTimes,
-    /// What others may have sent since they reported.
+    /// Estimate of other nodes' sends since their last reports.
     pub unreported: UnreportedSends,
-    /// Which engines are compared.
+    /// Draws the engines that are compared.
     pub sampler: CandidateSampler,
 }
 
 impl PromptPlan {
-    /// Expected time to the answer's begin, with what of it goes to work that is there before.
+    /// Expected time to the first token, and the queueing time in it.
     pub fn latency_estimate(&self) -> LatencyEstimate {
         match self {
             Self::Colocated(choice) => choice.latency_estimate(),
@@ -101,7 +100,7 @@
 }
 
 impl StagedRouter {
-    /// A router whose draws differ from those of another seed.
+    /// Creates a router whose random choices are determined by `seed`.
     pub fn seeded(seed: u64) -> Self {
         Self {
             unreported: UnreportedSends::seeded(seed),
@@ -110,7 +109,7 @@
         }
     }
 
-    /// The best engine for an opaque request.
+    /// The engine with the lowest cost for an opaque request.
     pub fn choose_opaque(
         &self,
         now: MonotonicTime,
@@ -122,10 +121,10 @@
             .sampler
             .for_opaque(pool, zone, request, self.is_open(now));
         let costs = self.opaque_costs(now, zone, &engines);
-        best(engines.into_iter().zip(costs))
+        cheapest(engines.into_iter().zip(costs))
     }
 
-    /// The best plan for a prompt.
+    /// The plan with the lowest cost for a prompt.
     pub fn plan_prompt(
         &self,
         now: MonotonicTime,
@@ -133,24 +132,24 @@
         pool: &EnginePool,
         request: &StagedRequest,
     ) -> Option<PromptPlan> {
-        let whole = self.choose_colocated(now, zone, pool, request);
-        let split = self.choose_split(now, zone, pool, request);
-        match (whole, split) {
-            (Some(whole), Some((prefill, decode))) => {
-                let split_s = prefill.cost_s + decode.cost_s;
-                Some(if split_s < whole.cost_s {
+        let colocated = self.choose_colocated(now, zone, pool, request);
+        let disaggregated = self.choose_disaggregated(now, zone, pool, request);
+        match (colocated, disaggregated) {
+            (Some(colocated), Some((prefill, decode))) => {
+                let disaggregated_s = prefill.cost_s + decode.cost_s;
+                Some(if disaggregated_s < colocated.cost_s {
                     PromptPlan::Disaggregated { prefill, decode }
                 } else {
-                    PromptPlan::Colocated(whole)
+                    PromptPlan::Colocated(colocated)
                 })
             }
-            (Some(whole), None) => Some(PromptPlan::Colocated(whole)),
+            (Some(colocated), None) => Some(PromptPlan::Colocated(colocated)),
             (None, Some((prefill, decode))) => Some(PromptPlan::Disaggregated { prefill, decode }),
             (None, None) => None,
         }
     }
 
-    /// The best engine that reads and answers by itself.
+    /// A decode engine to prefill and decode the prompt by itself, chosen by cost.
     pub fn choose_colocated(
         &self,
         now: MonotonicTime,
@@ -158,23 +157,24 @@
         pool: &EnginePool,
         request: &StagedRequest,
     ) -> Option<EngineChoice> {
-        self.choose_reader(now, zone, pool, Stage::Decode, request)
+        self.choose_prefill(now, zone, pool, Stage::Decode, request)
     }
 
-    fn choose_split(
+    fn choose_disaggregated(
         &self,
         now: MonotonicTime,
         zone: &ZoneName,
         pool: &EnginePool,
         request: &StagedRequest,
     ) -> Option<(EngineChoice, EngineChoice)> {
-        let prefill = self.choose_reader(now, zone, pool, Stage::Prefill, request)?;
+        let prefill = self.choose_prefill(now, zone, pool, Stage::Prefill, request)?;
         let decode = self.choose_decode(now, pool, request, &prefill.engine)?;
         Some((prefill, decode))
     }
 
-    /// The best engine of `stage` to read the prompt.
-    fn choose_reader(
+    /// An engine of `stage` to prefill the prompt: the one with the lowest cost if the prompt has an affinity part,
+    /// else drawn by water-filling.
+    fn choose_prefill(
         &self,
         now: MonotonicTime,
         zone: &ZoneName,
@@ -182,26 +182,26 @@
         stage: Stage,
         request: &StagedRequest,
     ) -> Option<EngineChoice> {
-        let terms = self.prefill_terms(now, zone, pool, stage, request);
+        let context = self.prefill_context(now, zone, pool, stage, request);
         let known = KnownCandidates {
             parts: &self.parts,
-            target: terms.target,
+            affinity_target: context.affinity_target,
         };
         let engines = self
             .sampler
             .for_prompt(pool, stage, zone, request, known, self.is_open(now));
         let costs = engines
             .into_iter()
-            .map(|engine| (engine, self.prefill_cost(&terms, engine)));
-        if terms.affinity.is_some() {
-            // One prefill of the long part serves all of them where they stay together.
-            best(costs)
+            .map(|engine| (engine, self.prefill_cost(&context, engine)));
+        if context.affinity_part.is_some() {
+            // Prompts with the same affinity part go to the same engine, which prefills it once.
+            cheapest(costs)
         } else {
-            self.levelled(costs.collect(), terms.unreported)
+            self.water_filled(costs.collect(), context.unreported)
         }
     }
 
-    /// The best engine to go on from the memory that `prefill` holds.
+    /// An engine to decode from the KV cache that `prefill` holds, drawn by water-filling.
     pub fn choose_decode(
         &self,
         now: MonotonicTime,
@@ -212,7 +212,7 @@
         let unreported = self.expected_sends(now, Stage::Decode, pool);
         let known = KnownCandidates {
             parts: &self.parts,
-            target: None,
+            affinity_target: None,
         };
         let zone = &prefill.zone;
         let engines =
@@ -222,18 +222,22 @@
             let cost = self.decode_cost(now, request, prefill, unreported, engine);
             (engine, cost)
         });
-        self.levelled(costs.collect(), unreported)
+        self.water_filled(costs.collect(), unreported)
     }
 
-    /// One of the engines, which fill up to one level with the requests that others may have sent.
-    fn levelled(&self, costs: Vec<Costed<'_>>, unreported: ExpectedSends) -> Option<EngineChoice> {
+    /// Draws one of the engines by water-filling with the unreported requests of other nodes.
+    fn water_filled(
+        &self,
+        costs: Vec<EngineWithCost<'_>>,
+        unreported: ExpectedSends,
+    ) -> Option<EngineChoice> {
         let sends = unreported.mean * costs.len() as f64;
-        let (engine, cost) = draw_levelled(costs, sends, self.sampler.chance())?;
+        let (engine, cost) = draw_water_filled(costs, sends, self.sampler.uniform())?;
         Some(EngineChoice::new(engine, &cost))
     }
 
-    /// Whether another engine of its stage could take a request that `current` has. One with a limit may have no
-    /// permit for it: a request that left its engine for that one would be lost.
+    /// Whether another engine of the same stage can take over a request from `current`. Engines with a rate limit do
+    /// not count: there may be no permit for the request, which would then have no engine.
     pub fn has_alternative(
         &self,
         now: MonotonicTime,
@@ -242,17 +246,17 @@
         tried: &[EngineKey],
     ) -> bool {
         let is_open = self.is_open(now);
-        let takes_all = |key| is_open(key) && self.signals.limits().get(key).is_none();
+        let is_unlimited = |key| is_open(key) && self.signals.limits().get(key).is_none();
         let mut others = pool.keys(current.stage);
-        others.any(|key| key != current.key && !tried.contains(&key) && takes_all(key))
+        others.any(|key| key != current.key && !tried.contains(&key) && is_unlimited(key))
     }
 
-    /// Whether an engine may be called at `now`, as far as what it says of itself goes.
+    /// Whether an engine's own signals allow calls at `now`.
     pub(super) fn is_open(&self, now: MonotonicTime) -> impl Fn(EngineKey) -> bool {
         move |engine| self.signals.closed(now, engine).is_none()
     }
 
-    /// Forgets an engine that is gone.
+    /// Drops what is known of an engine that is gone.
     pub fn forget_engine(&mut self, engine: EngineKey) {
         self.parts.forget_engine(engine);
         self.health.forget(engine);
@@ -260,7 +264,10 @@
     }
 }
 
-fn best<'e>(costs: impl Iterator<Item = (&'e StagedEngine, EngineCost)>) -> Option<EngineChoice> {
-    let cheapest = costs.min_by(|(_, first), (_, second)| first.cost_s.total_cmp(&second.cost_s));
-    cheapest.map(|(engine, cost)| EngineChoice::new(engine, &cost))
+/// The engine with the lowest cost.
+fn cheapest<'e>(
+    costs: impl Iterator<Item = (&'e StagedEngine, EngineCost)>,
+) -> Option<EngineChoice> {
+    let best = costs.min_by(|(_, first), (_, second)| first.cost_s.total_cmp(&second.cost_s));
+    best.map(|(engine, cost)| EngineChoice::new(engine, &cost))
 }
--- a/crates/routing/src/staged/work.rs
+++ b/crates/routing/src/staged/work_table.rs
@@ -1,4 +1,4 @@
-//! Work at each engine: this node's own, and that of others as last reported.
+//! Outstanding work at each engine: this node's own, and that of other nodes as last reported.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -7,17 +7,17 @@
 
 use super::EngineKey;
 
-/// A report counts for this long; a source that lives reports again before.
-const REPORT_COUNTS: Duration = Duration::from_millis(1_500);
+/// Reports older than this are dropped. A source that is alive reports more often.
+const REPORT_TTL: Duration = Duration::from_millis(1_500);
 
-/// Work at one engine.
+/// Outstanding work at one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineWork {
-    /// Requests sent and not over.
+    /// Requests sent that have not ended.
     pub requests: u32,
-    /// Those of them whose answer has not begun.
+    /// Requests among them whose response has not started.
     pub starting: u32,
-    /// Prompt tokens sent and not yet read.
+    /// Prompt tokens sent that are not prefilled yet.
     pub unread_tokens: u64,
 }
 
@@ -28,7 +28,7 @@
         self.unread_tokens += other.unread_tokens;
     }
 
-    /// Takes `other` off. Reports of different ages need not fit each other: none falls below 0.
+    /// Subtracts `other`, saturating at zero: the two may stem from reports of different ages.
     pub fn subtract(&mut self, other: &Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.starting = self.starting.saturating_sub(other.starting);
@@ -36,29 +36,29 @@
     }
 }
 
-/// Where a report of others' work came from.
+/// The sender of a report of other nodes' work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum LoadSource {
-    /// A member that reports to this node; it has this number.
+    /// The member with this node number, reporting to this relay.
     Member(u64),
-    /// A relay, with the sums of its members; it has this number.
+    /// The relay with this node number, reporting the sums over its members.
     Relay(u64),
-    /// This node's own relay, with the sums of the whole fleet.
+    /// The relay that this node follows, reporting the sums over the whole fleet.
     Fleet,
 }
 
-/// One of equal slices of the engines. A source that reports more engines than a message holds reports
-/// each slice by itself.
+/// One of several slices of the engines. A source with more engines than fit into a message reports each
+/// slice in its own message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportSlice {
-    /// Which slice it is.
+    /// Index of the slice.
     pub slice: u16,
     /// Number of slices.
     pub slices: u16,
 }
 
 impl ReportSlice {
-    /// All engines.
+    /// The only slice, with all engines.
     pub const WHOLE: Self = Self {
         slice: 0,
         slices: 1,
@@ -68,34 +68,34 @@
 #[derive(Clone, Debug)]
 struct ReportedWork {
     reported_at: MonotonicTime,
-    /// Number of slices that the source reports in.
+    /// Number of slices into which the source divided the engines.
     slices: u16,
     engines: HashMap<EngineKey, EngineWork>,
 }
 
-/// Work at engines as one node passes it on to others.
+/// Work summed over several sources, as one node forwards it to others.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SummedWork {
     /// Work by engine.
     pub engines: HashMap<EngineKey, EngineWork>,
-    /// Mean time since the reports that it sums were true.
+    /// Mean age of the summed reports.
     pub age: Duration,
 }
 
-/// Work of this node and of the others.
+/// Work of this node and of the others at all engines.
 ///
-/// Invariant: `sums` is the sum over `reported`, so that a choice looks each engine up once, however
-/// many nodes there are.
+/// Invariant: `sums` is the sum over `reported`, so that a lookup does not depend on the number of
+/// nodes.
 #[derive(Clone, Debug, Default)]
 pub struct WorkTable {
     own: HashMap<EngineKey, EngineWork>,
-    /// By source and slice.
+    /// Reports by source and slice index.
     reported: BTreeMap<(LoadSource, u16), ReportedWork>,
     sums: HashMap<EngineKey, EngineWork>,
 }
 
 impl WorkTable {
-    /// Notes a request sent.
+    /// Records that a request was sent.
     pub fn record_sent(&mut self, engine: EngineKey, unread_tokens: u32) {
         let work = self.own.entry(engine).or_default();
         work.requests += 1;
@@ -103,21 +103,21 @@
         work.unread_tokens += u64::from(unread_tokens);
     }
 
-    /// Notes that the prompt of a request was read.
+    /// Records that `tokens` of a prompt were prefilled.
     pub fn record_prefilled(&mut self, engine: EngineKey, tokens: u32) {
         if let Some(work) = self.own.get_mut(&engine) {
             work.unread_tokens = work.unread_tokens.saturating_sub(u64::from(tokens));
         }
     }
 
-    /// Notes that the answer to a request has begun, or never will.
+    /// Records that a response has started, or that its request failed before.
     pub fn record_started(&mut self, engine: EngineKey) {
         if let Some(work) = self.own.get_mut(&engine) {
             work.starting = work.starting.saturating_sub(1);
         }
     }
 
-    /// Notes that a request is over.
+    /// Records that a request has ended.
     pub fn record_ended(&mut self, engine: EngineKey) {
         let Some(work) = self.own.get_mut(&engine) else {
             return;
@@ -138,7 +138,7 @@
         self.own.iter().map(|(engine, work)| (*engine, *work))
     }
 
-    /// Replaces what `source` reported: all its work, as it was at `reported_at`.
+    /// Replaces everything that `source` reported by `work`, as of `reported_at`.
     pub fn set_reported(
         &mut self,
         reported_at: MonotonicTime,
@@ -148,8 +148,8 @@
         self.set_reported_slice(reported_at, source, ReportSlice::WHOLE, work);
     }
 
-    /// Replaces what `source` reported of one slice of the engines. What it reported in another number
-    /// of slices is forgotten.
+    /// Replaces what `source` reported for one slice of the engines. Reports by another number of slices
+    /// are dropped.
     pub fn set_reported_slice(
         &mut self,
         reported_at: MonotonicTime,
@@ -157,12 +157,11 @@
         slice: ReportSlice,
         work: impl IntoIterator<Item = (EngineKey, EngineWork)>,
     ) {
-        let former = self.reported.range((source, 0)..=(source, u16::MAX));
-        let replaced = former.filter(|((_, number), report)| {
-            *number == slice.slice || report.slices != slice.slices
-        });
+        let previous = self.reported.range((source, 0)..=(source, u16::MAX));
+        let replaced = previous
+            .filter(|((_, index), report)| *index == slice.slice || report.slices != slice.slices);
         for key in replaced.map(|(key, _)| *key).collect::<Vec<_>>() {
-            self.forget_report(key);
+            self.drop_report(key);
         }
         let engines: HashMap<EngineKey, EngineWork> = work.into_iter().collect();
         for (engine, work) in &engines {
@@ -176,15 +175,15 @@
         self.reported.insert((source, slice.slice), reported);
     }
 
-    /// Forgets what `source` reported.
+    /// Drops all reports of `source`.
     pub fn forget_source(&mut self, source: LoadSource) {
         let reports = self.reported.range((source, 0)..=(source, u16::MAX));
         for key in reports.map(|(key, _)| *key).collect::<Vec<_>>() {
-            self.forget_report(key);
+            self.drop_report(key);
         }
     }
 
-    fn forget_report(&mut self, key: (LoadSource, u16)) {
+    fn drop_report(&mut self, key: (LoadSource, u16)) {
         let Some(reported) = self.reported.remove(&key) else {
             return;
         };
@@ -198,7 +197,7 @@
         }
     }
 
-    /// All work known at an engine.
+    /// All known work at an engine.
     pub fn total(&self, engine: EngineKey) -> EngineWork {
         let mut total = self.own(engine);
         if let Some(sum) = self.sums.get(&engine) {
@@ -207,48 +206,46 @@
         total
     }
 
-    /// Work of this node and of the sources that `counts` names, with its age.
+    /// Work of this node plus the reports of the sources that `includes` selects, with their mean age.
     ///
-    /// The age is that of this work and of no other. Relays that stated the mean age of other
-    /// relays' work beside their own sums fed on each other's ages: these grew until all reported
-    /// work was dropped as too old. In a fleet of eight relays under bursts, the share of credit
-    /// served fell from 0.80 to 0.69.
-    pub fn summed(&self, now: MonotonicTime, counts: impl Fn(LoadSource) -> bool) -> SummedWork {
+    /// Only the selected reports count for the age. If relays included the ages of each other's reports,
+    /// the ages would grow with each exchange until all reports expire.
+    pub fn summed(&self, now: MonotonicTime, includes: impl Fn(LoadSource) -> bool) -> SummedWork {
         let mut engines = self.own.clone();
-        let counted = self
+        let included = self
             .reported
             .iter()
-            .filter(|((source, _), _)| counts(*source));
-        for (engine, work) in counted.flat_map(|(_, reported)| &reported.engines) {
+            .filter(|((source, _), _)| includes(*source));
+        for (engine, work) in included.flat_map(|(_, reported)| &reported.engines) {
             engines.entry(*engine).or_default().add(work);
         }
-        let age = self.mean_report_age(now, counts);
+        let age = self.mean_report_age(now, includes);
         SummedWork { engines, age }
     }
 
-    /// Mean age of the work that the sources `counts` names reported; zero where there is none.
+    /// Mean age of the reports of the sources that `includes` selects; zero if there are none.
     pub fn mean_report_age(
         &self,
         now: MonotonicTime,
-        counts: impl Fn(LoadSource) -> bool,
+        includes: impl Fn(LoadSource) -> bool,
     ) -> Duration {
-        let counted = self
+        let included = self
             .reported
             .iter()
-            .filter(|((source, _), _)| counts(*source));
-        let ages = counted.map(|(_, reported)| now.since(reported.reported_at));
+            .filter(|((source, _), _)| includes(*source));
+        let ages = included.map(|(_, reported)| now.since(reported.reported_at));
         let count = ages.clone().count().max(1) as u32;
         ages.sum::<Duration>() / count
     }
 
-    /// Forgets reports that are too old to count.
+    /// Drops expired reports.
     pub fn sweep(&mut self, now: MonotonicTime) {
-        let old = self
+        let expired = self
             .reported
             .iter()
-            .filter(|(_, reported)| now.since(reported.reported_at) >= REPORT_COUNTS);
-        for key in old.map(|(key, _)| *key).collect::<Vec<_>>() {
-            self.forget_report(key);
+            .filter(|(_, reported)| now.since(reported.reported_at) >= REPORT_TTL);
+        for key in expired.map(|(key, _)| *key).collect::<Vec<_>>() {
+            self.drop_report(key);
         }
     }
 }
