--- a/crates/routing/benches/decide.rs
+++ b/crates/routing/benches/decide.rs
@@ -1,4 +1,4 @@
-//! Cost of one routing decision by the number of engines that may take the request.
+//! Time of one routing decision, by the number of engines.
 
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/routing/benches/staged.rs
+++ b/crates/routing/benches/staged.rs
@@ -1,4 +1,4 @@
-//! Cost of the choice for one prompt, and of a change of the engines, by the number of engines.
+//! Time to plan one prompt and to replace one engine, by the number of engines.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 const MEMORY_TOKENS: u64 = 417_000;
 const SIZES: [usize; 5] = [136, 700, 1_000, 10_000, 20_000];
 
-/// Four of ten engines prefill.
+/// An engine; four in ten are prefill engines.
 fn engine(number: usize) -> StagedEngine {
     let run = format!("i-{number:08x}");
     StagedEngine {
@@ -55,21 +55,21 @@
     }
 }
 
-/// Each engine keeps four parts, one of which all keep, and has some work.
+/// A router for which each engine caches three parts, one of them shared by all, and has some work.
 fn router(engines: &EnginePool) -> StagedRouter {
     let mut router = StagedRouter::seeded(1);
-    for (place, engine) in engines.iter().enumerate() {
-        let place = place as u64;
-        let kept = [
+    for (index, engine) in engines.iter().enumerate() {
+        let index = index as u64;
+        let cached = [
             part(1, 800),
-            part(100 + place % 1_060, 4_500),
-            part(place + 10_000, 8_000),
+            part(100 + index % 1_060, 4_500),
+            part(index + 10_000, 8_000),
         ];
-        router.parts.record_sent(engine.key, MEMORY_TOKENS, &kept);
-        router.parts.confirm_cached(engine.key, &kept);
+        router.parts.record_sent(engine.key, MEMORY_TOKENS, &cached);
+        router.parts.confirm_cached(engine.key, &cached);
         router
             .work
-            .record_sent(engine.key, (place % 13) as u32 * 500);
+            .record_sent(engine.key, (index % 13) as u32 * 500);
     }
     router
 }
--- a/crates/routing/tests/engine_pool.rs
+++ b/crates/routing/tests/engine_pool.rs
@@ -1,4 +1,4 @@
-//! The orders in which a pool keeps its engines hold whatever changes.
+//! The indexes of an engine pool stay consistent under any changes.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -28,31 +28,31 @@
 }
 
 proptest! {
-    /// What a pool holds after any changes is what was last set and not taken out, in each order.
+    /// After any inserts and removals, all indexes contain exactly the engines inserted and not removed.
     #[test]
-    fn all_orders_hold_the_same_engines(
+    fn all_indexes_contain_the_same_engines(
         changes in proptest::collection::vec((0_u8..20, 0_u8..3, 0_u8..3, any::<bool>()), 0..80),
         seed in any::<u64>(),
     ) {
         let mut pool = EnginePool::default();
-        let mut standing: BTreeMap<EngineKey, StagedEngine> = BTreeMap::new();
+        let mut expected: BTreeMap<EngineKey, StagedEngine> = BTreeMap::new();
         for (number, stage, zone_number, is_gone) in changes {
             let engine = engine(number, stage, zone_number);
             if is_gone {
                 let removed = pool.remove(engine.key);
-                prop_assert_eq!(removed, standing.remove(&engine.key));
+                prop_assert_eq!(removed, expected.remove(&engine.key));
             } else {
                 pool.insert(engine.clone());
-                standing.insert(engine.key, engine);
+                expected.insert(engine.key, engine);
             }
         }
-        prop_assert_eq!(pool.len(), standing.len());
-        let rebuilt: EnginePool = standing.values().cloned().collect();
+        prop_assert_eq!(pool.len(), expected.len());
+        let rebuilt: EnginePool = expected.values().cloned().collect();
         prop_assert!(pool == rebuilt);
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let everything = SampleSize { engines: 100, preferred_zone: 100 };
         for stage in STAGES {
-            let of_stage = standing.values().filter(|engine| engine.stage == stage);
+            let of_stage = expected.values().filter(|engine| engine.stage == stage);
             let keys: HashSet<EngineKey> = of_stage.map(|engine| engine.key).collect();
             prop_assert_eq!(pool.count(stage), keys.len());
             let drawn = pool.sample(&mut random, stage, &zone(0), everything);
@@ -64,26 +64,27 @@
         }
     }
 
-    /// A sample has no engine twice, keeps to its size, and prefers the zone as far as it was asked.
+    /// A sample has no duplicates, has the requested size, and contains engines of the preferred zone up to their
+    /// limit.
     #[test]
-    fn samples_keep_to_their_size(
+    fn samples_respect_their_size(
         engines in proptest::collection::vec((any::<u8>(), 0_u8..3), 0..120),
-        most in 1_usize..40,
+        max in 1_usize..40,
         seed in any::<u64>(),
     ) {
         let pool: EnginePool = engines
             .iter()
             .map(|(number, zone_number)| engine(*number, 1, *zone_number))
             .collect();
-        let size = SampleSize { engines: most, preferred_zone: most.div_ceil(2) };
+        let size = SampleSize { engines: max, preferred_zone: max.div_ceil(2) };
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let drawn = pool.sample(&mut random, Stage::Decode, &zone(0), size);
         let keys: HashSet<EngineKey> = drawn.iter().map(|engine| engine.key).collect();
         prop_assert_eq!(keys.len(), drawn.len());
-        prop_assert_eq!(drawn.len(), pool.count(Stage::Decode).min(most));
-        let is_own = |engine: &&StagedEngine| engine.zone == zone(0);
-        let own = pool.iter().filter(is_own).count();
-        let own_drawn = drawn.iter().filter(|engine| engine.zone == zone(0)).count();
-        prop_assert!(own_drawn >= own.min(size.preferred_zone));
+        prop_assert_eq!(drawn.len(), pool.count(Stage::Decode).min(max));
+        let is_preferred = |engine: &&StagedEngine| engine.zone == zone(0);
+        let preferred = pool.iter().filter(is_preferred).count();
+        let preferred_drawn = drawn.iter().filter(|engine| engine.zone == zone(0)).count();
+        prop_assert!(preferred_drawn >= preferred.min(size.preferred_zone));
     }
 }
--- a/crates/routing/tests/herds.rs
+++ b/crates/routing/tests/herds.rs
@@ -1,11 +1,7 @@
-//! Nodes that each see a request a second and know nothing of each other's choices use all engines, and
-//! none much more than the others.
+//! Nodes without knowledge of each other's choices spread their requests evenly over all engines.
 //!
-//! The pattern is that of the largest fleet the product runs before: 986 nodes in six zones, 444
-//! application servers and 9,560 language-model engines of which four in ten prefill, and requests few
-//! enough that hardly an engine has two at once. Before candidates were drawn at random the busiest
-//! language-model engine got 70 times the mean of a day, the busiest application server 51 times, and
-//! 287 of the 444 servers nothing.
+//! Guards against herding in a large fleet with little load: 986 nodes in six zones, 444 application servers
+//! and 9,560 language-model engines, four in ten of them for prefill.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,8 +17,8 @@
 const NODES: u64 = 986;
 const ZONES: usize = 6;
 
-/// Time of a day: each node sends a request a second, so that a few tens of choices a node are made.
-const DAY_S: u64 = 45;
+/// Simulated time in seconds; each node sends one request per second.
+const RUN_S: u64 = 45;
 
 fn zone(number: usize) -> ZoneName {
     ZoneName::from(format!("zone-{}", number % ZONES))
@@ -56,7 +52,7 @@
         .collect()
 }
 
-/// A prompt of some parts that all callers share, and one of its own.
+/// A prompt with `shared` parts and a last part of its own.
 fn prompt(shared: &[(u64, u32)], own_tokens: u32, number: u64) -> StagedRequest {
     let own = [(u64::MAX - number, own_tokens)];
     let parts = shared.iter().chain(&own);
@@ -76,7 +72,7 @@
     }
 }
 
-/// Requests at each engine that got any.
+/// Number of requests sent to each engine.
 struct Spread {
     sent: HashMap<EngineKey, u64>,
     engines: usize,
@@ -94,15 +90,15 @@
     }
 }
 
-/// Opaque requests of all nodes over a day. Each server answers in its own time, which a node learns
-/// from its own requests only.
+/// Sends the opaque requests of all nodes. Servers differ in latency, which each node learns only from its own
+/// requests.
 fn spread_opaque() -> Spread {
     let servers = servers();
     let mut sent: HashMap<EngineKey, u64> = HashMap::new();
     for node in 0..NODES {
         let mut router = StagedRouter::seeded(node);
         // A quarter of the requests are opaque.
-        for request in 0..DAY_S / 4 {
+        for request in 0..RUN_S / 4 {
             let now = MonotonicTime::from_millis(4_000 * (request + 1));
             let choice = router.choose_opaque(
                 now,
@@ -112,7 +108,7 @@
             );
             let key = choice.expect("a server").engine.key;
             *sent.entry(key).or_default() += 1;
-            // Between 12 and 22 ms, as servers differ.
+            // Between 12 and 22 ms.
             let took = Duration::from_micros(12_000 + key.0 % 10_000);
             router.health.record(now, key, AttemptResult::Success(took));
         }
@@ -131,20 +127,20 @@
     assert_eq!(spread.idle(), 0, "idle servers");
 }
 
-/// Short prompts begin with one of four parts of 55 tokens, which take a millisecond to read.
+/// Short prompts begin with one of four parts of 55 tokens, which take about a millisecond to prefill.
 #[rstest]
-fn prompts_do_not_gather_where_a_short_part_is_kept() {
+fn prompts_do_not_concentrate_where_a_short_part_is_cached() {
     let engines = language_models(9_560);
     let mut sent: HashMap<EngineKey, u64> = HashMap::new();
     for node in 0..NODES {
         let mut router = StagedRouter::seeded(node);
-        for request in 0..DAY_S * 6 / 10 {
+        for request in 0..RUN_S * 6 / 10 {
             let now = MonotonicTime::from_millis(1_600 * (request + 1));
-            let number = node * DAY_S + request;
+            let number = node * RUN_S + request;
             let request = prompt(&[(number % 4, 55), (100 + number % 90, 37)], 291, number);
             let plan = router.plan_prompt(now, &zone(node as usize), &engines, &request);
             let Some(PromptPlan::Colocated(choice)) = plan else {
-                panic!("a short prompt is not read apart: {plan:?}");
+                panic!("expected a colocated plan for a short prompt: {plan:?}");
             };
             let key = choice.engine.key;
             *sent.entry(key).or_default() += 1;
@@ -156,17 +152,16 @@
         sent,
         engines: engines.count(Stage::Decode),
     };
-    // 4.6 requests an engine: chance alone gives the busiest of 5,736 three times the mean.
+    // With 4.6 requests per engine, random choice gives the busiest of 5,736 engines three times the mean.
     let ratio = spread.busiest_to_mean();
     assert!(ratio <= 4.0, "busiest to mean {ratio}");
 }
 
-/// The target of a part is the same at all nodes, whatever else they draw, and parts spread over the
-/// engines.
+/// All nodes compute the same affinity target for a part, and targets spread over the engines.
 #[rstest]
 #[case::some(136)]
 #[case::all(9_560)]
-fn parts_have_one_target_each_and_targets_differ(#[case] count: usize) {
+fn affinity_targets_agree_and_are_spread(#[case] count: usize) {
     let engines = language_models(count);
     let again: EnginePool = engines.iter().cloned().collect();
     let mut parts: HashMap<EngineKey, u32> = HashMap::new();
@@ -183,14 +178,14 @@
     }
     let mean = f64::from(PARTS) / engines.count(Stage::Prefill) as f64;
     let busiest = parts.values().max().copied().unwrap_or_default();
-    let chance = 6.0 * mean.sqrt();
+    let deviation = 6.0 * mean.sqrt();
     assert!(
-        f64::from(busiest) <= 2.0 * mean + chance,
-        "{busiest} parts at one engine, {mean} in the mean"
+        f64::from(busiest) <= 2.0 * mean + deviation,
+        "{busiest} parts at one engine, mean {mean}"
     );
 }
 
-/// A holder among thousands is found, whichever engines are drawn.
+/// The holder of a prompt's parts is found among thousands of engines, whatever sample is drawn.
 #[rstest]
 fn the_holder_of_a_long_part_is_always_compared() {
     let engines = language_models(9_560);
@@ -210,7 +205,7 @@
         let now = MonotonicTime::from_millis(10);
         let plan = router.plan_prompt(now, &holder.zone, &engines, &request);
         let Some(PromptPlan::Disaggregated { prefill, .. }) = plan else {
-            panic!("a long prompt is read apart: {plan:?}");
+            panic!("expected a disaggregated plan for a long prompt: {plan:?}");
         };
         assert_eq!(prefill.engine.key, holder.key, "seed {seed}");
         assert_eq!(prefill.unread_tokens, 3_720);
--- a/crates/routing/tests/signals.rs
+++ b/crates/routing/tests/signals.rs
@@ -1,4 +1,4 @@
-//! What engines say of themselves, in any order and by bad values.
+//! Signals of engines, in any order and with extreme values.
 
 use std::time::Duration;
 
@@ -14,83 +14,83 @@
     Duration::from_secs(seconds)
 }
 
-/// What may happen between a node and one engine.
+/// An event between a node and one engine.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Time passes.
+    /// This many milliseconds pass.
     Wait(u64),
-    /// A refusal asks for so many milliseconds.
-    AsksFor(u64),
-    /// The node calls, if it may.
-    Calls,
-    /// The oldest call comes out so.
-    ComesOut(bool),
+    /// The engine asks for a backoff of this many milliseconds.
+    Backoff(u64),
+    /// The node calls the engine unless it is closed.
+    Call,
+    /// The oldest call ends; `true` if the engine accepted it.
+    CallEnds(bool),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         3 => (1_u64..2_000).prop_map(Step::Wait),
-        1 => (1_u64..5_000).prop_map(Step::AsksFor),
-        4 => Just(Step::Calls),
-        4 => any::<bool>().prop_map(Step::ComesOut),
+        1 => (1_u64..5_000).prop_map(Step::Backoff),
+        4 => Just(Step::Call),
+        4 => any::<bool>().prop_map(Step::CallEnds),
     ]
 }
 
 proptest! {
-    /// No call within any backoff, whatever came before, and one at a time just after it.
+    /// No call is sent within a backoff, and the number of probes after it is limited.
     #[test]
-    fn no_call_goes_out_within_a_backoff(
+    fn no_call_is_sent_within_a_backoff(
         steps in proptest::collection::vec(step(), 1..80),
-        place in 0.0..1.0_f64,
+        jitter in 0.0..1.0_f64,
     ) {
-        let mut ledger = SignalTable::default();
+        let mut table = SignalTable::default();
         let mut now = NOW;
-        let mut bound_until = MonotonicTime::ZERO;
+        let mut closed_until = MonotonicTime::ZERO;
         let mut calls: Vec<Option<ProbeCall>> = Vec::new();
         for step in steps {
             match step {
                 Step::Wait(ms) => now = now + Duration::from_millis(ms),
-                Step::AsksFor(ms) => {
-                    let asked = Duration::from_millis(ms);
-                    ledger.record_backoff(now, ENGINE, asked, place);
-                    bound_until = bound_until.max(now + asked);
+                Step::Backoff(ms) => {
+                    let requested = Duration::from_millis(ms);
+                    table.record_backoff(now, ENGINE, requested, jitter);
+                    closed_until = closed_until.max(now + requested);
                     calls.clear();
                 }
-                Step::Calls if ledger.closed(now, ENGINE).is_none() => {
-                    prop_assert!(now >= bound_until);
-                    calls.push(ledger.begin_call(now, ENGINE));
-                    let returning = calls.iter().flatten().count();
-                    prop_assert!(returning < 8, "{returning} calls at once");
+                Step::Call if table.closed(now, ENGINE).is_none() => {
+                    prop_assert!(now >= closed_until);
+                    calls.push(table.begin_call(now, ENGINE));
+                    let probes = calls.iter().flatten().count();
+                    prop_assert!(probes < 8, "{probes} unanswered probes");
                 }
-                Step::ComesOut(taken_up) if !calls.is_empty() => {
-                    let end = if taken_up { ProbeOutcome::Accepted } else { ProbeOutcome::NotAccepted };
+                Step::CallEnds(accepted) if !calls.is_empty() => {
+                    let outcome = if accepted { ProbeOutcome::Accepted } else { ProbeOutcome::NotAccepted };
                     if let Some(call) = calls.remove(0) {
-                        ledger.finish_probe(call, end);
+                        table.finish_probe(call, outcome);
                     }
                 }
-                Step::Calls | Step::ComesOut(_) => {}
+                Step::Call | Step::CallEnds(_) => {}
             }
         }
     }
 
-    /// That a run drains is final, whatever comes after.
+    /// Draining is final for a run, whatever follows.
     #[test]
-    fn a_run_that_drains_stays_closed(
+    fn a_draining_run_stays_closed(
         steps in proptest::collection::vec(step(), 0..40),
     ) {
-        let mut ledger = SignalTable::default();
-        prop_assert!(ledger.record_draining(ENGINE));
+        let mut table = SignalTable::default();
+        prop_assert!(table.record_draining(ENGINE));
         let mut now = NOW;
         for step in steps {
             match step {
                 Step::Wait(ms) => now = now + Duration::from_millis(ms),
-                Step::AsksFor(ms) => {
-                    ledger.record_backoff(now, ENGINE, Duration::from_millis(ms), 0.5);
+                Step::Backoff(ms) => {
+                    table.record_backoff(now, ENGINE, Duration::from_millis(ms), 0.5);
                 }
-                Step::Calls | Step::ComesOut(_) => {}
+                Step::Call | Step::CallEnds(_) => {}
             }
-            prop_assert_eq!(ledger.closed(now, ENGINE), Some(ClosedReason::Draining));
-            prop_assert!(!ledger.record_draining(ENGINE), "it is no news");
+            prop_assert_eq!(table.closed(now, ENGINE), Some(ClosedReason::Draining));
+            prop_assert!(!table.record_draining(ENGINE), "already recorded");
         }
     }
 }
@@ -98,124 +98,124 @@
 #[rstest]
 #[case::a_longer_one(2, 5, 5)]
 #[case::a_shorter_one(5, 2, 5)]
-fn each_backoff_binds_for_as_long_as_it_asks(
+fn a_shorter_backoff_does_not_shorten_a_longer_one(
     #[case] first_s: u64,
     #[case] second_s: u64,
-    #[case] bound_s: u64,
+    #[case] closed_s: u64,
 ) {
-    let mut ledger = SignalTable::default();
-    assert!(ledger.record_backoff(NOW, ENGINE, seconds(first_s), 0.0));
-    assert!(!ledger.record_backoff(NOW, ENGINE, seconds(second_s), 0.0));
-    let until = NOW + seconds(bound_s);
+    let mut table = SignalTable::default();
+    assert!(table.record_backoff(NOW, ENGINE, seconds(first_s), 0.0));
+    assert!(!table.record_backoff(NOW, ENGINE, seconds(second_s), 0.0));
+    let until = NOW + seconds(closed_s);
     assert_eq!(
-        ledger.closed(NOW, ENGINE),
+        table.closed(NOW, ENGINE),
         Some(ClosedReason::Backoff(until))
     );
-    assert_eq!(ledger.closed(until, ENGINE), None);
+    assert_eq!(table.closed(until, ENGINE), None);
 }
 
 #[rstest]
-fn nodes_return_at_moments_of_their_own() {
-    let returns = [0.0, 0.5, 1.0].map(|place| {
-        let mut ledger = SignalTable::default();
-        ledger.record_backoff(NOW, ENGINE, seconds(4), place);
+fn nodes_end_a_backoff_at_different_times() {
+    let ends_ms = [0.0, 0.5, 1.0].map(|jitter| {
+        let mut table = SignalTable::default();
+        table.record_backoff(NOW, ENGINE, seconds(4), jitter);
         let after = (0..).find(|ms| {
             let now = NOW + Duration::from_millis(*ms);
-            ledger.closed(now, ENGINE).is_none()
+            table.closed(now, ENGINE).is_none()
         });
         after.expect("an end")
     });
-    assert_eq!(returns, [4_000, 4_500, 5_000]);
+    assert_eq!(ends_ms, [4_000, 4_500, 5_000]);
 }
 
 #[rstest]
-fn a_backoff_of_days_is_asked_about_again() {
-    let mut ledger = SignalTable::default();
-    ledger.record_backoff(NOW, ENGINE, Duration::MAX, 0.0);
-    assert!(ledger.closed(NOW + seconds(599), ENGINE).is_some());
+fn an_extreme_backoff_is_capped() {
+    let mut table = SignalTable::default();
+    table.record_backoff(NOW, ENGINE, Duration::MAX, 0.0);
+    assert!(table.closed(NOW + seconds(599), ENGINE).is_some());
     let after = NOW + seconds(600);
-    assert_eq!(ledger.closed(after, ENGINE), None);
-    let asking = ledger.begin_call(after, ENGINE);
-    assert!(asking.is_some());
-    assert_eq!(ledger.closed(after, ENGINE), Some(ClosedReason::Probing));
+    assert_eq!(table.closed(after, ENGINE), None);
+    let probe = table.begin_call(after, ENGINE);
+    assert!(probe.is_some());
+    assert_eq!(table.closed(after, ENGINE), Some(ClosedReason::Probing));
 }
 
 #[rstest]
-fn an_engine_that_takes_calls_up_again_gets_more_of_them() {
-    let mut ledger = SignalTable::default();
-    ledger.record_backoff(NOW, ENGINE, seconds(1), 0.0);
+fn accepted_probes_allow_more_calls() {
+    let mut table = SignalTable::default();
+    table.record_backoff(NOW, ENGINE, seconds(1), 0.0);
     let after = NOW + seconds(2);
-    let mut at_once = Vec::new();
+    let mut concurrent = Vec::new();
     for _ in 0..4 {
         let mut calls = Vec::new();
-        while ledger.closed(after, ENGINE).is_none() && calls.len() < 100 {
-            calls.push(ledger.begin_call(after, ENGINE));
+        while table.closed(after, ENGINE).is_none() && calls.len() < 100 {
+            calls.push(table.begin_call(after, ENGINE));
         }
-        at_once.push(calls.len());
+        concurrent.push(calls.len());
         for call in calls.into_iter().flatten() {
-            ledger.finish_probe(call, ProbeOutcome::Accepted);
+            table.finish_probe(call, ProbeOutcome::Accepted);
         }
     }
-    assert_eq!(at_once, [1, 2, 100, 100]);
+    assert_eq!(concurrent, [1, 2, 100, 100]);
 }
 
 #[rstest]
-fn backoffs_that_are_over_are_not_kept_for_ever() {
-    let mut ledger = SignalTable::default();
+fn expired_backoffs_are_removed() {
+    let mut table = SignalTable::default();
     for engine in 0..5_000 {
-        ledger.record_backoff(NOW, EngineKey(engine), seconds(1), 0.0);
+        table.record_backoff(NOW, EngineKey(engine), seconds(1), 0.0);
     }
     let later = NOW + seconds(10);
-    assert_eq!(ledger.backing_off_count(NOW), 5_000);
-    ledger.record_backoff(later, ENGINE, seconds(1), 0.0);
+    assert_eq!(table.backing_off_count(NOW), 5_000);
+    table.record_backoff(later, ENGINE, seconds(1), 0.0);
     assert!(
-        ledger.begin_call(later, EngineKey(9)).is_none(),
-        "any other engine"
+        table.begin_call(later, EngineKey(9)).is_none(),
+        "its expired backoff was removed"
     );
 }
 
 #[rstest]
-fn runs_that_drain_are_remembered_within_a_bound() {
-    let mut ledger = SignalTable::default();
+fn the_number_of_remembered_draining_runs_is_bounded() {
+    let mut table = SignalTable::default();
     for engine in 0..20_000_u64 {
-        ledger.record_draining(EngineKey(engine));
+        table.record_draining(EngineKey(engine));
     }
-    assert!(ledger.is_draining(EngineKey(19_999)));
-    assert!(!ledger.is_draining(EngineKey(0)));
+    assert!(table.is_draining(EngineKey(19_999)));
+    assert!(!table.is_draining(EngineKey(0)));
 }
 
 #[rstest]
-fn nothing_of_a_former_start_holds() {
-    let mut ledger = SignalTable::default();
-    ledger.record_start(ENGINE, 1_000);
-    ledger.record_backoff(NOW, ENGINE, seconds(5), 0.0);
-    ledger.record_draining(ENGINE);
-    ledger.record_start(ENGINE, 2_000);
-    assert_eq!(ledger.closed(NOW, ENGINE), None);
-    assert_eq!(ledger.started_at_ms(ENGINE), 2_000);
-    assert!(ledger.record_draining(ENGINE), "it is news of this start");
+fn a_restart_discards_earlier_signals() {
+    let mut table = SignalTable::default();
+    table.record_start(ENGINE, 1_000);
+    table.record_backoff(NOW, ENGINE, seconds(5), 0.0);
+    table.record_draining(ENGINE);
+    table.record_start(ENGINE, 2_000);
+    assert_eq!(table.closed(NOW, ENGINE), None);
+    assert_eq!(table.started_at_ms(ENGINE), 2_000);
+    assert!(table.record_draining(ENGINE), "new for this start");
 }
 
 #[rstest]
 #[case::in_the_same_era(3, 3, false)]
-#[case::in_a_later_one_that_began_with_a_copy(3, 4, true)]
-fn an_entry_takes_back_what_an_entry_said(
-    #[case] said_in: u64,
-    #[case] taken_back_in: u64,
-    #[case] drains: bool,
+#[case::not_in_a_later_era(3, 4, true)]
+fn an_accepting_entry_reverts_a_draining_entry_of_the_same_era(
+    #[case] draining_era: u64,
+    #[case] accepting_era: u64,
+    #[case] draining: bool,
 ) {
-    let mut ledger = SignalTable::default();
-    ledger.record_entry(ENGINE, false, said_in);
-    assert!(ledger.is_draining(ENGINE));
-    ledger.record_entry(ENGINE, true, taken_back_in);
-    assert_eq!(ledger.is_draining(ENGINE), drains);
+    let mut table = SignalTable::default();
+    table.record_entry(ENGINE, false, draining_era);
+    assert!(table.is_draining(ENGINE));
+    table.record_entry(ENGINE, true, accepting_era);
+    assert_eq!(table.is_draining(ENGINE), draining);
 }
 
 #[rstest]
-fn no_entry_takes_back_what_an_answer_said() {
-    let mut ledger = SignalTable::default();
-    ledger.record_draining(ENGINE);
-    ledger.record_entry(ENGINE, false, 1);
-    ledger.record_entry(ENGINE, true, 1);
-    assert!(ledger.is_draining(ENGINE));
+fn an_entry_does_not_revert_a_draining_response() {
+    let mut table = SignalTable::default();
+    table.record_draining(ENGINE);
+    table.record_entry(ENGINE, false, 1);
+    table.record_entry(ENGINE, true, 1);
+    assert!(table.is_draining(ENGINE));
 }
--- a/crates/routing/tests/staged.rs
+++ b/crates/routing/tests/staged.rs
@@ -66,7 +66,7 @@
 }
 
 #[rstest]
-fn a_long_prompt_is_read_apart_and_a_short_one_is_not() {
+fn long_prompts_are_disaggregated_and_short_ones_are_not() {
     let router = StagedRouter::default();
     let long = plan(&router, &fleet(), &prompt(&[(1, 13_000), (2, 4_000)]));
     assert!(matches!(long, PromptPlan::Disaggregated { .. }), "{long:?}");
@@ -74,10 +74,10 @@
     assert!(matches!(short, PromptPlan::Colocated(_)), "{short:?}");
 }
 
-/// Seen on a day of overload: prompts of other requests at the decode engines made every plan of
-/// two engines look slow, long prompts went whole to those engines, and the prefill engines idled.
+/// Guards against estimating disaggregated plans by the prompts queued at decode engines, which sends long
+/// prompts to these engines while the prefill engines idle.
 #[rstest]
-fn prompts_that_wait_at_decode_engines_do_not_drive_long_prompts_there() {
+fn prompts_queued_at_decode_engines_do_not_draw_long_prompts_there() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
     for decode in &fleet[2..] {
@@ -91,9 +91,9 @@
     assert!(matches!(plan, PromptPlan::Disaggregated { .. }), "{plan:?}");
 }
 
-/// A prompt that is read beside others' tokens delays each of them.
+/// A prefill on a decode engine delays the tokens of all requests running there.
 #[rstest]
-fn a_long_prompt_keeps_away_from_engines_that_generate_for_many() {
+fn long_prompts_avoid_decode_engines_with_many_running_requests() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
     for prefill in &fleet[..2] {
@@ -112,7 +112,7 @@
 }
 
 #[rstest]
-fn a_prompt_goes_where_its_parts_are_kept() {
+fn a_prompt_goes_where_its_parts_are_cached() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
     let request = prompt(&[(1, 13_000), (2, 4_000)]);
@@ -121,7 +121,7 @@
         let shared = &request.parts[..1];
         router.parts.record_sent(holder.key, MEMORY_TOKENS, shared);
         let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
-            panic!("a long prompt is read apart");
+            panic!("expected a disaggregated plan for a long prompt");
         };
         assert_eq!(prefill.engine.key, holder.key);
         assert_eq!(prefill.unread_tokens, 4_000);
@@ -130,7 +130,7 @@
 }
 
 #[rstest]
-fn a_busy_holder_gives_what_it_keeps_to_a_free_engine() {
+fn an_idle_engine_fetches_parts_from_a_busy_holder() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
     let request = prompt(&[(1, 13_000), (2, 4_000)]);
@@ -141,17 +141,17 @@
     router.parts.confirm_cached(fleet[0].key, shared);
     router.work.record_sent(fleet[0].key, 60_000);
     let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
-        panic!("a long prompt is read apart");
+        panic!("expected a disaggregated plan for a long prompt");
     };
     assert_eq!(prefill.engine.key, fleet[1].key);
     assert_eq!(prefill.fetch_from, Some(fleet[0].key));
     assert_eq!(prefill.unread_tokens, 4_000);
 }
 
-/// Seen on all days: a part was copied from engine to engine to save queues of some 20 ms, and the
-/// copies drove others out of memory, which were read again.
+/// A copy evicts other parts, which then have to be prefilled again, so it must save more than a short
+/// queueing delay.
 #[rstest]
-fn a_part_is_not_copied_to_save_a_short_queue() {
+fn a_part_is_not_copied_to_avoid_a_short_queue() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
     let request = prompt(&[(1, 13_000), (2, 4_000)]);
@@ -162,14 +162,14 @@
     router.parts.confirm_cached(fleet[0].key, shared);
     router.work.record_sent(fleet[0].key, 2_500);
     let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
-        panic!("a long prompt is read apart");
+        panic!("expected a disaggregated plan for a long prompt");
     };
     assert_eq!(prefill.engine.key, fleet[0].key);
     assert_eq!(prefill.fetch_from, None);
 }
 
 #[rstest]
-fn nothing_is_fetched_that_was_not_read() {
+fn unconfirmed_parts_are_not_fetched() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
     let request = prompt(&[(1, 13_000), (2, 4_000)]);
@@ -179,7 +179,7 @@
         .record_sent(fleet[0].key, MEMORY_TOKENS, shared);
     router.work.record_sent(fleet[0].key, 60_000);
     let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
-        panic!("a long prompt is read apart");
+        panic!("expected a disaggregated plan for a long prompt");
     };
     assert_eq!(prefill.fetch_from, None);
     router.parts.remove_unconfirmed(fleet[0].key, shared);
@@ -187,7 +187,7 @@
 }
 
 #[rstest]
-fn reported_work_counts_until_it_is_old() {
+fn reported_work_expires() {
     let mut work = WorkTable::default();
     let key = EngineKey::of("prefill-1");
     let reported = EngineWork {
@@ -202,7 +202,7 @@
 }
 
 #[rstest]
-fn a_silent_engine_is_avoided_for_longer_each_time_until_it_answers() {
+fn avoidance_of_an_unresponsive_engine_doubles_until_it_responds() {
     let mut health = EngineHealth::default();
     let key = EngineKey::of("decode-1");
     health.record(NOW, key, AttemptResult::NoResponse);
@@ -215,8 +215,8 @@
     assert!(!health.is_avoided(again, key));
 }
 
-/// Seen on a day of overload: an engine that was changing its role refused 508 runs within 3 s, each
-/// after 1 ms, and they spent the budget of repeated sends.
+/// Guards against an engine that changes its role: it refuses quickly, looks idle, and would attract all
+/// requests until the retry budget is spent.
 #[rstest]
 fn an_engine_that_refuses_is_avoided_although_it_is_idle() {
     let mut router = StagedRouter::default();
@@ -245,7 +245,7 @@
     let mut request = prompt(&[(3, 300)]);
     request.tried = vec![fleet[2].key];
     let PromptPlan::Colocated(choice) = plan(&router, &fleet, &request) else {
-        panic!("a short prompt is not read apart");
+        panic!("expected a colocated plan for a short prompt");
     };
     assert_eq!(choice.engine.key, fleet[3].key);
     request.tried.push(fleet[3].key);
@@ -254,10 +254,10 @@
 }
 
 proptest! {
-    /// What the directory takes to be kept never exceeds the engine's memory, and the newest prompt
-    /// is always kept if it fits.
+    /// The assumed cache contents never exceed the capacity of the engine, and always contain the newest
+    /// prompt if it fits.
     #[test]
-    fn kept_parts_stay_within_memory(
+    fn cached_parts_stay_within_capacity(
         prompts in proptest::collection::vec((0_u64..40, 1_u32..9_000), 1..200),
     ) {
         let memory_tokens = 60_000;
@@ -268,14 +268,14 @@
             directory.record_sent(key, memory_tokens, &[part]);
             prop_assert_eq!(directory.cached_tokens(key, &[part]), *tokens);
         }
-        let kept: u64 = (0..40)
+        let cached: u64 = (0..40)
             .map(|id| directory.cached_tokens(key, &[PromptPart { id, tokens: 0 }]))
             .map(u64::from)
             .sum();
-        prop_assert!(kept <= memory_tokens, "{} kept", kept);
+        prop_assert!(cached <= memory_tokens, "{} cached", cached);
     }
 
-    /// Work that was sent and ended leaves nothing behind, in whatever order.
+    /// Work that has ended is removed completely, in whatever order it ends.
     #[test]
     fn ended_work_leaves_nothing(tokens in proptest::collection::vec(1_u32..9_000, 1..60)) {
         let key = EngineKey::of("prefill-1");
@@ -291,12 +291,11 @@
     }
 }
 
-/// Found on the third site: a fixed cost of 80 ms forbade to take over a fast link what takes a
-/// twentieth of the time to read again.
+/// Guards against a fixed fetch cost, which prevents fetches over fast links.
 #[rstest]
 #[case::fast_link(8_800_000.0, true)]
 #[case::slow_link(20_000.0, false)]
-fn what_a_fetch_costs_follows_the_link(#[case] link_mbps: f64, #[case] fetches: bool) {
+fn fetches_depend_on_the_link_speed(#[case] link_mbps: f64, #[case] fetches: bool) {
     let mut router = StagedRouter::default();
     let fleet = fleet();
     let mut request = prompt(&[(1, 4_000), (2, 3_000)]);
@@ -308,21 +307,20 @@
     router.parts.confirm_cached(fleet[0].key, shared);
     router.work.record_sent(fleet[0].key, 4_000);
     let PromptPlan::Disaggregated { prefill, .. } = plan(&router, &fleet, &request) else {
-        panic!("a long prompt is read apart");
+        panic!("expected a disaggregated plan for a long prompt");
     };
     assert_eq!(prefill.fetch_from.is_some(), fetches, "{prefill:?}");
 }
 
-/// Found on the third site: two decode engines had to begin hundreds of answers a second, and each
-/// was expected at once.
+/// Guards against estimates that ignore the start queue of a decode engine.
 #[rstest]
-fn an_engine_that_begins_many_answers_is_expected_later() {
+fn requests_that_have_not_started_add_to_the_latency_estimate() {
     let mut router = StagedRouter::default();
     let fleet = fleet();
-    for before in 0..40 {
+    for number in 0..40 {
         router
             .decode_start_times
-            .observe(before % 8, 5e-3 + f64::from(before % 8) * 10e-3);
+            .observe(number % 8, 5e-3 + f64::from(number % 8) * 10e-3);
     }
     for _ in 0..6 {
         router.work.record_sent(fleet[2].key, 0);
@@ -349,7 +347,7 @@
 #[case::another(&[], false, true)]
 #[case::the_other_was_tried(&["other"], false, false)]
 #[case::the_other_wants_no_calls(&[], true, false)]
-fn an_engine_is_left_only_for_another(
+fn a_request_leaves_its_engine_only_for_an_available_one(
     #[case] tried: &[&str],
     #[case] is_closed: bool,
     #[case] expected: bool,
--- a/crates/routing/tests/stale_loads.rs
+++ b/crates/routing/tests/stale_loads.rs
@@ -1,8 +1,7 @@
-//! Nodes that choose by the same reports, some tens of milliseconds old, use all engines.
+//! Nodes with the same load reports, some tens of milliseconds old, spread their requests over all engines.
 //!
-//! The pattern: short prompts without a shared part that would bind them to an engine come faster than reports. Each
-//! node sees the same engine as the least busy one, and all send there until the next report; the queue that builds up
-//! is several times the time in which callers want an answer.
+//! Guards against herding of short prompts without an affinity part: they arrive faster than reports, and all nodes
+//! would send them to the engine that the last report shows as least busy.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,37 +16,37 @@
 use rand_chacha::ChaCha8Rng;
 use rstest::rstest;
 
-/// A report's way from a node over relays to all others.
-const REPORT_AGE: Duration = Duration::from_millis(70);
+/// Interval of reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(70);
 
-/// Time until nodes know how often they send.
+/// Time until nodes have measured their own send rates; not counted.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// Time over which engines are to get their parts.
-const PLAYED: Duration = Duration::from_secs(2);
+/// Time over which requests are counted.
+const MEASURED: Duration = Duration::from_secs(2);
 
-/// Time that an engine of usual speed reads a prompt token.
-const READ_TOKEN: Duration = Duration::from_micros(35);
+/// Prefill time per token of an engine of average speed.
+const PREFILL_PER_TOKEN: Duration = Duration::from_micros(35);
 
-/// Time from a read prompt to the end of its answer.
-const ANSWER: Duration = Duration::from_millis(20);
+/// Time from the end of the prefill to the end of the response.
+const DECODE_TIME: Duration = Duration::from_millis(20);
 
-/// Time over that of a usual engine: engines differ, and nodes do not know.
+/// Prefill times of engines relative to the average; unknown to the nodes.
 const SLOWNESS: [f64; 3] = [0.6, 1.0, 1.6];
 
-/// Requests that an engine works on at once. Those beyond wait for a whole answer of another.
+/// Requests that an engine processes concurrently.
 const SLOTS: u32 = 16;
 
-/// Most and least that an engine gets of an even part.
-const MOST: f64 = 1.6;
-const LEAST: f64 = 0.5;
+/// Bounds on the number of requests of an engine, relative to an even share.
+const MAX_SHARE: f64 = 1.6;
+const MIN_SHARE: f64 = 0.5;
 
 struct Sent {
     node: usize,
     engine: EngineKey,
     tokens: u32,
-    read_at: MonotonicTime,
-    is_read: bool,
+    prefilled_at: MonotonicTime,
+    is_prefilled: bool,
 }
 
 fn pool(engines: usize) -> EnginePool {
@@ -79,7 +78,7 @@
     }
 }
 
-/// All nodes hear the work of all others, as it is now.
+/// Gives all nodes the current work of all others.
 fn report(now: MonotonicTime, routers: &mut [StagedRouter], pool: &EnginePool) {
     let keys: Vec<EngineKey> = pool.keys(Stage::Decode).collect();
     let mut sums = vec![EngineWork::default(); keys.len()];
@@ -107,7 +106,7 @@
 #[case::seventy_nodes(70, 38, 700)]
 #[case::seventy_nodes_in_a_rush(70, 38, 1_900)]
 #[case::the_largest_fleet(986, 120, 2_000)]
-fn no_engine_gets_what_others_could_take(
+fn no_engine_gets_far_more_or_less_than_its_share(
     #[case] nodes: usize,
     #[case] engines: usize,
     #[case] requests_per_s: u64,
@@ -124,15 +123,15 @@
         let slowness = SLOWNESS[number % SLOWNESS.len()];
         engines_state.insert(key, FakeEngine::new(slowness));
     }
-    let mut under_way: Vec<Sent> = Vec::new();
+    let mut outstanding: Vec<Sent> = Vec::new();
     let mut reported_at = MonotonicTime::ZERO;
-    let pause = Duration::from_secs(1) / requests_per_s as u32;
+    let interval = Duration::from_secs(1) / requests_per_s as u32;
     let counted_from = MonotonicTime::ZERO + WARM_UP;
     let mut now = MonotonicTime::ZERO;
-    for number in 0..requests_per_s * (WARM_UP + PLAYED).as_secs() {
-        now = now + pause;
-        end_answers(now, &mut routers, &mut engines_state, &mut under_way);
-        if now.since(reported_at) >= REPORT_AGE {
+    for number in 0..requests_per_s * (WARM_UP + MEASURED).as_secs() {
+        now = now + interval;
+        record_progress(now, &mut routers, &mut engines_state, &mut outstanding);
+        if now.since(reported_at) >= REPORT_INTERVAL {
             report(now, &mut routers, &pool);
             reported_at = now;
         }
@@ -140,43 +139,52 @@
         let router = &mut routers[node];
         let plan = router.plan_prompt(now, &zone, &pool, &short_prompt(number));
         let Some(PromptPlan::Colocated(choice)) = plan else {
-            panic!("a whole plan");
+            panic!("expected a colocated plan");
         };
         let (engine, tokens) = (choice.engine.key, choice.unread_tokens);
         router.work.record_sent(engine, tokens);
         router.unreported.record_sent(now, Stage::Decode, tokens);
         let fake = engines_state.get_mut(&engine).expect("an engine");
-        let read_at = fake.take(now, tokens, now >= counted_from);
-        under_way.push(Sent {
+        let prefilled_at = fake.accept(now, tokens, now >= counted_from);
+        outstanding.push(Sent {
             node,
             engine,
             tokens,
-            read_at,
-            is_read: false,
+            prefilled_at,
+            is_prefilled: false,
         });
     }
     let counts: Vec<u32> = engines_state
         .values()
         .map(|engine| engine.counted)
         .collect();
-    let part = f64::from(counts.iter().sum::<u32>()) / engines as f64;
-    let most = counts.iter().copied().max().unwrap_or_default();
-    let least = counts.iter().copied().min().unwrap_or_default();
-    let longest = engines_state
+    let even_share = f64::from(counts.iter().sum::<u32>()) / engines as f64;
+    let max = counts.iter().copied().max().unwrap_or_default();
+    let min = counts.iter().copied().min().unwrap_or_default();
+    let max_concurrent = engines_state
         .values()
-        .map(|engine| engine.most_at_once)
+        .map(|engine| engine.max_concurrent)
         .max();
-    assert!(f64::from(most) <= part * MOST, "{most} of {part}");
-    assert!(f64::from(least) >= part * LEAST, "{least} of {part}");
-    assert!(longest <= Some(SLOTS), "{longest:?} at one engine");
+    assert!(
+        f64::from(max) <= even_share * MAX_SHARE,
+        "{max} instead of {even_share}"
+    );
+    assert!(
+        f64::from(min) >= even_share * MIN_SHARE,
+        "{min} instead of {even_share}"
+    );
+    assert!(
+        max_concurrent <= Some(SLOTS),
+        "{max_concurrent:?} at one engine"
+    );
 }
 
-/// An engine that reads one prompt after the other.
+/// A simulated engine that prefills one prompt after the other.
 struct FakeEngine {
     slowness: f64,
-    reads_until: MonotonicTime,
-    at_once: u32,
-    most_at_once: u32,
+    busy_until: MonotonicTime,
+    concurrent: u32,
+    max_concurrent: u32,
     counted: u32,
 }
 
@@ -184,45 +192,45 @@
     fn new(slowness: f64) -> Self {
         Self {
             slowness,
-            reads_until: MonotonicTime::ZERO,
-            at_once: 0,
-            most_at_once: 0,
+            busy_until: MonotonicTime::ZERO,
+            concurrent: 0,
+            max_concurrent: 0,
             counted: 0,
         }
     }
 
-    /// Takes a request; yields when its prompt is read.
-    fn take(&mut self, now: MonotonicTime, tokens: u32, is_counted: bool) -> MonotonicTime {
-        let reads = READ_TOKEN.mul_f64(f64::from(tokens) * self.slowness);
-        self.reads_until = self.reads_until.max(now) + reads;
-        self.at_once += 1;
+    /// Accepts a request. Returns when its prompt is prefilled.
+    fn accept(&mut self, now: MonotonicTime, tokens: u32, is_counted: bool) -> MonotonicTime {
+        let prefill_time = PREFILL_PER_TOKEN.mul_f64(f64::from(tokens) * self.slowness);
+        self.busy_until = self.busy_until.max(now) + prefill_time;
+        self.concurrent += 1;
         if is_counted {
             self.counted += 1;
-            self.most_at_once = self.most_at_once.max(self.at_once);
+            self.max_concurrent = self.max_concurrent.max(self.concurrent);
         }
-        self.reads_until
+        self.busy_until
     }
 }
 
-/// Has nodes hear what engines did until `now`.
-fn end_answers(
+/// Reports prefills and responses that ended by `now` to the nodes that sent the requests.
+fn record_progress(
     now: MonotonicTime,
     routers: &mut [StagedRouter],
     engines: &mut HashMap<EngineKey, FakeEngine>,
-    under_way: &mut Vec<Sent>,
+    outstanding: &mut Vec<Sent>,
 ) {
-    for sent in under_way.iter_mut() {
-        if !sent.is_read && now >= sent.read_at {
-            sent.is_read = true;
+    for sent in outstanding.iter_mut() {
+        if !sent.is_prefilled && now >= sent.prefilled_at {
+            sent.is_prefilled = true;
             let work = &mut routers[sent.node].work;
             work.record_prefilled(sent.engine, sent.tokens);
             work.record_started(sent.engine);
         }
     }
-    for over in under_way.extract_if(.., |sent| now >= sent.read_at + ANSWER) {
-        routers[over.node].work.record_ended(over.engine);
-        if let Some(engine) = engines.get_mut(&over.engine) {
-            engine.at_once -= 1;
+    for ended in outstanding.extract_if(.., |sent| now >= sent.prefilled_at + DECODE_TIME) {
+        routers[ended.node].work.record_ended(ended.engine);
+        if let Some(engine) = engines.get_mut(&ended.engine) {
+            engine.concurrent -= 1;
         }
     }
 }
--- a/crates/routing/tests/unreported.rs
+++ b/crates/routing/tests/unreported.rs
@@ -1,4 +1,4 @@
-//! Nodes that choose from the same old reports spread their choices.
+//! Nodes with the same stale load reports spread their choices.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 const NODES: usize = 300;
 const ENGINES: usize = 60;
 
-/// Requests a second of all nodes.
+/// Requests per second of all nodes together.
 const REQUESTS_PER_S: usize = 900;
 
 fn at(milliseconds: u64) -> MonotonicTime {
@@ -40,7 +40,7 @@
     (0..ENGINES).map(engine).collect()
 }
 
-/// A router that has sent its share of the requests for three seconds.
+/// A router that has sent its share of the requests for three seconds and has a report of age `report_age`.
 fn router(node: usize, report_age: Duration, now: MonotonicTime) -> StagedRouter {
     let mut router = StagedRouter::seeded(node as u64);
     router.unreported.set_node_count(NODES);
@@ -57,8 +57,8 @@
     router
 }
 
-/// Requests at the busiest engine after all nodes have sent, in turn, what they send within the age
-/// of the report, over the mean.
+/// Ratio of the requests at the busiest engine to the mean, when all nodes send the requests of one report
+/// interval.
 fn busiest_to_mean(report_age: Duration) -> f64 {
     let now = at(3_000);
     let engines = engines();
@@ -79,18 +79,18 @@
     busiest as f64 / (sends as f64 / ENGINES as f64)
 }
 
-/// Found on a large site: all nodes chose the engine that was least busy in the last table. The bounds
-/// are loose: with 1.5 and 4.5 requests an engine, chance alone gives the busiest several times the mean.
+/// Guards against all nodes choosing the engine that was least busy in the last report. With 1.5 and 4.5 requests
+/// per engine, random choice alone gives the busiest several times the mean.
 #[rstest]
 #[case::fresh(Duration::from_millis(100), 6.0)]
 #[case::old(Duration::from_millis(300), 3.5)]
-fn choices_from_the_same_report_spread(#[case] report_age: Duration, #[case] most: f64) {
+fn choices_from_the_same_report_spread(#[case] report_age: Duration, #[case] bound: f64) {
     let ratio = busiest_to_mean(report_age);
-    assert!(ratio <= most, "busiest to mean {ratio}");
+    assert!(ratio <= bound, "busiest to mean {ratio}");
 }
 
 #[rstest]
-fn nothing_is_drawn_where_nothing_can_have_been_sent() {
+fn single_nodes_and_fresh_reports_draw_nothing() {
     let mut sends = UnreportedSends::seeded(1);
     let age = Duration::from_millis(200);
     sends.record_sent(at(0), Stage::Decode, 100);
@@ -108,7 +108,6 @@
     assert_eq!(fresh.draw(known, 0.9), known);
 }
 
-/// Draws have the mean that is expected of them.
 #[rstest]
 #[case(0.3)]
 #[case(2.0)]
@@ -122,19 +121,19 @@
     };
     let key = EngineKey(1);
     let drawn = (0..DRAWS).map(|_| {
-        let chance = sends.quantile(key, None);
-        expected.draw(EngineWork::default(), chance).requests
+        let quantile = sends.quantile(key, None);
+        expected.draw(EngineWork::default(), quantile).requests
     });
-    let seen = f64::from(drawn.sum::<u32>()) / f64::from(DRAWS);
+    let measured = f64::from(drawn.sum::<u32>()) / f64::from(DRAWS);
     assert!(
-        (seen - mean).abs() < 0.15 * mean.max(1.0),
-        "{seen} for {mean}"
+        (measured - mean).abs() < 0.15 * mean.max(1.0),
+        "{measured} instead of {mean}"
     );
 }
 
-/// Prompts with the same long first part have the same chances at all nodes; others do not.
+/// Prompts with the same affinity part have the same quantiles on all nodes; others do not.
 #[rstest]
-fn prompts_that_share_a_long_part_stay_together() {
+fn prompts_with_the_same_affinity_part_draw_the_same() {
     let (first, second) = (UnreportedSends::seeded(1), UnreportedSends::seeded(2));
     let key = EngineKey::of("prefill-1");
     assert_eq!(first.quantile(key, Some(7)), second.quantile(key, Some(7)));
@@ -151,8 +150,7 @@
 }
 
 proptest! {
-    /// The total at an engine is the sum of the own work and of each source's last report, whatever
-    /// came before.
+    /// The total at an engine is the sum of the last reports of all sources.
     #[test]
     fn totals_are_sums_of_the_last_reports(
         reports in proptest::collection::vec((0_u64..5, 0_u64..4, 0_u32..9), 1..60),
@@ -177,8 +175,7 @@
     }
 }
 
-/// Work that does not fit one message is reported in slices; each replaces its own, and a source that
-/// cuts its work otherwise begins anew.
+/// A report replaces only its own slice; a report with another number of slices replaces all.
 #[rstest]
 fn slices_of_a_source_add_up() {
     let fleet = LoadSource::Fleet;
