--- a/crates/routing/src/staged/decode_start_times.rs
+++ b/crates/routing/src/staged/decode_start_times.rs
@@ -11,7 +11,7 @@
 /// Initial estimate of the time added by each request queued before, in seconds.
 const PRIOR_PER_REQUEST_S: f64 = 2e-3;
 
-/// Range of queue lengths over which the initial estimate is weighted, in requests.
+/// The initial estimate counts as observations at zero and at this number of queued requests.
 const PRIOR_SPAN_REQUESTS: f64 = 8.0;
 
 /// Model of the start time as a function of the number of requests queued before.
--- a/crates/routing/src/staged/part_directory.rs
+++ b/crates/routing/src/staged/part_directory.rs
@@ -27,16 +27,17 @@
     tokens: u32,
     /// Sequence number of the last use.
     last_use: u64,
-    /// Whether the engine has prefilled it. Until then it serves later prompts on this engine, and no
-    /// other engine may fetch it.
+    /// Whether the engine has prefilled it. Until then, only later prompts sent to the same engine can use it.
     confirmed: bool,
 }
 
+/// The assumed contents of one engine's cache.
 #[derive(Clone, Debug, Default)]
-struct EngineParts {
-    cached: HashMap<u64, CachedPart>,
+struct EngineCache {
+    parts: HashMap<u64, CachedPart>,
     /// Part ids by last use.
     by_use: BTreeMap<u64, u64>,
+    /// Sum of the lengths of all parts.
     tokens: u64,
 }
 
@@ -45,7 +46,7 @@
 /// Invariant: `holders` and `by_use` contain exactly the parts of `engines`, keyed by last use.
 #[derive(Clone, Debug, Default)]
 pub struct PartDirectory {
-    engines: HashMap<EngineKey, EngineParts>,
+    engines: HashMap<EngineKey, EngineCache>,
     /// Engines that cache a part, by its last use there.
     holders: HashMap<u64, BTreeMap<u64, EngineKey>>,
     /// All entries of all engines, by last use.
@@ -80,10 +81,10 @@
             last_use,
             confirmed: previous.is_some_and(|part| part.confirmed),
         };
-        let known = self.engines.entry(engine).or_default();
-        known.cached.insert(part.id, cached);
-        known.by_use.insert(last_use, part.id);
-        known.tokens += u64::from(part.tokens);
+        let cache = self.engines.entry(engine).or_default();
+        cache.parts.insert(part.id, cached);
+        cache.by_use.insert(last_use, part.id);
+        cache.tokens += u64::from(part.tokens);
         let holders = self.holders.entry(part.id).or_default();
         holders.insert(last_use, engine);
         self.by_use.insert(last_use, (engine, part.id));
@@ -91,17 +92,17 @@
 
     /// The least recently used part of an engine with more than `capacity` cached tokens.
     fn part_to_evict(&self, engine: EngineKey, capacity: u64) -> Option<u64> {
-        let known = self.engines.get(&engine)?;
-        let oldest = known.by_use.first_key_value()?;
-        (known.tokens > capacity).then_some(*oldest.1)
+        let cache = self.engines.get(&engine)?;
+        let least_recent = cache.by_use.first_key_value()?;
+        (cache.tokens > capacity).then_some(*least_recent.1)
     }
 
     fn forget_part(&mut self, engine: EngineKey, part: u64) -> Option<CachedPart> {
-        let known = self.engines.get_mut(&engine)?;
-        let cached = known.cached.remove(&part)?;
-        known.by_use.remove(&cached.last_use);
-        known.tokens -= u64::from(cached.tokens);
-        if known.cached.is_empty() {
+        let cache = self.engines.get_mut(&engine)?;
+        let cached = cache.parts.remove(&part)?;
+        cache.by_use.remove(&cached.last_use);
+        cache.tokens -= u64::from(cached.tokens);
+        if cache.parts.is_empty() {
             self.engines.remove(&engine);
         }
         self.by_use.remove(&cached.last_use);
@@ -117,10 +118,10 @@
     /// Number of leading tokens of the prompt that the engine is assumed to cache. A part counts only if
     /// all parts before it are cached.
     pub fn cached_tokens(&self, engine: EngineKey, parts: &[PromptPart]) -> u32 {
-        let Some(known) = self.engines.get(&engine) else {
+        let Some(cache) = self.engines.get(&engine) else {
             return 0;
         };
-        let cached = parts.iter().map(|part| known.cached.get(&part.id));
+        let cached = parts.iter().map(|part| cache.parts.get(&part.id));
         let cached = cached.map_while(|part| part.map(|part| part.tokens));
         cached.sum()
     }
@@ -128,12 +129,12 @@
     /// Marks the parts of a prompt as prefilled by the engine. Returns whether that is new for a part that
     /// other prompts may share, which is any but the last.
     pub fn confirm_cached(&mut self, engine: EngineKey, parts: &[PromptPart]) -> bool {
-        let Some(known) = self.engines.get_mut(&engine) else {
+        let Some(cache) = self.engines.get_mut(&engine) else {
             return false;
         };
         let mut is_new = false;
         for (index, part) in parts.iter().enumerate() {
-            if let Some(cached) = known.cached.get_mut(&part.id) {
+            if let Some(cached) = cache.parts.get_mut(&part.id) {
                 let was_confirmed = std::mem::replace(&mut cached.confirmed, true);
                 is_new |= !was_confirmed && index + 1 < parts.len();
             }
@@ -158,15 +159,15 @@
     }
 
     fn cached(&self, engine: EngineKey, part: u64) -> Option<&CachedPart> {
-        self.engines.get(&engine)?.cached.get(&part)
+        self.engines.get(&engine)?.parts.get(&part)
     }
 
     /// Like [`Self::cached_tokens`], but only for parts that the engine has prefilled.
     fn confirmed_tokens(&self, engine: EngineKey, parts: &[PromptPart]) -> u32 {
-        let Some(known) = self.engines.get(&engine) else {
+        let Some(cache) = self.engines.get(&engine) else {
             return 0;
         };
-        let cached = parts.iter().map(|part| known.cached.get(&part.id));
+        let cached = parts.iter().map(|part| cache.parts.get(&part.id));
         let confirmed = cached.map_while(|part| part.filter(|part| part.confirmed));
         confirmed.map(|part| part.tokens).sum()
     }
@@ -242,8 +243,8 @@
 
     /// Removes all entries of an engine.
     pub fn forget_engine(&mut self, engine: EngineKey) {
-        let known = self.engines.get(&engine);
-        let parts = known.map(|known| known.cached.keys().copied().collect::<Vec<_>>());
+        let cache = self.engines.get(&engine);
+        let parts = cache.map(|cache| cache.parts.keys().copied().collect::<Vec<_>>());
         for part in parts.into_iter().flatten() {
             self.forget_part(engine, part);
         }
--- a/crates/routing/src/staged/prefill_speeds.rs
+++ b/crates/routing/src/staged/prefill_speeds.rs
@@ -11,7 +11,7 @@
 /// Initial estimate of the prefill time per token, in seconds.
 const PRIOR_PER_TOKEN_S: f64 = 20e-6;
 
-/// Range of prompt lengths over which the initial estimate is weighted, in tokens.
+/// The initial estimate counts as observations at zero and at this number of tokens.
 const PRIOR_SPAN_TOKENS: f64 = 8_000.0;
 
 /// Prefill time on a decode engine, relative to a prefill engine.
--- a/crates/routing/src/staged/signals.rs
+++ b/crates/routing/src/staged/signals.rs
@@ -139,7 +139,7 @@
     }
 
     /// Records that an engine asked at `now` for no calls during `requested`. Returns whether it was not backing
-    /// off already. `jitter`, from 0 to 1, sets this node's share of [`BACKOFF_JITTER`].
+    /// off already. `jitter`, from 0 to 1, scales this node's extension of the backoff.
     ///
     /// A later, shorter backoff does not shorten an earlier one.
     pub fn record_backoff(
--- a/crates/routing/src/staged/work_table.rs
+++ b/crates/routing/src/staged/work_table.rs
@@ -58,7 +58,7 @@
 }
 
 impl ReportSlice {
-    /// The only slice, with all engines.
+    /// A single slice with all engines.
     pub const WHOLE: Self = Self {
         slice: 0,
         slices: 1,
--- a/crates/routing/tests/staged.rs
+++ b/crates/routing/tests/staged.rs
@@ -360,9 +360,9 @@
     ];
     let mut router = StagedRouter::default();
     if is_closed {
-        let asked = Duration::from_secs(1);
+        let backoff = Duration::from_secs(1);
         let other = EngineKey::of("other");
-        router.signals.record_backoff(NOW, other, asked, 0.0);
+        router.signals.record_backoff(NOW, other, backoff, 0.0);
     }
     let tried: Vec<EngineKey> = tried.iter().map(|name| EngineKey::of(name)).collect();
     let found = router.has_alternative(NOW, &pool(&others), &current, &tried);
--- a/crates/routing/tests/unreported.rs
+++ b/crates/routing/tests/unreported.rs
@@ -26,8 +26,8 @@
 }
 
 fn engines() -> EnginePool {
-    let engine = |place| {
-        let run = format!("decode-{place}");
+    let engine = |number| {
+        let run = format!("decode-{number}");
         StagedEngine {
             key: EngineKey::of(&run),
             run: run.into(),
