--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -35,8 +35,8 @@
 use crate::node::reload::reload;
 use crate::node::settings::ForwardingSettings;
 use crate::node::stop::stop;
-use crate::quarantine::fleet_key::learn_key;
-use crate::quarantine::stored_stops::keep_stops;
+use crate::quarantine::fleet_key::load_fingerprint_key;
+use crate::quarantine::stopped_entries::persist_stopped_requests;
 use crate::roles::authority::Authority;
 use crate::roles::hold::hold;
 use crate::roles::role_control::control_roles;
@@ -245,8 +245,11 @@
     actix_rt::spawn(send_state(Rc::clone(context), socket));
     actix_rt::spawn(recover_parts(Rc::clone(context)));
     actix_rt::spawn(find_relays(Rc::clone(context), Rc::clone(store)));
-    actix_rt::spawn(keep_stops(Rc::clone(context), Rc::clone(store)));
-    actix_rt::spawn(learn_key(Rc::clone(context), Rc::clone(store)));
+    actix_rt::spawn(persist_stopped_requests(
+        Rc::clone(context),
+        Rc::clone(store),
+    ));
+    actix_rt::spawn(load_fingerprint_key(Rc::clone(context), Rc::clone(store)));
     actix_rt::spawn(keep_registered(Rc::clone(context), Rc::clone(store)));
 }
 
@@ -267,7 +270,7 @@
         }
         let now = context.now();
         let is_cut_off = context.spread.is_cut_off(now);
-        context.budget.borrow_mut().set_cut_off(is_cut_off);
+        context.budget.borrow_mut().set_isolated(is_cut_off);
         let fleet = context.fleet();
         context.link.sweep(|target| fleet.has_target(target));
         context.router.borrow_mut().work.sweep(now);
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -9,14 +9,14 @@
 use dalestand_clock::{BootInstant, timeout};
 use dalestand_edge::routed::EngineTerms;
 use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
-use dalestand_quarantine::CRASHES_ALLOWED;
+use dalestand_quarantine::STOP_AFTER_CRASHES;
 use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
-use dalestand_routing::{CallArrival, CallPurpose, RepeatedSend};
+use dalestand_routing::{CallOutcome, CallPurpose, RepeatedSend};
 use dalestand_types::{PoolName, RequestRate};
 
 use crate::context::Context;
 use crate::permits::passage::Passage;
-use crate::quarantine::engine_end::{EndProof, ask_listener, engine_ended};
+use crate::quarantine::engine_end::{EndProof, ask_listener, record_engine_end};
 use crate::quarantine::evidence::{crashes, is_stopped};
 use crate::quarantine::run_watch::{RunWatch, Unfinished};
 use crate::serve::class_counts::BusySlot;
@@ -194,7 +194,7 @@
         }
         Judged::NoListener => {
             watch.over();
-            engine_ended(context, engine.key, &engine.run, EndProof::NoListener);
+            record_engine_end(context, engine.key, &engine.run, EndProof::NoListener);
             let silent = Some(AttemptResult::NoResponse);
             (AttemptEnd::NotSent, "no listener", silent)
         }
@@ -231,12 +231,12 @@
     if call.purpose == CallPurpose::Run && matches!(end, AttemptEnd::Answered(_)) {
         count_usage(context, progress);
     }
-    let arrival = match &end {
-        AttemptEnd::Answered(_) => CallArrival::TakenUp,
-        AttemptEnd::Refused | AttemptEnd::Unknown => CallArrival::NotTakenUp,
-        AttemptEnd::NotSent => CallArrival::NotArrived,
+    let call_outcome = match &end {
+        AttemptEnd::Answered(_) => CallOutcome::Accepted,
+        AttemptEnd::Refused | AttemptEnd::Unknown => CallOutcome::NotAccepted,
+        AttemptEnd::NotSent => CallOutcome::NotDelivered,
     };
-    let is_free = progress.call_counts.came_out(call.purpose, arrival);
+    let is_free = progress.call_counts.record(call.purpose, call_outcome);
     if let Some(send) = taken.filter(|_| is_free) {
         context.budget.borrow_mut().give_back(call.pool, send);
     }
@@ -282,7 +282,7 @@
     let Some(former) = progress.tried.last().filter(|_| progress.runs > 0) else {
         return;
     };
-    if crashes(context, progress.fingerprint) + 1 >= CRASHES_ALLOWED {
+    if crashes(context, progress.fingerprint) + 1 >= STOP_AFTER_CRASHES {
         ask_listener(context, pool, *former).await;
     }
 }
--- a/crates/routing/src/staged/signals.rs
+++ b/crates/routing/src/staged/signals.rs
@@ -12,7 +12,7 @@
 use super::EngineKey;
 use super::bounded_map::BoundedMap;
 use super::engine_rate_limits::{EngineRateLimits, LimitChange};
-use crate::shared_rate::PermitWallet;
+use crate::shared_rate::HeldPermits;
 
 /// Maximum duration of a backoff. Limits the effect of a wrong response that asks for days: after this time
 /// the engine gets a probe call.
@@ -89,7 +89,7 @@
     starts: BoundedMap<u64>,
     limits: EngineRateLimits,
     /// Permits to send requests to engines with a rate limit.
-    pub permits: PermitWallet,
+    pub permits: HeldPermits,
     backoffs: HashMap<EngineKey, Backoff>,
     /// Sequence number of the newest backoff.
     last_backoff: u64,
