--- a/crates/routing/src/overload/mod.rs
+++ b/crates/routing/src/overload/mod.rs
@@ -1,8 +1,13 @@
-//! Room of a pool that is short, kept by all nodes together without a call for each request.
+//! Overload control: shares a pool's capacity among nodes, priorities and tenants when demand exceeds it.
 //!
-//! Answers a load above what a pool's engines serve, from callers of several priorities and tenants, at nodes that
-//! share the engines. [`RoomAccount`] says what is free for this node, [`AdmissionQueue`] who gets it, [`RetryAfterSchedule`]
-//! when those may come back who get none; [`PoolAdmission`] decides by them for one pool.
+//! Each node decides by itself from figures that nodes exchange, without a message for each request. A pool's capacity
+//! (its "room") is counted in places: requests that its engines hold at a time. A pool is "short" when its places are
+//! nearly all taken.
+//!
+//! - [`RoomAccount`] estimates how many places this node may use.
+//! - [`AdmissionQueue`] orders the requests that wait for a place.
+//! - [`RetryAfterSchedule`] spreads the retries of refused callers over time.
+//! - [`PoolAdmission`] combines them to admit, queue or refuse requests of one pool.
 
 mod class_scheduler;
 mod pool_admission;
@@ -19,12 +24,12 @@
 pub use retry_after::{RetryAfterBounds, RetryAfterSchedule, RetryAfterSlot};
 pub use room_account::{CapacityFactor, PoolLoad, RoomAccount};
 
-/// How a request stands against its tenant's fair share.
+/// Whether a request lies within its tenant's fair share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ShareStanding {
-    /// Its tenant asks for no more than its share, or the request lies within it.
+    /// Within the share, or the tenant's demand does not exceed it.
     #[default]
     Within,
-    /// It lies beyond its tenant's share.
+    /// Beyond the share.
     Over,
 }
--- a/crates/routing/src/overload/pool_admission.rs
+++ b/crates/routing/src/overload/pool_admission.rs
@@ -1,4 +1,4 @@
-//! Decides for one pool, at one node, which requests go to engines now, which wait, and which are refused.
+//! Admits, queues or refuses the requests of one pool at one node.
 
 use std::time::Duration;
 
@@ -7,50 +7,50 @@
 use super::ShareStanding;
 use super::class_scheduler::{MIN_CLASS_SHARE, QueueEntry};
 use super::queue::{AdmissionQueue, WaiterId};
-use super::retry_after::{RETURN_SHARE, RetryAfterBounds, RetryAfterSchedule, RetryAfterSlot};
+use super::retry_after::{RETRY_SHARE, RetryAfterBounds, RetryAfterSchedule, RetryAfterSlot};
 use super::room_account::{CapacityFactor, PoolLoad, RoomAccount};
 use crate::staged::{Expectation, TimeBounds};
 
-/// Share of the time left that may be planned with: expectations err, and an answer that comes after the deadline has
-/// cost an engine's work for nothing.
-const PLANNED_SHARE: f64 = 0.8;
+/// Fraction of the time to the deadline that a request may be expected to take. The rest is a margin for estimation
+/// errors: an answer after the deadline wastes the engine's work.
+const DEADLINE_FRACTION: f64 = 0.8;
 
-/// Share of an objective that may go to waiting here and to work at an engine, as both are expected: they are means,
-/// and a request that waits longer than expected has to be answered in time still.
-const IN_TIME_SHARE: f64 = 0.6;
+/// Fraction of the objective that the expected wait and processing time may take. Expectations are means, so the rest
+/// is a margin for requests that take longer.
+const OBJECTIVE_FRACTION: f64 = 0.6;
 
-/// Most requests that wait at a node: with the bodies that callers send, a tenth of the memory of a small node.
-const MOST_WAITING: usize = 512;
+/// Most requests queued at a node for one pool; bounds the memory that their bodies take.
+const MAX_WAITING: usize = 512;
 
-/// Callers come back within this share of the time that they have left.
-const RETURN_WITHIN: f64 = 1.0 / 3.0;
+/// Largest retry delay, as a fraction of the caller's remaining time.
+const MAX_RETRY_FRACTION: f64 = 1.0 / 3.0;
 
-/// Shortest time after which a caller is asked to come back: a place that comes free is known no sooner.
-const SHORTEST_RETURN: Duration = Duration::from_millis(50);
+/// Smallest retry delay: about the age of the load reports that show a place becoming free.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A request that wants a place.
+/// A request that asks for a place.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRequest {
-    /// Importance; 0 is the highest.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Whether its tenant is within its share.
+    /// Whether the request lies within its tenant's share.
     pub standing: ShareStanding,
-    /// The time that it has.
+    /// Its deadline and objective.
     pub bounds: TimeBounds,
-    /// What is expected of it at an engine.
+    /// Expected time at an engine.
     pub expected: Expectation,
-    /// First tries a second of more urgent requests, at this node.
+    /// Rate of more urgent requests at this node per second, without retries.
     pub more_urgent_per_s: f64,
 }
 
 impl AdmissionRequest {
-    /// The claim that it has at `now`. Its objective is that of an answer, so what it takes at the engine is taken
-    /// off. One that takes longer than that by itself is not late because of the load: it may wait as long as others.
-    fn claim(&self, now: MonotonicTime) -> QueueEntry {
-        let left_s = self.bounds.left.as_secs_f64() * PLANNED_SHARE - self.expected.whole_s;
-        let wanted_s = self.bounds.objective.as_secs_f64() * IN_TIME_SHARE;
+    /// The queue entry of a request that arrives at `now`. The expected time at the engine is deducted from the
+    /// objective, except for a request that would miss the objective even without a queue.
+    fn queue_entry(&self, now: MonotonicTime) -> QueueEntry {
+        let left_s = self.bounds.left.as_secs_f64() * DEADLINE_FRACTION - self.expected.whole_s;
+        let wanted_s = self.bounds.objective.as_secs_f64() * OBJECTIVE_FRACTION;
         let own_s = self.expected.whole_s - self.expected.queue_s;
-        let in_time_s = if wanted_s <= 0.0 {
+        let on_time_s = if wanted_s <= 0.0 {
             left_s
         } else if own_s <= wanted_s {
             wanted_s - self.expected.whole_s
@@ -60,54 +60,54 @@
         QueueEntry {
             priority: self.priority,
             standing: self.standing,
-            on_time_until: now + seconds(in_time_s.min(left_s)),
-            expires_at: now + seconds(left_s),
+            on_time_until: now + duration(on_time_s.min(left_s)),
+            expires_at: now + duration(left_s),
         }
     }
 }
 
-fn seconds(seconds: f64) -> Duration {
+fn duration(seconds: f64) -> Duration {
     Duration::try_from_secs_f64(seconds.max(0.0)).unwrap_or(Duration::MAX)
 }
 
-/// What becomes of a request that comes.
+/// What happens to an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionOutcome {
-    /// It goes to an engine, as without an account: the pool is not short, or not known.
+    /// Goes to an engine without admission control: the pool is not short, or its load is unknown.
     Ungated,
-    /// It has a place.
+    /// Has a place and goes to an engine now.
     Placed,
-    /// It waits, for this time at most.
+    /// Waits for a place, for at most this time.
     Queued(WaiterId, Duration),
-    /// It cannot be served in its time.
+    /// Cannot be served in time; the caller may retry as the slot says.
     Refused(RetryAfterSlot),
 }
 
-/// A decision, with what decided it.
+/// An admission decision and the state it is based on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionDecision {
-    /// What becomes of the request.
+    /// What happens to the request.
     pub outcome: AdmissionOutcome,
-    /// The account, where there was one.
+    /// Capacity of the pool; `None` unless the pool is short.
     pub account: Option<RoomAccount>,
-    /// Requests that waited here.
+    /// Requests queued at this node before the decision.
     pub waiting: usize,
 }
 
-/// Room of one pool at one node.
+/// Admission control of one pool at one node.
 #[derive(Clone, Debug, Default)]
 pub struct PoolAdmission {
     account: Option<RoomAccount>,
     capacity_factor: Option<CapacityFactor>,
     is_short: bool,
     queue: AdmissionQueue,
-    returns: RetryAfterSchedule<()>,
-    /// Requests that have a place and have not been sent.
-    placed: u32,
+    retries: RetryAfterSchedule<()>,
+    /// Requests that have a place but are not yet counted among those at engines.
+    unsent: u32,
 }
 
 impl PoolAdmission {
-    /// Brings the account up to what the node knows now. Whether the pool became short, or ceased to be.
+    /// Updates the account from the current load. Returns whether the pool became short, or ceased to be.
     pub fn update(&mut self, now: MonotonicTime, load: &PoolLoad) -> bool {
         let factor = self
             .capacity_factor
@@ -123,22 +123,22 @@
         self.is_short != was_short
     }
 
-    /// Whether the pool is short.
+    /// Whether the pool is short of capacity.
     pub fn is_short(&self) -> bool {
         self.is_short
     }
 
-    /// The account, as of the last look.
+    /// The account as of the last [`Self::update`]; `None` if the load is unknown.
     pub fn account(&self) -> Option<&RoomAccount> {
         self.account.as_ref()
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.queue.len()
     }
 
-    /// Decides about a request; `own_taken` are the requests of this node at the pool's engines.
+    /// Decides about an arriving request. `own_taken` counts this node's requests at the pool's engines.
     pub fn decide(
         &mut self,
         now: MonotonicTime,
@@ -166,76 +166,77 @@
         account: &RoomAccount,
     ) -> AdmissionOutcome {
         if self.queue.is_empty() && self.has_place(own_taken) {
-            self.placed += 1;
+            self.unsent += 1;
             return AdmissionOutcome::Placed;
         }
-        let claim = request.claim(now);
-        if self.can_be_served(now, request, &claim, account) && self.queue.len() < MOST_WAITING {
-            let number = self.queue.enter(now, claim);
-            AdmissionOutcome::Queued(number, claim.expires_at.since(now))
+        let entry = request.queue_entry(now);
+        if self.can_be_served(now, request, &entry, account) && self.queue.len() < MAX_WAITING {
+            let waiter = self.queue.insert(now, entry);
+            AdmissionOutcome::Queued(waiter, entry.expires_at.since(now))
         } else {
             AdmissionOutcome::Refused(self.retry_slot(now, request))
         }
     }
 
-    /// Whether a request may get a place within its time. One that cannot be in time is kept if it could be answered
-    /// were it not for those that come after it: bursts end within the time that callers have, and one that is refused
-    /// comes back to the same queue.
+    /// Whether a request is expected to get a place in time. One that would miss its objective is still queued if it
+    /// can meet its deadline with only the requests ahead of it: most bursts end by then, and a refused caller would
+    /// come back to the same queue.
     fn can_be_served(
         &self,
         now: MonotonicTime,
         request: &AdmissionRequest,
-        claim: &QueueEntry,
+        entry: &QueueEntry,
         account: &RoomAccount,
     ) -> bool {
-        let ahead = self.queue.ahead(claim);
-        let least_per_s = account.own_freed_per_s * MIN_CLASS_SHARE;
-        let in_time_per_s = (account.own_freed_per_s - request.more_urgent_per_s).max(least_per_s);
+        let ahead = self.queue.ahead(entry);
+        let min_per_s = account.own_freed_per_s * MIN_CLASS_SHARE;
+        let freed_per_s = (account.own_freed_per_s - request.more_urgent_per_s).max(min_per_s);
         let fits = |ahead: usize, per_s: f64, until: MonotonicTime| {
             let wait_s = (ahead + 1) as f64 / per_s;
             wait_s <= until.since(now).as_secs_f64()
         };
-        let returning_per_s = in_time_per_s * RETURN_SHARE;
-        fits(ahead.in_time, in_time_per_s, claim.on_time_until)
-            || fits(ahead.returning, returning_per_s, claim.on_time_until)
-            || fits(ahead.late, in_time_per_s, claim.expires_at)
+        let by_expiry_per_s = freed_per_s * RETRY_SHARE;
+        fits(ahead.on_time, freed_per_s, entry.on_time_until)
+            || fits(ahead.by_expiry, by_expiry_per_s, entry.on_time_until)
+            || fits(ahead.late, freed_per_s, entry.expires_at)
     }
 
-    /// The slot of a request that is refused.
+    /// Assigns a retry slot to the caller of a refused request.
     pub fn retry_slot(&mut self, now: MonotonicTime, request: &AdmissionRequest) -> RetryAfterSlot {
         let freed_per_s = self.account.map_or(0.0, |account| account.own_freed_per_s);
         let bounds = RetryAfterBounds {
-            shortest: SHORTEST_RETURN,
-            longest: request.bounds.left.mul_f64(RETURN_WITHIN),
+            shortest: MIN_RETRY_DELAY,
+            longest: request.bounds.left.mul_f64(MAX_RETRY_FRACTION),
         };
-        let returns = &mut self.returns;
-        returns.assign(now, &(), request.priority, freed_per_s, bounds)
+        let retries = &mut self.retries;
+        retries.assign(now, &(), request.priority, freed_per_s, bounds)
     }
 
     fn has_place(&self, own_taken: u32) -> bool {
-        let taken = f64::from(own_taken + self.placed);
-        // To the nearest whole place: rounded down, each node would leave half a place empty.
+        let taken = f64::from(own_taken + self.unsent);
+        // Round to the nearest whole place. Rounding down would leave half a place per node unused on average.
         let has_place = |account: &RoomAccount| taken + 0.5 <= account.own_places;
         !self.is_short || self.account.as_ref().is_none_or(has_place)
     }
 
-    /// The request that takes a place which is free; all go one after another once the pool is not short any more.
+    /// Gives a free place to the next queued request, if there are both. Once the pool is no longer short, repeated
+    /// calls empty the queue.
     pub fn release(&mut self, now: MonotonicTime, own_taken: u32) -> Option<WaiterId> {
         if self.queue.is_empty() || !self.has_place(own_taken) {
             return None;
         }
-        let released = self.queue.release(now)?;
-        self.placed += 1;
+        let released = self.queue.pop(now)?;
+        self.unsent += 1;
         Some(released)
     }
 
-    /// Notes that a request that had a place was sent, or will not be.
+    /// Notes that a request with a place was sent (and now counts as taken), or will not be sent.
     pub fn note_sent(&mut self) {
-        self.placed = self.placed.saturating_sub(1);
+        self.unsent = self.unsent.saturating_sub(1);
     }
 
-    /// Takes a request out that waits no longer.
-    pub fn remove(&mut self, number: WaiterId) {
-        self.queue.leave(number);
+    /// Removes a request that no longer waits.
+    pub fn remove(&mut self, waiter: WaiterId) {
+        self.queue.remove(waiter);
     }
 }
--- a/crates/routing/src/overload/queue.rs
+++ b/crates/routing/src/overload/queue.rs
@@ -1,7 +1,6 @@
-//! Requests of one node that wait for a place in one pool.
+//! Queue of the requests that wait for a place in one pool at one node.
 //!
-//! Answers a burst that is over before those who came in it have run out of time: they are kept in order instead of
-//! being sent to engines that refuse them.
+//! It absorbs bursts that end before the requests expire, instead of sending them to engines that would refuse them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,175 +8,174 @@
 
 use super::ShareStanding;
 use super::class_scheduler::{ClassScheduler, QueueEntry};
-use super::retry_after::RETURN_SHARE;
+use super::retry_after::RETRY_SHARE;
 
-/// Names a request that waits.
+/// Identifies a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(u64);
 
-/// Place of a request among those of its class: tenants within their share first, then by when it must be sent.
-type Place = (ShareStanding, MonotonicTime, WaiterId);
+/// Sort key within a class: requests within their tenant's share first, then by latest start time.
+type SortKey = (ShareStanding, MonotonicTime, WaiterId);
 
-fn in_time_place(claim: &QueueEntry, number: WaiterId) -> Place {
-    (claim.standing, claim.on_time_until, number)
+fn objective_key(entry: &QueueEntry, waiter: WaiterId) -> SortKey {
+    (entry.standing, entry.on_time_until, waiter)
 }
 
-fn late_place(claim: &QueueEntry, number: WaiterId) -> Place {
-    (claim.standing, claim.expires_at, number)
+fn expiry_key(entry: &QueueEntry, waiter: WaiterId) -> SortKey {
+    (entry.standing, entry.expires_at, waiter)
 }
 
-/// Requests of one class.
+/// Queued requests of one priority class.
 #[derive(Clone, Debug, Default)]
 struct ClassQueue {
-    /// Those that a place lets be answered in time.
-    in_time: BTreeSet<Place>,
-    /// The same by the time that they have left: those who were refused once and came back have least.
-    returning: BTreeSet<Place>,
-    /// Those that it would let be answered late.
-    late: BTreeSet<Place>,
-    /// Part of a release that is owed to those with least time left.
-    owed: f64,
+    /// Requests that can still meet their objective, by [`objective_key`].
+    on_time: BTreeSet<SortKey>,
+    /// The same requests by [`expiry_key`]. Retries come first here: they have the least time left.
+    by_expiry: BTreeSet<SortKey>,
+    /// Requests that can only meet their deadline, by [`expiry_key`].
+    late: BTreeSet<SortKey>,
+    /// Places owed to the first request of `by_expiry`, as a fraction of one.
+    expiry_credit: f64,
 }
 
 impl ClassQueue {
-    fn insert(&mut self, claim: &QueueEntry, number: WaiterId, now: MonotonicTime) {
-        if claim.on_time_until > now {
-            self.in_time.insert(in_time_place(claim, number));
-            self.returning.insert(late_place(claim, number));
+    fn insert(&mut self, entry: &QueueEntry, waiter: WaiterId, now: MonotonicTime) {
+        if entry.on_time_until > now {
+            self.on_time.insert(objective_key(entry, waiter));
+            self.by_expiry.insert(expiry_key(entry, waiter));
         } else {
-            self.late.insert(late_place(claim, number));
+            self.late.insert(expiry_key(entry, waiter));
         }
     }
 
-    fn remove(&mut self, claim: &QueueEntry, number: WaiterId) {
-        self.in_time.remove(&in_time_place(claim, number));
-        self.returning.remove(&late_place(claim, number));
-        self.late.remove(&late_place(claim, number));
+    fn remove(&mut self, entry: &QueueEntry, waiter: WaiterId) {
+        self.on_time.remove(&objective_key(entry, waiter));
+        self.by_expiry.remove(&expiry_key(entry, waiter));
+        self.late.remove(&expiry_key(entry, waiter));
     }
 
     fn next(&mut self) -> Option<WaiterId> {
-        self.owed += RETURN_SHARE;
-        let place = if self.owed >= 1.0 {
-            self.owed -= 1.0;
-            self.returning.first()
+        self.expiry_credit += RETRY_SHARE;
+        let key = if self.expiry_credit >= 1.0 {
+            self.expiry_credit -= 1.0;
+            self.by_expiry.first()
         } else {
-            self.in_time.first()
+            self.on_time.first()
         };
-        place.or(self.late.first()).map(|place| place.2)
+        key.or(self.late.first()).map(|key| key.2)
     }
 
     fn is_empty(&self) -> bool {
-        self.in_time.is_empty() && self.late.is_empty()
+        self.on_time.is_empty() && self.late.is_empty()
     }
 }
 
-/// The queue.
+/// Requests that wait for a place, by priority class.
 #[derive(Clone, Debug, Default)]
 pub struct AdmissionQueue {
     classes: BTreeMap<u8, ClassQueue>,
-    claims: BTreeMap<WaiterId, QueueEntry>,
-    turns: ClassScheduler,
-    next_number: u64,
+    entries: BTreeMap<WaiterId, QueueEntry>,
+    scheduler: ClassScheduler,
+    next_id: u64,
 }
 
-/// Requests that stand before a claim.
+/// Numbers of queued requests ahead of an entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct QueuedAhead {
-    /// Those before it if it can be answered in time.
-    pub in_time: usize,
-    /// Those before it if it can, and goes by the time that it has left.
-    pub returning: usize,
-    /// Those before it if it cannot.
+    /// Ahead of it if it can meet its objective, by latest start time.
+    pub on_time: usize,
+    /// Ahead of it if it can meet its objective, by expiry.
+    pub by_expiry: usize,
+    /// Ahead of it if it can only meet its deadline.
     pub late: usize,
 }
 
 impl AdmissionQueue {
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.claims.len()
+        self.entries.len()
     }
 
-    /// Whether none waits.
     pub fn is_empty(&self) -> bool {
-        self.claims.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Requests of one class that wait.
+    /// Number of queued requests of one class.
     pub fn waiting(&self, priority: u8) -> usize {
         let class = self.classes.get(&priority);
-        class.map_or(0, |class| class.in_time.len() + class.late.len())
+        class.map_or(0, |class| class.on_time.len() + class.late.len())
     }
 
-    /// Requests that stand before a claim that is made now.
-    pub fn ahead(&self, claim: &QueueEntry) -> QueuedAhead {
-        let urgent = self.classes.range(..claim.priority);
+    /// Numbers of requests that would be ahead of `entry` if it were queued now.
+    pub fn ahead(&self, entry: &QueueEntry) -> QueuedAhead {
+        let urgent = self.classes.range(..entry.priority);
         let urgent: usize = urgent
-            .map(|(_, class)| class.in_time.len() + class.late.len())
+            .map(|(_, class)| class.on_time.len() + class.late.len())
             .sum();
-        let Some(class) = self.classes.get(&claim.priority) else {
+        let Some(class) = self.classes.get(&entry.priority) else {
             return QueuedAhead {
-                in_time: urgent,
-                returning: urgent,
+                on_time: urgent,
+                by_expiry: urgent,
                 late: urgent,
             };
         };
         let last = WaiterId(u64::MAX);
-        let in_time = class.in_time.range(..in_time_place(claim, last));
-        let returning = class.returning.range(..late_place(claim, last));
-        let late = class.late.range(..late_place(claim, last));
+        let on_time = class.on_time.range(..objective_key(entry, last));
+        let by_expiry = class.by_expiry.range(..expiry_key(entry, last));
+        let late = class.late.range(..expiry_key(entry, last));
         QueuedAhead {
-            in_time: urgent + in_time.count(),
-            returning: urgent + returning.count(),
-            late: urgent + class.in_time.len() + late.count(),
+            on_time: urgent + on_time.count(),
+            by_expiry: urgent + by_expiry.count(),
+            late: urgent + class.on_time.len() + late.count(),
         }
     }
 
-    /// Takes a request in.
-    pub fn enter(&mut self, now: MonotonicTime, claim: QueueEntry) -> WaiterId {
-        let number = WaiterId(self.next_number);
-        self.next_number += 1;
-        let class = self.classes.entry(claim.priority).or_default();
-        class.insert(&claim, number, now);
-        self.claims.insert(number, claim);
-        number
+    /// Queues a request.
+    pub fn insert(&mut self, now: MonotonicTime, entry: QueueEntry) -> WaiterId {
+        let waiter = WaiterId(self.next_id);
+        self.next_id += 1;
+        let class = self.classes.entry(entry.priority).or_default();
+        class.insert(&entry, waiter, now);
+        self.entries.insert(waiter, entry);
+        waiter
     }
 
-    /// Takes a request out that no longer waits.
-    pub fn leave(&mut self, number: WaiterId) {
-        let Some(claim) = self.claims.remove(&number) else {
+    /// Removes a request; does nothing if it is not queued.
+    pub fn remove(&mut self, waiter: WaiterId) {
+        let Some(entry) = self.entries.remove(&waiter) else {
             return;
         };
-        if let Some(class) = self.classes.get_mut(&claim.priority) {
-            class.remove(&claim, number);
+        if let Some(class) = self.classes.get_mut(&entry.priority) {
+            class.remove(&entry, waiter);
             if class.is_empty() {
-                self.classes.remove(&claim.priority);
+                self.classes.remove(&entry.priority);
             }
         }
     }
 
-    /// The request that takes the next place. Those for which it would be too late are passed over.
-    pub fn release(&mut self, now: MonotonicTime) -> Option<WaiterId> {
-        self.sort_out(now);
+    /// Removes and returns the request that gets the next place. Expired requests are dropped.
+    pub fn pop(&mut self, now: MonotonicTime) -> Option<WaiterId> {
+        self.expire(now);
         let waiting: Vec<u8> = self.classes.keys().copied().collect();
-        let priority = self.turns.next(&waiting)?;
-        let number = self.classes.get_mut(&priority)?.next()?;
-        self.leave(number);
-        Some(number)
+        let priority = self.scheduler.next(&waiting)?;
+        let waiter = self.classes.get_mut(&priority)?.next()?;
+        self.remove(waiter);
+        Some(waiter)
     }
 
-    /// Puts those that can no longer be answered in time behind, and takes those out that no place helps any more.
-    fn sort_out(&mut self, now: MonotonicTime) {
-        let hopeless = self.claims.iter();
-        let hopeless = hopeless.filter(|(_, claim)| claim.expires_at <= now);
-        for number in hopeless.map(|(number, _)| *number).collect::<Vec<_>>() {
-            self.leave(number);
+    /// Drops expired requests, and moves those that can no longer meet their objective to the late ones.
+    fn expire(&mut self, now: MonotonicTime) {
+        let expired = self.entries.iter();
+        let expired = expired.filter(|(_, entry)| entry.expires_at <= now);
+        for waiter in expired.map(|(waiter, _)| *waiter).collect::<Vec<_>>() {
+            self.remove(waiter);
         }
         for class in self.classes.values_mut() {
-            let late = class.in_time.iter().filter(|place| place.1 <= now);
-            for place in late.copied().collect::<Vec<_>>() {
-                if let Some(claim) = self.claims.get(&place.2) {
-                    class.remove(claim, place.2);
-                    class.insert(claim, place.2, now);
+            let late = class.on_time.iter().filter(|key| key.1 <= now);
+            for key in late.copied().collect::<Vec<_>>() {
+                if let Some(entry) = self.entries.get(&key.2) {
+                    class.remove(entry, key.2);
+                    class.insert(entry, key.2, now);
                 }
             }
         }
--- a/crates/routing/src/overload/retry_after.rs
+++ b/crates/routing/src/overload/retry_after.rs
@@ -1,8 +1,8 @@
-//! When refused callers are told to come back.
+//! Spreads the retries of refused callers over time, so that they do not all come back at once to queues that are still
+//! full.
 //!
-//! Answers a load in which all refused callers would come back together, to queues that new callers keep as long: each
-//! gets a slot of its own, and slots follow each other at a part of the rate at which places come free. Both serving
-//! paths use it.
+//! Each refused caller gets a retry slot of its own. Slots are spaced at a fraction of the rate at which places become
+//! free.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
@@ -10,23 +10,23 @@
 
 use dalestand_types::MonotonicTime;
 
-/// Part of the places that come free which is kept for callers who come back.
-pub const RETURN_SHARE: f64 = 0.25;
+/// Fraction of the places that become free that is planned for retries.
+pub const RETRY_SHARE: f64 = 0.25;
 
-/// Lowest rate of places assumed, a second: there is a slot at some time.
-const LOWEST_RATE: f64 = 0.2;
+/// Lowest assumed rate of places that become free, per second, so that the interval between slots stays finite.
+const MIN_FREED_PER_S: f64 = 0.2;
 
-/// When a refused caller may come back.
+/// When a refused caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryAfterSlot {
-    /// It has a slot after this time.
+    /// A slot is reserved for it after this delay.
     After(Duration),
-    /// There is none that it can wait for; the next one would be after this time.
+    /// No slot is reserved, because the next one, after this delay, is later than the caller can wait.
     NoneWithin(Duration),
 }
 
 impl RetryAfterSlot {
-    /// The time that the caller is told.
+    /// The delay to report to the caller.
     pub fn delay(self) -> Duration {
         match self {
             Self::After(time) | Self::NoneWithin(time) => time,
@@ -34,19 +34,19 @@
     }
 }
 
-/// For how long a caller can be asked to stay away.
+/// Bounds of a retry delay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryAfterBounds {
-    /// No sooner.
+    /// Shortest delay.
     pub shortest: Duration,
-    /// No later: it will not wait, or not be served, after that.
+    /// Delay from which the caller gives up, or could no longer be served.
     pub longest: Duration,
 }
 
-/// Slots of refused callers, by what they compete for.
+/// Assigns retry slots, separately for each key: the resource that callers compete for.
 #[derive(Clone, Debug)]
 pub struct RetryAfterSchedule<K> {
-    /// Earliest next slot by priority.
+    /// Time of the next free slot by priority.
     next: HashMap<K, BTreeMap<u8, MonotonicTime>>,
 }
 
@@ -59,8 +59,8 @@
 }
 
 impl<K: Clone + Eq + Hash> RetryAfterSchedule<K> {
-    /// Gives a refused caller of this priority (0 is the most urgent) a slot, where places come free at `freed_per_s`.
-    /// It takes none away from others if it cannot wait for it.
+    /// Assigns a slot to a refused caller. `priority` 0 is the most urgent and delays the slots of the others;
+    /// `freed_per_s` is the rate at which places become free. A caller that cannot wait for its slot reserves none.
     pub fn assign(
         &mut self,
         now: MonotonicTime,
@@ -69,20 +69,20 @@
         freed_per_s: f64,
         bounds: RetryAfterBounds,
     ) -> RetryAfterSlot {
-        let rate = freed_per_s.max(LOWEST_RATE) * RETURN_SHARE;
+        let rate = freed_per_s.max(MIN_FREED_PER_S) * RETRY_SHARE;
         let next = self.next.entry(key.clone()).or_default();
-        let urgent = next.range(..=priority).map(|(_, slot)| *slot).max();
-        let slot = urgent.unwrap_or_default().max(now + bounds.shortest);
-        let wait = slot.since(now);
-        if wait >= bounds.longest {
-            return RetryAfterSlot::NoneWithin(wait);
+        let taken_until = next.range(..=priority).map(|(_, slot)| *slot).max();
+        let slot = taken_until.unwrap_or_default().max(now + bounds.shortest);
+        let delay = slot.since(now);
+        if delay >= bounds.longest {
+            return RetryAfterSlot::NoneWithin(delay);
         }
-        let gap = Duration::from_secs_f64(1.0 / rate);
-        next.insert(priority, slot + gap);
-        for (_, behind) in next.range_mut(priority.saturating_add(1)..) {
-            *behind = *behind + gap;
+        let interval = Duration::from_secs_f64(1.0 / rate);
+        next.insert(priority, slot + interval);
+        for (_, less_urgent) in next.range_mut(priority.saturating_add(1)..) {
+            *less_urgent = *less_urgent + interval;
         }
         next.retain(|_, slot| *slot > now);
-        RetryAfterSlot::After(wait)
+        RetryAfterSlot::After(delay)
     }
 }
--- a/crates/routing/src/overload/room_account.rs
+++ b/crates/routing/src/overload/room_account.rs
@@ -1,7 +1,6 @@
-//! What is free in a pool, as all nodes together know it.
+//! Estimates a pool's free capacity from the load figures that nodes exchange, and this node's share of it.
 //!
-//! Answers a load that asks for more than the pool serves at nodes that share its engines without a message for each
-//! request.
+//! Nodes that share engines divide the capacity among themselves by demand, without a message for each request.
 
 use std::time::Duration;
 
@@ -9,95 +8,96 @@
 
 use crate::figures::ClassFigures;
 
-/// Requests that engines are given for each that they work on: one more waits there, so that an engine which ends one
-/// begins the next before a node has heard of it.
-const REQUESTS_A_SLOT: f64 = 2.0;
+/// Places per engine slot. The second request waits at the engine, which starts it as soon as the first one ends,
+/// without a round trip to a node.
+const REQUESTS_PER_SLOT: f64 = 2.0;
 
-/// Share of the places that is taken when a pool becomes short: loads are known some tens of milliseconds late.
-const SHORT_FROM: f64 = 0.9;
+/// Fraction of the places in use at which a pool becomes short. It is below 1 because load reports lag.
+const SHORT_ABOVE: f64 = 0.9;
 
-/// Share of the places that is taken when it no longer is. The distance keeps a pool at its limit from going to and
-/// fro with each report.
-const SHORT_UNTIL: f64 = 0.7;
+/// Fraction of the places in use below which a pool is no longer short. Lower than [`SHORT_ABOVE`], so that the state
+/// does not flap with each report.
+const NOT_SHORT_BELOW: f64 = 0.7;
 
-/// Share of the calls that engines refuse from which they have fewer places than was assumed.
-const REFUSED_SHARE: f64 = 0.05;
+/// Fraction of calls refused by engines above which the assumed number of places is reduced.
+const MAX_REFUSED_FRACTION: f64 = 0.05;
 
-/// What the assumed places are multiplied by for each second in which engines refuse more than that.
-const SHRINK_A_SECOND: f64 = 0.9;
+/// Multiplies the capacity factor for each second with more refusals than [`MAX_REFUSED_FRACTION`].
+const DECREASE_PER_S: f64 = 0.9;
 
-/// The same for each second in which they refuse less: slower, since each error costs callers refused calls. Both are
-/// slow against the mean of two seconds by which refusals are known.
-const GROWTH_A_SECOND: f64 = 1.05;
+/// Multiplies the capacity factor for each second with fewer refusals. Smaller steps than the decrease, because an
+/// overestimate costs refused calls. Both are slow compared with the averaging time of the refusal rate.
+const INCREASE_PER_S: f64 = 1.05;
 
-/// Least share of the assumed places: an engine takes at least what it works on at once.
-const LEAST_FILL: f64 = 1.0 / REQUESTS_A_SLOT;
+/// Lower bound of the capacity factor: one request per engine slot.
+const MIN_FACTOR: f64 = 1.0 / REQUESTS_PER_SLOT;
 
-/// Longest time between two looks that changes the assumed places: a node that stood still learnt nothing meanwhile.
-const LONGEST_STEP: Duration = Duration::from_secs(1);
+/// Longest interval between updates that counts as elapsed time, so that a suspended process does not change the factor
+/// by one large step.
+const MAX_STEP: Duration = Duration::from_secs(1);
 
-/// What a node knows of one pool.
+/// Load of one pool as known to this node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PoolLoad {
-    /// Engines that take requests.
+    /// Engines that accept requests.
     pub engines: usize,
-    /// Requests that they work on at once, together.
+    /// Sum of the slots of these engines: requests that they process concurrently.
     pub slots: u32,
-    /// Requests at them, of all nodes.
+    /// Requests of all nodes at these engines.
     pub taken: u32,
-    /// Requests at them, of this node.
+    /// Requests of this node at these engines.
     pub own_taken: u32,
-    /// Age of what is known of the other nodes' requests.
+    /// Age of the other nodes' part of `taken`.
     pub taken_age: Duration,
-    /// What this node counts of the pool.
+    /// Figures counted by this node.
     pub own: ClassFigures,
-    /// What all nodes count of it.
+    /// Figures of all nodes, summed.
     pub all: ClassFigures,
-    /// Age of what others counted; `None` where no other node was heard.
+    /// Age of the other nodes' figures in `all`; `None` if no other node has reported.
     pub figures_age: Option<Duration>,
-    /// Nodes, this one among them.
+    /// Nodes, including this one.
     pub nodes: usize,
 }
 
-/// Room of one pool.
+/// Capacity of one pool and this node's share of it. The names appear in the log by way of `Debug`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RoomAccount {
-    /// Requests that its engines are given at most.
+    /// Most requests that the engines are given at a time.
     pub places: f64,
-    /// Requests that they have.
+    /// Requests of all nodes at the engines.
     pub taken: f64,
-    /// This node's part of the demand.
+    /// This node's fraction of the demand.
     pub part: f64,
-    /// Requests that this node may have there.
+    /// Most requests that this node may have at the engines.
     pub own_places: f64,
-    /// Places a second that come free for this node.
+    /// Places per second that become free for this node.
     pub own_freed_per_s: f64,
-    /// Requests that wait at all nodes.
+    /// Requests queued at all nodes.
     pub waiting: f64,
-    /// Share of the calls that engines refuse.
+    /// Fraction of the calls that engines refuse.
     pub refused_share: f64,
-    /// Age of the oldest figure in it.
+    /// Age of the oldest figure used.
     pub age: Duration,
 }
 
 impl RoomAccount {
-    /// The account by what a node knows, where engines are given `fill` of the assumed places. `None` where it knows
-    /// too little: it is alone, hears no other node, or knows one engine at most, so that there is nothing to share.
+    /// Computes the account from `load`; `factor` scales the number of places. `None` if there is nothing to share
+    /// (one node or fewer than two engines), or if the other nodes' load is unknown.
     pub fn of(load: &PoolLoad, factor: CapacityFactor) -> Option<Self> {
-        let heard = load.figures_age?;
+        let figures_age = load.figures_age?;
         if load.nodes < 2 || load.engines < 2 || load.slots == 0 {
             return None;
         }
-        let places = f64::from(load.slots) * REQUESTS_A_SLOT * factor.value;
+        let places = f64::from(load.slots) * REQUESTS_PER_SLOT * factor.value;
         let taken = f64::from(load.taken);
-        let part = part(load);
+        let part = demand_fraction(load);
         let own_taken = f64::from(load.own_taken);
-        let of_demand = part * places;
+        let by_demand = part * places;
         let own_places = if taken < places {
-            of_demand.max(own_taken + part * (places - taken))
+            by_demand.max(own_taken + part * (places - taken))
         } else {
-            // All nodes give up the same share of what they have, and come to their parts of the demand meanwhile.
-            f64::midpoint(own_taken * places / taken, of_demand)
+            // Over capacity, each node scales down what it holds, halfway towards its fraction of the demand.
+            f64::midpoint(own_taken * places / taken, by_demand)
         };
         let all = &load.all;
         let calls = f64::from(all.begun_per_s + all.engine_refusals_per_s);
@@ -114,31 +114,35 @@
             own_freed_per_s: part * f64::from(all.begun_per_s),
             waiting: f64::from(all.waiting),
             refused_share,
-            age: heard.max(load.taken_age),
+            age: figures_age.max(load.taken_age),
         })
     }
 
-    /// Whether the pool is short, where it was or wasn't before, and `waiting` requests wait at this node.
+    /// Whether the pool is short of capacity, given its former state and the number of requests queued at this node.
     pub fn is_short(&self, was_short: bool, waiting: usize) -> bool {
-        let share = self.taken / self.places.max(1.0);
-        let limit = if was_short { SHORT_UNTIL } else { SHORT_FROM };
-        share >= limit || (was_short && waiting > 0)
+        let in_use = self.taken / self.places.max(1.0);
+        let limit = if was_short {
+            NOT_SHORT_BELOW
+        } else {
+            SHORT_ABOVE
+        };
+        in_use >= limit || (was_short && waiting > 0)
     }
 }
 
-/// This node's part of the demand; an even one where none is known.
-fn part(load: &PoolLoad) -> f64 {
+/// This node's fraction of the demand; an equal split if no demand is known.
+fn demand_fraction(load: &PoolLoad) -> f64 {
     let all = f64::from(load.all.asked_per_s);
     let own = f64::from(load.own.asked_per_s);
-    let part = own / all;
-    if part.is_finite() && part > 0.0 {
-        part.min(1.0)
+    let fraction = own / all;
+    if fraction.is_finite() && fraction > 0.0 {
+        fraction.min(1.0)
     } else {
         1.0 / load.nodes.max(1) as f64
     }
 }
 
-/// Share of the assumed places that engines are given. It falls while they refuse calls.
+/// Fraction of the assumed places that engines are given. It decreases while engines refuse calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacityFactor {
     value: f64,
@@ -146,7 +150,7 @@
 }
 
 impl CapacityFactor {
-    /// All assumed places, as of `now`.
+    /// A factor of 1, as of `now`.
     pub fn full(now: MonotonicTime) -> Self {
         Self {
             value: 1.0,
@@ -154,19 +158,19 @@
         }
     }
 
-    /// Follows the share of the calls that engines refused until `now`.
+    /// Adjusts the factor to the fraction of calls that engines refuse.
     pub fn update(&mut self, now: MonotonicTime, refused_share: f64) {
-        let passed_s = now.since(self.updated_at).min(LONGEST_STEP).as_secs_f64();
+        let passed_s = now.since(self.updated_at).min(MAX_STEP).as_secs_f64();
         self.updated_at = now;
-        let a_second = if refused_share > REFUSED_SHARE {
-            SHRINK_A_SECOND
+        let change_per_s = if refused_share > MAX_REFUSED_FRACTION {
+            DECREASE_PER_S
         } else {
-            GROWTH_A_SECOND
+            INCREASE_PER_S
         };
-        self.value = (self.value * a_second.powf(passed_s)).clamp(LEAST_FILL, 1.0);
+        self.value = (self.value * change_per_s.powf(passed_s)).clamp(MIN_FACTOR, 1.0);
     }
 
-    /// The share.
+    /// The factor, from 0.5 to 1.
     pub fn value(&self) -> f64 {
         self.value
     }
--- a/crates/routing/src/overload/shortage.rs
+++ b/crates/routing/src/overload/shortage.rs
@@ -1,7 +1,7 @@
-//! Whether a pool is short of room, of what, and how much room there is.
+//! Detects whether a pool is short of capacity, and estimates the capacity from throughput and failed attempts.
 //!
-//! The load: demand rises over what engines serve within seconds, and engines come, go and turn slow meanwhile. What
-//! they serve and which tries fail says how much room there is; no figure of what they could do is needed.
+//! The estimate needs no configured or nominal speed of the engines, so it follows engines that start, stop or slow
+//! down.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,51 +11,51 @@
 use crate::class_meter::RATE_TIME_S;
 use crate::figures::WorkRate;
 
-/// Part of all tries that fails in a pool that is short: above it a caller that tries twice is refused twice more
-/// than once in 400 requests.
-const SHORT_FROM: f64 = 0.05;
+/// Fraction of failed attempts above which a pool is short of capacity.
+const MAX_FAILED_FRACTION: f64 = 0.05;
 
-/// Room that is tried beyond what engines serve while no try fails, as a part of that: engines that come are in use
-/// within the three seconds in which demand turns.
-const MOST_GROWTH: f64 = 0.5;
+/// Largest fraction by which the estimate exceeds the current throughput: reached while no attempt fails, so that new
+/// engines are put to use.
+const MAX_GROWTH: f64 = 0.5;
 
-/// Room is not taken for less than this part of the most that engines served since the pool turned short: tries may
-/// fail for other reasons than load.
-const LEAST_ROOM: f64 = 0.5;
+/// Smallest estimate, as a fraction of the highest throughput since the pool became short. Attempts may also fail for
+/// other reasons than load.
+const MIN_CAPACITY_FRACTION: f64 = 0.5;
 
-/// Time over which failed tries count. Longer, a pool would be taken for full after its tenants were cut.
-const TRIES_COUNT: Duration = Duration::from_secs(1);
+/// Period over which failed attempts are counted. Over a longer one, failures from before tenants were limited would
+/// keep the estimate low.
+const ATTEMPT_WINDOW: Duration = Duration::from_secs(1);
 
-/// Part of a pool's slots from which they are what it is short of.
-const SLOTS_SHORT_FROM: f64 = 0.9;
+/// Fraction of a pool's slots in use from which slots count as its bottleneck.
+const BUSY_SLOTS_FRACTION: f64 = 0.9;
 
-/// What a pool is short of.
+/// The resource that limits a pool, in which demand and capacity are measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum CapacityUnit {
-    /// Time of its engines' slots.
+    /// Engine slots in use, on average.
     #[default]
     SlotTime,
-    /// Prompt tokens that its engines prefill.
+    /// Prompt tokens prefilled per second.
     PromptTokens,
 }
 
 impl CapacityUnit {
-    /// The unit of a pool with so many slots of which so many are taken.
+    /// The unit of a pool with `slots` slots, of which `busy_slots` are in use.
     pub fn of_pool(serves_prompts: bool, busy_slots: f64, slots: f64) -> Self {
-        if serves_prompts && busy_slots < slots * SLOTS_SHORT_FROM {
+        if serves_prompts && busy_slots < slots * BUSY_SLOTS_FRACTION {
             Self::PromptTokens
         } else {
             Self::SlotTime
         }
     }
 
-    /// Whether slots of a pool that serves no prompts stand empty: what its engines refuse meanwhile they refuse for the
-    /// moment at which it came, and another engine has room for it. Prompts are short of more than slots.
+    /// Whether a pool has idle slots and is limited by nothing else. Refusals are then due to bursts at single engines,
+    /// and another engine can take the request. Always false for pools that serve prompts, which prefill may limit.
     pub fn has_idle_slots(serves_prompts: bool, busy_slots: f64, slots: f64) -> bool {
-        !serves_prompts && busy_slots < slots * SLOTS_SHORT_FROM
+        !serves_prompts && busy_slots < slots * BUSY_SLOTS_FRACTION
     }
 
-    pub(super) fn of(self, work: WorkRate) -> f64 {
+    pub(super) fn amount(self, work: WorkRate) -> f64 {
         f64::from(match self {
             Self::SlotTime => work.slots,
             Self::PromptTokens => work.prompt_tokens_per_s,
@@ -63,30 +63,30 @@
     }
 }
 
-/// How requests of a pool fare, by all nodes, as means over the last seconds.
+/// Rates of attempts at a pool, over all nodes, averaged over the last seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AttemptRates {
-    /// Requests a second that engines began.
+    /// Requests per second that engines began to serve.
     pub begun_per_s: f64,
-    /// Requests a second that no engine took and that would have been late. Calls that an engine refused and another
-    /// took don't count: they follow from the choice of engines as well.
+    /// Requests per second that were refused for good. Calls that one engine refused and another accepted don't count,
+    /// because they also depend on the choice of engine.
     pub failed_per_s: f64,
-    /// Whether slots of engines stand empty all the same.
+    /// Whether the pool has idle slots; see [`CapacityUnit::has_idle_slots`].
     pub has_idle_slots: bool,
 }
 
 impl AttemptRates {
-    /// What came since the rates were `former`, a time `passed` ago.
-    fn since(self, former: Self, passed: Duration) -> Self {
-        let kept = (-passed.as_secs_f64() / RATE_TIME_S).exp();
+    /// The contribution of events since the rates were `earlier`, `elapsed` ago.
+    fn since(self, earlier: Self, elapsed: Duration) -> Self {
+        let kept = (-elapsed.as_secs_f64() / RATE_TIME_S).exp();
         Self {
-            begun_per_s: (self.begun_per_s - former.begun_per_s * kept).max(0.0),
-            failed_per_s: (self.failed_per_s - former.failed_per_s * kept).max(0.0),
+            begun_per_s: (self.begun_per_s - earlier.begun_per_s * kept).max(0.0),
+            failed_per_s: (self.failed_per_s - earlier.failed_per_s * kept).max(0.0),
             has_idle_slots: self.has_idle_slots,
         }
     }
 
-    fn failing_part(self) -> f64 {
+    fn failed_fraction(self) -> f64 {
         let all = self.begun_per_s + self.failed_per_s;
         if all > 0.0 {
             self.failed_per_s / all
@@ -95,59 +95,69 @@
         }
     }
 
-    /// Room for one unit that is served: more the fewer tries fail, and the most while slots stand empty. Requests of a
-    /// tenant that is cut try one engine only, so that a few engines which refuse would keep it cut for ever.
+    /// Estimated capacity as a multiple of the throughput: larger the fewer attempts fail, and largest while slots are
+    /// idle. Otherwise a few refusing engines could keep a tenant limited forever, because requests of a limited tenant
+    /// try only one engine.
     fn growth(self) -> f64 {
         if self.has_idle_slots {
-            return 1.0 + MOST_GROWTH;
+            return 1.0 + MAX_GROWTH;
         }
-        1.0 + MOST_GROWTH * (1.0 - self.failing_part() / SHORT_FROM).max(0.0)
+        1.0 + MAX_GROWTH * (1.0 - self.failed_fraction() / MAX_FAILED_FRACTION).max(0.0)
     }
 }
 
-/// Follows whether a pool is short.
+/// Tracks whether a pool is short of capacity.
 #[derive(Clone, Debug, Default)]
 pub struct ShortageDetector {
-    /// Tries of the last time.
-    seen: VecDeque<(MonotonicTime, AttemptRates)>,
-    /// The most units a second that engines served since the pool turned short; `None` while it isn't.
-    most_begun: Option<f64>,
+    /// Attempt rates observed within [`ATTEMPT_WINDOW`].
+    observed: VecDeque<(MonotonicTime, AttemptRates)>,
+    /// Highest throughput since the pool became short; `None` while it is not.
+    peak_throughput: Option<f64>,
 }
 
 impl ShortageDetector {
-    /// The room of the pool in units a second, if it is short. `begun` are the units a second that engines serve.
-    pub fn room(&mut self, now: MonotonicTime, tries: AttemptRates, begun: f64) -> Option<f64> {
-        let newest = self.newest_tries(now, tries);
-        // Nothing served says nothing of how much could be.
-        if begun <= 0.0 {
-            self.ends();
+    /// Estimated capacity in units per second; `None` if the pool is not short. `throughput` is what engines serve now.
+    pub fn capacity(
+        &mut self,
+        now: MonotonicTime,
+        attempts: AttemptRates,
+        throughput: f64,
+    ) -> Option<f64> {
+        let recent = self.recent_attempts(now, attempts);
+        // Without any throughput there is nothing to estimate the capacity from.
+        if throughput <= 0.0 {
+            self.end();
             return None;
         }
-        let is_short = self.most_begun.is_some() || newest.failing_part() > SHORT_FROM;
+        let is_short =
+            self.peak_throughput.is_some() || recent.failed_fraction() > MAX_FAILED_FRACTION;
         if !is_short {
             return None;
         }
-        let most = self.most_begun.map_or(begun, |most| most.max(begun));
-        self.most_begun = Some(most);
-        Some((begun * newest.growth()).max(most * LEAST_ROOM))
+        let peak = self
+            .peak_throughput
+            .map_or(throughput, |peak| peak.max(throughput));
+        self.peak_throughput = Some(peak);
+        Some((throughput * recent.growth()).max(peak * MIN_CAPACITY_FRACTION))
     }
 
-    /// Notes that there is room for all that is asked.
-    pub fn ends(&mut self) {
-        self.most_begun = None;
+    /// Notes that the capacity suffices for all demand.
+    pub fn end(&mut self) {
+        self.peak_throughput = None;
     }
 
-    /// The tries of the last time out of the means over a longer one.
-    fn newest_tries(&mut self, now: MonotonicTime, tries: AttemptRates) -> AttemptRates {
-        let is_old = |seen: &(MonotonicTime, AttemptRates)| now.since(seen.0) > TRIES_COUNT;
-        while self.seen.front().is_some_and(is_old) {
-            self.seen.pop_front();
+    /// The rates over the last [`ATTEMPT_WINDOW`], from rates averaged over a longer time.
+    fn recent_attempts(&mut self, now: MonotonicTime, attempts: AttemptRates) -> AttemptRates {
+        let is_old =
+            |observed: &(MonotonicTime, AttemptRates)| now.since(observed.0) > ATTEMPT_WINDOW;
+        while self.observed.front().is_some_and(is_old) {
+            self.observed.pop_front();
         }
-        let oldest = self.seen.front().copied();
-        self.seen.push_back((now, tries));
+        let oldest = self.observed.front().copied();
+        self.observed.push_back((now, attempts));
         match oldest {
-            Some((at, former)) => tries.since(former, now.since(at)),
-            None => tries,
+            Some((at, earlier)) => attempts.since(earlier, now.since(at)),
+            None => attempts,
         }
     }
 }
--- a/crates/routing/src/overload/tenant_meters.rs
+++ b/crates/routing/src/overload/tenant_meters.rs
@@ -1,7 +1,7 @@
-//! What this node counts of the tenants of one pool.
+//! Measures the demand and throughput of the tenants of one pool at this node.
 //!
-//! The load: fifteen thousand tenants, of which some tens ask for most. Those are counted each by itself, all others
-//! together, so that neither memory nor messages grow with the number of tenants.
+//! Only the tenants with the largest demand are counted individually, and all others together, so that neither memory
+//! nor messages grow with the number of tenants.
 
 use std::collections::HashMap;
 
@@ -10,38 +10,38 @@
 use crate::class_meter::FadingRate;
 use crate::figures::{TenantCode, TenantFigures, WorkRate};
 
-/// Tenants of one pool that are named among its figures, the largest. The others are small beside them: together with
-/// those of other nodes they are one row.
+/// Most tenants of one pool that have a row of their own in the reported figures. All others share one row.
 pub const MAX_NAMED_TENANTS: usize = 64;
 
-/// Tenants that are counted by themselves until the next figures: a small one may turn large meanwhile.
-const TENANTS_COUNTED: usize = 4 * MAX_NAMED_TENANTS;
+/// Most tenants counted individually between two reports. More than are reported, because which ones have the largest
+/// demand is only known at the next report.
+const MAX_COUNTED_TENANTS: usize = 4 * MAX_NAMED_TENANTS;
 
-/// Requests or begun answers a second below which a tenant is forgotten: none came for many seconds.
-const LEAST_COUNTED_PER_S: f64 = 1e-3;
+/// A tenant whose rates, in requests per second, are below this is forgotten.
+const MIN_COUNTED_PER_S: f64 = 1e-3;
 
-/// Weight of the newest request in the mean time that a tenant's requests hold a slot: some tens of them count.
-const NEWEST_SLOT_TIME: f64 = 0.05;
+/// Weight of the newest request in the moving average of the time that a tenant's requests hold a slot.
+const SLOT_TIME_WEIGHT: f64 = 0.05;
 
-/// Counts of one tenant.
+/// Rates of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantMeter {
     asked: FadingRate,
     asked_tokens: FadingRate,
     begun: FadingRate,
     begun_tokens: FadingRate,
-    /// Mean time that its requests hold a slot, in seconds.
+    /// Average time that its requests hold a slot, in seconds.
     slot_s: Option<f64>,
 }
 
 impl TenantMeter {
     fn held_slot(&mut self, held_s: f64) {
-        let former_s = self.slot_s.unwrap_or(held_s);
-        self.slot_s = Some(former_s + (held_s - former_s) * NEWEST_SLOT_TIME);
+        let average_s = self.slot_s.unwrap_or(held_s);
+        self.slot_s = Some(average_s + (held_s - average_s) * SLOT_TIME_WEIGHT);
     }
 
-    fn figures(&self, now: MonotonicTime, usual_slot_s: f64) -> TenantFigures {
-        let slot_s = self.slot_s.unwrap_or(usual_slot_s);
+    fn figures(&self, now: MonotonicTime, default_slot_s: f64) -> TenantFigures {
+        let slot_s = self.slot_s.unwrap_or(default_slot_s);
         let work = |requests: &FadingRate, tokens: &FadingRate| WorkRate {
             slots: (requests.at(now) * slot_s) as f32,
             prompt_tokens_per_s: tokens.at(now) as f32,
@@ -52,8 +52,8 @@
         }
     }
 
-    fn is_silent(&self, now: MonotonicTime) -> bool {
-        self.asked.at(now) < LEAST_COUNTED_PER_S && self.begun.at(now) < LEAST_COUNTED_PER_S
+    fn is_idle(&self, now: MonotonicTime) -> bool {
+        self.asked.at(now) < MIN_COUNTED_PER_S && self.begun.at(now) < MIN_COUNTED_PER_S
     }
 
     fn add(&mut self, now: MonotonicTime, other: &Self) {
@@ -64,30 +64,30 @@
     }
 }
 
-/// Counts of the tenants of one pool.
+/// Rates of the tenants of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct TenantMeters {
     tenants: HashMap<TenantCode, TenantMeter>,
-    /// Those that are not counted by themselves. Its time of a slot is that of all tenants.
+    /// All tenants that are not counted individually. Its slot time is the average over all tenants.
     others: TenantMeter,
 }
 
 impl TenantMeters {
-    /// Counts a request, with the prompt tokens that an engine would have to prefill.
+    /// Counts a request that needs `tokens` prompt tokens prefilled.
     pub fn asked(&mut self, now: MonotonicTime, tenant: TenantCode, tokens: u32) {
         let meter = self.meter(tenant);
         meter.asked.count(now, 1.0);
         meter.asked_tokens.count(now, f64::from(tokens));
     }
 
-    /// Counts a request that an engine began.
+    /// Counts a request that an engine began to serve, with `tokens` prompt tokens to prefill.
     pub fn begun(&mut self, now: MonotonicTime, tenant: TenantCode, tokens: u32) {
         let meter = self.meter(tenant);
         meter.begun.count(now, 1.0);
         meter.begun_tokens.count(now, f64::from(tokens));
     }
 
-    /// Notes for how many seconds a request that was answered held a slot.
+    /// Records for how many seconds an answered request held a slot.
     pub fn held_slot(&mut self, tenant: TenantCode, held_s: f64) {
         self.others.held_slot(held_s);
         if let Some(meter) = self.tenants.get_mut(&tenant) {
@@ -95,47 +95,47 @@
         }
     }
 
-    /// The figures of the tenants that ask most, and of all others together. From then on only those are counted by
-    /// themselves.
+    /// Figures of the tenants with the largest demand, and of all others together. The tenants without a row of their
+    /// own are no longer counted individually.
     pub fn figures(&mut self, now: MonotonicTime) -> Vec<(TenantCode, TenantFigures)> {
-        let usual_slot_s = self.others.slot_s.unwrap_or_default();
-        self.tenants.retain(|_, meter| !meter.is_silent(now));
+        let default_slot_s = self.others.slot_s.unwrap_or_default();
+        self.tenants.retain(|_, meter| !meter.is_idle(now));
         let rows = self.tenants.iter();
-        let rows = rows.map(|(code, meter)| (*code, meter.figures(now, usual_slot_s)));
+        let rows = rows.map(|(code, meter)| (*code, meter.figures(now, default_slot_s)));
         let named = top_tenants(rows.collect());
         let is_named = |code: &TenantCode| named.iter().any(|(named, _)| named == code);
         let others = &mut self.others;
         self.tenants.retain(|code, meter| {
-            let stays = is_named(code);
-            if !stays {
+            let is_kept = is_named(code);
+            if !is_kept {
                 others.add(now, meter);
             }
-            stays
+            is_kept
         });
         let mut rows: Vec<_> = named
             .into_iter()
             .filter(|(code, _)| *code != TenantCode::OTHERS)
             .collect();
-        if !self.others.is_silent(now) {
-            let figures = self.others.figures(now, usual_slot_s);
+        if !self.others.is_idle(now) {
+            let figures = self.others.figures(now, default_slot_s);
             rows.push((TenantCode::OTHERS, figures));
         }
         rows
     }
 
-    /// Tenants counted by themselves.
+    /// Number of tenants counted individually.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether no tenant is counted by itself.
+    /// Whether no tenant is counted individually.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 
     fn meter(&mut self, tenant: TenantCode) -> &mut TenantMeter {
         let is_counted = self.tenants.contains_key(&tenant);
-        if is_counted || self.tenants.len() < TENANTS_COUNTED {
+        if is_counted || self.tenants.len() < MAX_COUNTED_TENANTS {
             self.tenants.entry(tenant).or_default()
         } else {
             &mut self.others
@@ -143,7 +143,7 @@
     }
 }
 
-/// The rows of the tenants that ask most, with one that adds up all others.
+/// Keeps the rows of the [`MAX_NAMED_TENANTS`] tenants with the largest demand and sums all others into one row.
 pub fn top_tenants(mut rows: Vec<(TenantCode, TenantFigures)>) -> Vec<(TenantCode, TenantFigures)> {
     let mut others = TenantFigures::default();
     let mut all = TenantFigures::default();
@@ -156,9 +156,9 @@
         is_named
     });
     if rows.len() > MAX_NAMED_TENANTS {
-        let part = |figures: &TenantFigures| part_of(figures.asked, all.asked);
+        let demand = |figures: &TenantFigures| relative_demand(figures.asked, all.asked);
         rows.sort_by(|(one_code, one), (other_code, other)| {
-            let by_demand = part(other).total_cmp(&part(one));
+            let by_demand = demand(other).total_cmp(&demand(one));
             by_demand.then_with(|| one_code.cmp(other_code))
         });
         for (_, figures) in rows.drain(MAX_NAMED_TENANTS..) {
@@ -171,8 +171,8 @@
     rows
 }
 
-/// The parts of `all` in both units, added up.
-fn part_of(work: WorkRate, all: WorkRate) -> f32 {
-    let part = |work: f32, all: f32| if all > 0.0 { work / all } else { 0.0 };
-    part(work.slots, all.slots) + part(work.prompt_tokens_per_s, all.prompt_tokens_per_s)
+/// Sum of the fractions of `all` in both units.
+fn relative_demand(work: WorkRate, all: WorkRate) -> f32 {
+    let fraction = |work: f32, all: f32| if all > 0.0 { work / all } else { 0.0 };
+    fraction(work.slots, all.slots) + fraction(work.prompt_tokens_per_s, all.prompt_tokens_per_s)
 }
--- a/crates/routing/tests/room.rs
+++ b/crates/routing/tests/room.rs
@@ -1,4 +1,4 @@
-//! Who is served when a pool is short, and that all nodes together keep to its places.
+//! Admission control of a pool that is short of capacity, at several nodes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,13 +28,13 @@
     }
 }
 
-/// Places of the pool of these tests: two for each of its slots.
+/// Places of the test pool: two per slot.
 const PLACES: u32 = 400;
 
-/// Those of this node, a tenth.
+/// Places of this node, a tenth of the pool's.
 const OWN_PLACES: u32 = 40;
 
-/// A pool of 20 engines with 10 slots each, full, asked for twice what it serves; this node has a tenth of it.
+/// A full pool of 20 engines with 10 slots each and a demand of twice its capacity. This node has a tenth of the load.
 fn full() -> PoolLoad {
     PoolLoad {
         engines: 20,
@@ -69,20 +69,20 @@
     }
 }
 
-fn claim(priority: u8, standing: ShareStanding, in_time_ms: u64, hopeless_ms: u64) -> QueueEntry {
+fn entry(priority: u8, standing: ShareStanding, on_time_ms: u64, expires_ms: u64) -> QueueEntry {
     QueueEntry {
         priority,
         standing,
-        on_time_until: after(in_time_ms),
-        expires_at: after(hopeless_ms),
+        on_time_until: after(on_time_ms),
+        expires_at: after(expires_ms),
     }
 }
 
-fn short_room() -> PoolAdmission {
-    let mut room = PoolAdmission::default();
-    room.update(NOW, &full());
-    assert!(room.is_short());
-    room
+fn short_pool() -> PoolAdmission {
+    let mut admission = PoolAdmission::default();
+    admission.update(NOW, &full());
+    assert!(admission.is_short());
+    admission
 }
 
 #[rstest]
@@ -90,18 +90,18 @@
 #[case::alone(PoolLoad { nodes: 1, ..full() })]
 #[case::one_engine(PoolLoad { engines: 1, ..full() })]
 #[case::no_slots(PoolLoad { slots: 0, ..full() })]
-fn without_knowledge_there_is_no_account_and_requests_go_as_before(#[case] load: PoolLoad) {
+fn requests_are_not_limited_while_the_load_is_unknown(#[case] load: PoolLoad) {
     assert_eq!(account(&load), None);
-    let mut room = PoolAdmission::default();
-    room.update(NOW, &load);
-    let decision = room.decide(NOW, &request(2, 1_000, 3_000), load.own_taken);
+    let mut admission = PoolAdmission::default();
+    admission.update(NOW, &load);
+    let decision = admission.decide(NOW, &request(2, 1_000, 3_000), load.own_taken);
     assert_eq!(decision.outcome, AdmissionOutcome::Ungated);
 }
 
 proptest! {
-    /// Whatever the nodes' parts, their places add up to the pool's, but for the one that each has at least.
+    /// The places of all nodes never exceed the pool's, except for the minimum of one per node.
     #[test]
-    fn all_nodes_together_keep_to_the_places(
+    fn all_nodes_together_stay_within_the_places(
         nodes in prop::sample::select(vec![5_usize, 70, 986]),
         demands in prop::collection::vec(0.5_f32..50.0, 986),
         slots in 20_u32..5_000,
@@ -128,16 +128,16 @@
         prop_assert!(places <= all_places + nodes as f64 + 1.0, "{places} of {all_places}");
     }
 
-    /// However urgent the others are and however many: each class that waits gets its least share.
+    /// Each waiting class gets its minimum share, however many more urgent classes wait.
     #[test]
     fn no_class_starves(classes in prop::collection::btree_set(0_u8..=255, 1..40)) {
         let waiting: Vec<u8> = classes.into_iter().collect();
         let share = MIN_CLASS_SHARE.min(1.0 / waiting.len() as f64);
         let rounds = 400;
-        let mut turns = ClassScheduler::default();
+        let mut scheduler = ClassScheduler::default();
         let mut released: BTreeMap<u8, u32> = BTreeMap::new();
         for _ in 0..rounds {
-            let next = turns.next(&waiting).expect("some wait");
+            let next = scheduler.next(&waiting).expect("some wait");
             *released.entry(next).or_default() += 1;
         }
         for class in &waiting {
@@ -147,40 +147,40 @@
         prop_assert_eq!(released.values().sum::<u32>(), rounds);
     }
 
-    /// Nobody is released for whom it would be too late, nor twice, and all others are.
+    /// Each request is released exactly once, unless it has expired.
     #[test]
-    fn each_request_is_released_once_or_too_late(
-        claims in prop::collection::vec((0_u8..4, 0_u64..500, 1_u64..1_000), 1..60),
+    fn each_request_is_released_once_unless_expired(
+        entries in prop::collection::vec((0_u8..4, 0_u64..500, 1_u64..1_000), 1..60),
         at in 0_u64..1_000,
     ) {
         let mut queue = AdmissionQueue::default();
         let mut live = Vec::new();
-        for (priority, in_time, hopeless) in claims {
-            let claim = claim(priority, ShareStanding::Within, in_time, hopeless);
-            let number = queue.enter(NOW, claim);
-            if hopeless > at {
-                live.push(number);
+        for (priority, on_time, expires) in entries {
+            let entry = entry(priority, ShareStanding::Within, on_time, expires);
+            let waiter = queue.insert(NOW, entry);
+            if expires > at {
+                live.push(waiter);
             }
         }
-        let mut released: Vec<WaiterId> = std::iter::from_fn(|| queue.release(after(at))).collect();
+        let mut released: Vec<WaiterId> = std::iter::from_fn(|| queue.pop(after(at))).collect();
         released.sort();
         prop_assert_eq!(released, live);
         prop_assert!(queue.is_empty());
     }
 
-    /// Within any span the slots of one pool come no faster than its part of the places that come free.
+    /// Retry slots are assigned no faster than places become free.
     #[test]
-    fn returns_keep_below_the_rate_of_places(
+    fn retry_slots_stay_below_the_rate_of_free_places(
         freed_per_s in 1.0_f64..2_000.0,
         priorities in prop::collection::vec(0_u8..3, 1..300),
     ) {
         let bounds = RetryAfterBounds { shortest: Duration::from_millis(50), longest: Duration::from_secs(1) };
-        let mut returns = RetryAfterSchedule::default();
+        let mut schedule = RetryAfterSchedule::default();
         let mut slots = Vec::new();
         let mut sorted = priorities;
         sorted.sort_unstable();
         for priority in sorted {
-            if let RetryAfterSlot::After(wait) = returns.assign(NOW, &"pool", priority, freed_per_s, bounds) {
+            if let RetryAfterSlot::After(wait) = schedule.assign(NOW, &"pool", priority, freed_per_s, bounds) {
                 slots.push(wait);
             }
         }
@@ -190,71 +190,72 @@
 }
 
 #[rstest]
-fn a_caller_that_was_refused_once_does_not_wait_for_all_that_came_meanwhile() {
+fn a_retry_does_not_wait_for_all_newer_requests() {
     let mut queue = AdmissionQueue::default();
     for newcomer in 0..20 {
-        queue.enter(NOW, claim(2, ShareStanding::Within, 800 + newcomer, 2_700));
+        queue.insert(NOW, entry(2, ShareStanding::Within, 800 + newcomer, 2_700));
     }
-    let returned = queue.enter(NOW, claim(2, ShareStanding::Within, 900, 1_700));
-    let released: Vec<_> = (0..4).filter_map(|_| queue.release(NOW)).collect();
+    let retry = queue.insert(NOW, entry(2, ShareStanding::Within, 900, 1_700));
+    let released: Vec<_> = (0..4).filter_map(|_| queue.pop(NOW)).collect();
     assert_eq!(
-        released[3], returned,
-        "a quarter of the places goes to those with least time left"
+        released[3], retry,
+        "a quarter of the places goes to the requests with the least time left"
     );
 }
 
 #[rstest]
-fn the_urgent_go_first_then_the_timely_then_tenants_within_their_share() {
+fn the_order_is_by_priority_then_objective_then_share() {
     let mut queue = AdmissionQueue::default();
-    let late = queue.enter(NOW, claim(2, ShareStanding::Within, 0, 500));
-    let over = queue.enter(NOW, claim(2, ShareStanding::Over, 800, 500));
-    let within = queue.enter(NOW, claim(2, ShareStanding::Within, 800, 900));
-    let urgent = queue.enter(NOW, claim(0, ShareStanding::Over, 800, 900));
-    let released: Vec<_> = std::iter::from_fn(|| queue.release(NOW)).collect();
+    let late = queue.insert(NOW, entry(2, ShareStanding::Within, 0, 500));
+    let over = queue.insert(NOW, entry(2, ShareStanding::Over, 800, 500));
+    let within = queue.insert(NOW, entry(2, ShareStanding::Within, 800, 900));
+    let urgent = queue.insert(NOW, entry(0, ShareStanding::Over, 800, 900));
+    let released: Vec<_> = std::iter::from_fn(|| queue.pop(NOW)).collect();
     assert_eq!(released, [urgent, within, over, late]);
 }
 
 #[rstest]
-fn a_request_that_can_no_longer_be_in_time_gives_way_while_it_waits() {
+fn a_request_that_can_no_longer_meet_its_objective_moves_back() {
     let mut queue = AdmissionQueue::default();
-    let first = queue.enter(NOW, claim(2, ShareStanding::Within, 100, 2_000));
-    let second = queue.enter(NOW, claim(2, ShareStanding::Within, 900, 2_500));
-    assert_eq!(queue.release(after(200)), Some(second));
-    assert_eq!(queue.release(after(200)), Some(first));
+    let first = queue.insert(NOW, entry(2, ShareStanding::Within, 100, 2_000));
+    let second = queue.insert(NOW, entry(2, ShareStanding::Within, 900, 2_500));
+    assert_eq!(queue.pop(after(200)), Some(second));
+    assert_eq!(queue.pop(after(200)), Some(first));
 }
 
 #[rstest]
-fn a_full_pool_has_requests_wait_and_places_that_come_free_are_given_in_order() {
-    let mut room = short_room();
-    let waits = room
+fn a_full_pool_queues_requests_and_hands_out_free_places_in_order() {
+    let mut admission = short_pool();
+    let waits = admission
         .decide(NOW, &request(2, 1_000, 3_000), OWN_PLACES)
         .outcome;
-    let urgent = room
+    let urgent = admission
         .decide(NOW, &request(0, 1_000, 3_000), OWN_PLACES)
         .outcome;
     let (AdmissionOutcome::Queued(less, _), AdmissionOutcome::Queued(urgent, _)) = (waits, urgent)
     else {
         panic!("{waits:?} {urgent:?}");
     };
-    assert_eq!(room.release(NOW, OWN_PLACES), None);
-    assert_eq!(room.release(NOW, OWN_PLACES - 1), Some(urgent));
+    assert_eq!(admission.release(NOW, OWN_PLACES), None);
+    assert_eq!(admission.release(NOW, OWN_PLACES - 1), Some(urgent));
     assert_eq!(
-        room.release(NOW, OWN_PLACES - 1),
+        admission.release(NOW, OWN_PLACES - 1),
         None,
-        "its place is taken until it is sent"
+        "its place stays taken until it is sent"
     );
-    room.note_sent();
-    assert_eq!(room.release(NOW, OWN_PLACES - 1), Some(less));
+    admission.note_sent();
+    assert_eq!(admission.release(NOW, OWN_PLACES - 1), Some(less));
 }
 
 #[rstest]
-fn what_cannot_be_served_in_its_time_is_refused_at_once_with_a_slot() {
-    let mut room = short_room();
-    // Places come free at 200 a second, and an answer takes 0.1 s: 180 can be answered within the second that they have.
-    // Taking in fewer than half of them would leave places empty.
+fn a_request_that_cannot_be_served_in_time_is_refused_at_once_with_a_slot() {
+    let mut admission = short_pool();
+    // Places become free at 200 per second and an answer takes 0.1 s, so 180 requests can be answered within their
+    // deadline of one second. Queuing fewer than half of these would leave places unused.
     let outcomes: Vec<AdmissionOutcome> = (0..400)
         .map(|_| {
-            room.decide(NOW, &request(2, 1_000, 1_000), OWN_PLACES)
+            admission
+                .decide(NOW, &request(2, 1_000, 1_000), OWN_PLACES)
                 .outcome
         })
         .collect();
@@ -270,61 +271,64 @@
     let Some(AdmissionOutcome::Refused(RetryAfterSlot::NoneWithin(none))) = outcomes.last() else {
         panic!("{:?}", outcomes.last());
     };
-    assert!(*none >= Duration::from_millis(333), "told truly: {none:?}");
-    // The more urgent still gets in.
-    let urgent = room
+    assert!(
+        *none >= Duration::from_millis(333),
+        "not shortened to the bound: {none:?}"
+    );
+    // A more urgent request is still queued.
+    let urgent = admission
         .decide(NOW, &request(0, 500, 1_000), OWN_PLACES)
         .outcome;
     assert!(matches!(urgent, AdmissionOutcome::Queued(..)), "{urgent:?}");
 }
 
 #[rstest]
-fn those_that_wait_go_on_once_sums_are_lost() {
-    let mut room = short_room();
+fn queued_requests_are_released_once_the_load_is_unknown() {
+    let mut admission = short_pool();
     let request = request(2, 1_000, 3_000);
     assert!(matches!(
-        room.decide(NOW, &request, OWN_PLACES).outcome,
+        admission.decide(NOW, &request, OWN_PLACES).outcome,
         AdmissionOutcome::Queued(..)
     ));
-    room.update(
+    admission.update(
         after(100),
         &PoolLoad {
             figures_age: None,
             ..full()
         },
     );
-    assert!(!room.is_short());
-    assert!(room.release(after(100), OWN_PLACES).is_some());
+    assert!(!admission.is_short());
+    assert!(admission.release(after(100), OWN_PLACES).is_some());
 }
 
 #[rstest]
-fn a_pool_at_its_limit_does_not_go_to_and_fro() {
-    let mut room = short_room();
+fn a_pool_near_its_limit_does_not_flap() {
+    let mut admission = short_pool();
     for taken in [PLACES * 85 / 100, PLACES * 88 / 100, PLACES * 75 / 100] {
-        let changed = room.update(after(50), &PoolLoad { taken, ..full() });
-        assert!(!changed && room.is_short(), "{taken}");
+        let changed = admission.update(after(50), &PoolLoad { taken, ..full() });
+        assert!(!changed && admission.is_short(), "{taken}");
     }
-    assert!(room.update(
+    assert!(admission.update(
         after(100),
         &PoolLoad {
             taken: PLACES * 65 / 100,
             ..full()
         }
     ));
-    assert!(!room.is_short());
+    assert!(!admission.is_short());
 }
 
 #[rstest]
-fn engines_that_refuse_are_given_less_and_more_again_by_and_by() {
+fn the_capacity_factor_follows_refusals_gradually() {
     let mut factor = CapacityFactor::full(NOW);
     for step in 1..40 {
         factor.update(after(step * 250), 0.3);
     }
-    assert_eq!(factor.value(), 0.5, "no less than engines work on at once");
+    assert_eq!(factor.value(), 0.5, "one request per slot at least");
     factor.update(after(10_250), 0.0);
     assert!((0.5..0.54).contains(&factor.value()));
     let before = factor.value();
-    // A clock that went back, and a node that stood still for ten seconds: one second's change at most.
+    // A clock that steps back changes nothing, and a long pause counts as one second.
     factor.update(NOW, 0.3);
     assert_eq!(factor.value(), before);
     factor.update(after(60_000), 0.0);
@@ -332,13 +336,13 @@
 }
 
 #[rstest]
-fn the_more_urgent_takes_the_next_slot() {
+fn a_more_urgent_caller_gets_the_next_slot() {
     let bounds = RetryAfterBounds {
         shortest: Duration::from_millis(50),
         longest: Duration::from_secs(1),
     };
-    let mut returns = RetryAfterSchedule::default();
-    let mut slot = |priority| returns.assign(NOW, &"pool", priority, 40.0, bounds);
+    let mut schedule = RetryAfterSchedule::default();
+    let mut slot = |priority| schedule.assign(NOW, &"pool", priority, 40.0, bounds);
     let ms = |milliseconds| RetryAfterSlot::After(Duration::from_millis(milliseconds));
     assert_eq!(slot(2), ms(50));
     assert_eq!(slot(2), ms(150));
--- a/crates/routing/tests/tenant_shares.rs
+++ b/crates/routing/tests/tenant_shares.rs
@@ -1,4 +1,4 @@
-//! Tenants that compete for a pool with too little room.
+//! Fair shares of tenants that compete for a pool that is short of capacity.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const BIG: TenantCode = TenantCode(100);
 const SMALL: TenantCode = TenantCode(101);
 
-/// A pool in which one of two tries fails.
+/// Half of the attempts fail.
 const SHORT: AttemptRates = AttemptRates {
     begun_per_s: 200.0,
     failed_per_s: 200.0,
@@ -37,8 +37,8 @@
     }
 }
 
-/// One tenant asks for 400 of 200 slots, one for 20; engines serve both alike.
-fn storm() -> HashMap<TenantCode, TenantFigures> {
+/// One tenant asks for 400 of the pool's 200 slots, another for 20. Both get about half of it.
+fn uneven_demand() -> HashMap<TenantCode, TenantFigures> {
     HashMap::from([(BIG, slots(400.0, 190.0)), (SMALL, slots(20.0, 10.0))])
 }
 
@@ -59,8 +59,8 @@
     prop::collection::vec(demand, 1..80)
 }
 
-fn served(demands: &[WeightedDemand], room: f64) -> Vec<f64> {
-    let level = max_min_level(demands, room).unwrap_or(f64::INFINITY);
+fn served(demands: &[WeightedDemand], capacity: f64) -> Vec<f64> {
+    let level = max_min_level(demands, capacity).unwrap_or(f64::INFINITY);
     let served = demands.iter();
     served
         .map(|demand| demand.per_s.min(level * demand.weight))
@@ -69,54 +69,54 @@
 
 proptest! {
     #[test]
-    fn all_room_is_given_and_no_more(demands in demands(), room in 0.0..1e5_f64) {
+    fn exactly_the_capacity_is_divided(demands in demands(), capacity in 0.0..1e5_f64) {
         let asked: f64 = demands.iter().map(|demand| demand.per_s).sum();
-        let given: f64 = served(&demands, room).iter().sum();
-        prop_assert!((given - asked.min(room)).abs() <= 1e-6 * room.max(1.0), "{given} of {room}");
+        let given: f64 = served(&demands, capacity).iter().sum();
+        prop_assert!((given - asked.min(capacity)).abs() <= 1e-6 * capacity.max(1.0), "{given} of {capacity}");
     }
 
     #[test]
-    fn who_asks_for_no_more_than_a_fair_part_gets_it(demands in demands(), room in 0.0..1e5_f64) {
+    fn a_demand_within_the_fair_share_is_served_in_full(demands in demands(), capacity in 0.0..1e5_f64) {
         let weights: f64 = demands.iter().map(|demand| demand.weight).sum();
-        for (demand, served) in demands.iter().zip(served(&demands, room)) {
-            let fair = room * demand.weight / weights;
+        for (demand, served) in demands.iter().zip(served(&demands, capacity)) {
+            let fair = capacity * demand.weight / weights;
             prop_assert!(served >= demand.per_s.min(fair) * (1.0 - 1e-9));
         }
     }
 
     #[test]
-    fn more_weight_is_never_less_room(
-        demands in demands(), room in 0.0..1e5_f64, place in 0_usize..80, more in 1.0..10.0_f64,
+    fn a_larger_weight_never_reduces_the_share(
+        demands in demands(), capacity in 0.0..1e5_f64, place in 0_usize..80, more in 1.0..10.0_f64,
     ) {
         let place = place % demands.len();
-        let before = served(&demands, room)[place];
+        let before = served(&demands, capacity)[place];
         let mut raised = demands;
         raised[place].weight *= more;
-        prop_assert!(served(&raised, room)[place] >= before * (1.0 - 1e-9));
+        prop_assert!(served(&raised, capacity)[place] >= before * (1.0 - 1e-9));
     }
 
-    /// Repeats raise the demand of whoever repeats.
+    /// Retries raise a tenant's demand and must not cost the other tenants anything.
     #[test]
-    fn more_demand_of_one_over_the_level_costs_nobody(
-        demands in demands(), room in 1.0..1e4_f64, place in 0_usize..80, more in 1.0..100.0_f64,
+    fn more_demand_above_the_share_costs_nobody(
+        demands in demands(), capacity in 1.0..1e4_f64, place in 0_usize..80, more in 1.0..100.0_f64,
     ) {
         let place = place % demands.len();
-        let before = served(&demands, room);
+        let before = served(&demands, capacity);
         prop_assume!(before[place] < demands[place].per_s);
         let mut raised = demands;
         raised[place].per_s *= more;
-        for (before, after) in before.iter().zip(served(&raised, room)) {
-            prop_assert!((before - after).abs() <= 1e-6 * room);
+        for (before, after) in before.iter().zip(served(&raised, capacity)) {
+            prop_assert!((before - after).abs() <= 1e-6 * capacity);
         }
     }
 
-    /// However many nodes a tenant's requests come to, and however few to each, its part of them passes.
+    /// The same fraction of a tenant's requests passes, however many nodes they arrive at.
     #[test]
-    fn nodes_let_the_same_part_pass(
+    fn the_admitted_fraction_does_not_depend_on_the_number_of_nodes(
         nodes in prop::sample::select(vec![1_usize, 5, 70, 986]),
         draws in prop::collection::vec(0.0..1.0_f64, 986),
     ) {
-        let shares = shares(&storm(), 1.0);
+        let shares = shares(&uneven_demand(), 1.0);
         let part = part(&shares, BIG);
         let mut nodes: Vec<_> = (0..nodes).map(|_| shares.clone()).collect();
         let (requests, mut passed) = (2_000, 0_usize);
@@ -126,19 +126,19 @@
             passed += usize::from(standing == ShareStanding::Within);
         }
         let expected = part * requests as f64;
-        // Each node's first draw may be off by one request; of many nodes these cancel out.
-        let off = 5.0 * (nodes.len() as f64).sqrt();
-        prop_assert!((passed as f64 - expected).abs() <= off, "{passed} of {expected}");
+        // Each node's initial draw may be off by one request; these errors cancel out over many nodes.
+        let tolerance = 5.0 * (nodes.len() as f64).sqrt();
+        prop_assert!((passed as f64 - expected).abs() <= tolerance, "{passed} of {expected}");
     }
 }
 
 #[rstest]
-fn a_tenant_under_its_share_is_served_although_the_pool_is_full_of_another() {
-    let mut shares = shares(&storm(), 1.0);
+fn a_tenant_below_its_share_is_served_while_another_fills_the_pool() {
+    let mut shares = shares(&uneven_demand(), 1.0);
     for _ in 0..100 {
         assert_eq!(shares.classify(at(0), SMALL, 0.0), ShareStanding::Within);
     }
-    // 200 slots are served; 20 of them are the small one's.
+    // 200 slots are served, 20 of them for the small tenant.
     assert!((part(&shares, BIG) - 180.0 / 400.0).abs() < 1e-6);
     assert_eq!(shares.limited_tenants(at(0)), 1);
     let share = shares.share(at(0), BIG).expect("a share");
@@ -149,15 +149,24 @@
 }
 
 #[rstest]
-#[case::one_of_two_tries_fails(SHORT, true)]
-#[case::one_of_thirty(AttemptRates { begun_per_s: 290.0, failed_per_s: 10.0, ..AttemptRates::default() }, false)]
-#[case::none_was_made(AttemptRates::default(), false)]
-fn shares_act_in_a_pool_that_is_short(#[case] tries: AttemptRates, #[case] acts: bool) {
+#[case::half_of_the_attempts_fail(SHORT, true)]
+#[case::one_of_thirty_fails(AttemptRates { begun_per_s: 290.0, failed_per_s: 10.0, ..AttemptRates::default() }, false)]
+#[case::no_attempts(AttemptRates::default(), false)]
+fn shares_are_enforced_only_in_a_short_pool(
+    #[case] attempts: AttemptRates,
+    #[case] enforced: bool,
+) {
     let mut shares = PoolShares::default();
-    shares.refresh(at(0), CapacityUnit::SlotTime, tries, &storm(), |_| 1.0);
-    assert_eq!(shares.is_enforced(at(0)), acts);
+    shares.refresh(
+        at(0),
+        CapacityUnit::SlotTime,
+        attempts,
+        &uneven_demand(),
+        |_| 1.0,
+    );
+    assert_eq!(shares.is_enforced(at(0)), enforced);
     let standing = shares.classify(at(0), BIG, 0.0);
-    let expected = if acts {
+    let expected = if enforced {
         ShareStanding::Over
     } else {
         ShareStanding::Within
@@ -166,8 +175,8 @@
 }
 
 #[rstest]
-fn a_node_that_wakes_with_old_shares_refuses_nobody_for_them() {
-    let mut shares = shares(&storm(), 1.0);
+fn shares_that_are_too_old_are_not_enforced() {
+    let mut shares = shares(&uneven_demand(), 1.0);
     assert!(shares.is_enforced(at(900)));
     assert!(!shares.is_enforced(at(10_000)));
     assert_eq!(shares.share(at(10_000), BIG), None);
@@ -177,9 +186,9 @@
 }
 
 #[rstest]
-fn a_sum_that_is_counted_twice_changes_no_part() {
-    let once = shares(&storm(), 2.0);
-    let doubled = storm().into_iter().map(|(code, figures)| {
+fn figures_that_are_counted_twice_change_no_fraction() {
+    let once = shares(&uneven_demand(), 2.0);
+    let doubled = uneven_demand().into_iter().map(|(code, figures)| {
         let mut twice = figures;
         twice += &figures;
         (code, twice)
@@ -189,16 +198,16 @@
 }
 
 #[rstest]
-#[case::more_requests_than_any_fleet(slots(1e9, 0.0))]
-#[case::below_zero(slots(1.0, -1.0))]
-#[case::no_number(slots(f32::NAN, 0.0))]
-fn what_no_node_can_have_counted_is_unsound(#[case] figures: TenantFigures) {
+#[case::implausibly_large(slots(1e9, 0.0))]
+#[case::negative(slots(1.0, -1.0))]
+#[case::not_a_number(slots(f32::NAN, 0.0))]
+fn implausible_figures_are_rejected(#[case] figures: TenantFigures) {
     assert!(slots(400.0, 200.0).is_sound());
     assert!(!figures.is_sound());
 }
 
 #[rstest]
-fn the_unit_is_what_the_pool_is_short_of() {
+fn the_unit_is_the_bottleneck_of_the_pool() {
     assert_eq!(
         CapacityUnit::of_pool(false, 1.0, 100.0),
         CapacityUnit::SlotTime
@@ -213,34 +222,34 @@
     );
 }
 
-/// Engines come while tenants are cut: each half second no try fails and engines serve what the room lets through.
+/// Engines are added while tenants are limited. No attempt fails, and engines serve all that the estimate admits.
 #[rstest]
-fn room_that_comes_is_in_use_within_three_seconds() {
+fn added_capacity_is_in_use_within_three_seconds() {
     let mut shortage = ShortageDetector::default();
-    let mut begun = shortage.room(at(0), SHORT, 100.0).expect("short");
-    let sound = AttemptRates {
+    let mut begun = shortage.capacity(at(0), SHORT, 100.0).expect("short");
+    let no_failures = AttemptRates {
         begun_per_s: 400.0,
         failed_per_s: 0.0,
         has_idle_slots: false,
     };
     for step in 1..=6 {
-        let room = shortage.room(at(1_100 + step * 500), sound, begun);
-        // What is served is a mean over two seconds.
-        begun += (room.expect("short") - begun) * 0.5 / 2.0;
+        let capacity = shortage.capacity(at(1_100 + step * 500), no_failures, begun);
+        // The throughput is a mean over two seconds.
+        begun += (capacity.expect("short") - begun) * 0.5 / 2.0;
     }
     assert!(begun > 190.0, "{begun}");
 }
 
-/// After a storm a tenant that was cut asks for a part of the pool, and engines of uneven speed refuse one try in ten:
-/// it is not cut while slots stand empty.
+/// After an overload, a limited tenant needs only a part of the pool, but engines of uneven speed still refuse one
+/// attempt in ten. The tenant must not stay limited while slots are idle.
 #[rstest]
-fn a_tenant_is_not_cut_while_slots_stand_empty() {
+fn a_tenant_is_not_limited_while_slots_are_idle() {
     const SLOTS: f32 = 12.0;
     let asked = 7.7;
     let mut begun = 1.4;
     let mut shares = PoolShares::default();
     for step in 0..32 {
-        let tries = AttemptRates {
+        let attempts = AttemptRates {
             begun_per_s: 27.0,
             failed_per_s: 3.0,
             has_idle_slots: CapacityUnit::has_idle_slots(false, f64::from(begun), f64::from(SLOTS)),
@@ -249,33 +258,33 @@
         shares.refresh(
             at(step * 250),
             CapacityUnit::SlotTime,
-            tries,
+            attempts,
             &figures,
             |_| 1.0,
         );
         let part = shares
             .share(at(step * 250), BIG)
             .map_or(1.0, |share| share.part());
-        // Nine of ten that are let through are served, as a mean over two seconds.
+        // Nine of ten admitted requests are served, as a mean over two seconds.
         begun += (asked * part as f32 * 0.9 - begun) * 0.125;
     }
     assert!(begun >= asked * 0.8, "{begun} of {asked}");
 }
 
-/// Tries may fail for other reasons than load: the cut tenants must not be cut ever more.
+/// Attempts may fail for other reasons than load. The estimate must not shrink further and further.
 #[rstest]
-fn room_does_not_dwindle_while_tries_fail() {
+fn the_capacity_estimate_does_not_collapse_while_attempts_fail() {
     let mut shortage = ShortageDetector::default();
     let mut begun = 200.0;
     for step in 0..100 {
-        let room = shortage.room(at(step * 250), SHORT, begun);
-        begun = room.expect("short") * 0.9;
+        let capacity = shortage.capacity(at(step * 250), SHORT, begun);
+        begun = capacity.expect("short") * 0.9;
     }
     assert!(begun >= 0.9 * 100.0, "{begun}");
 }
 
 #[rstest]
-fn twenty_thousand_tenants_of_one_request_are_one_row_beside_the_big_one() {
+fn twenty_thousand_small_tenants_share_one_row() {
     let mut meters = TenantMeters::default();
     let many = 20_000_u64;
     for request in 0..many {
@@ -294,7 +303,7 @@
     };
     let (big, others) = (asked(BIG), asked(TenantCode::OTHERS));
     assert!((big / others - 2.0).abs() < 0.05, "{big}, {others}");
-    // Nobody of the many asks for more than the big one's share.
+    // No small tenant exceeds its share.
     let served = rows.into_iter().map(|(code, mut figures)| {
         figures.begun.prompt_tokens_per_s = figures.asked.prompt_tokens_per_s / 2.0;
         (code, figures)
@@ -314,14 +323,14 @@
     assert!(big.part() < 0.5, "{big:?}");
 }
 
-/// What a relay and a member hold and send of 15,000 tenants at 986 nodes is bounded by the named ones.
+/// The number of rows that nodes hold and send does not grow with the number of tenants.
 #[rstest]
 fn fifteen_thousand_tenants_at_986_nodes_are_65_rows() {
     let (nodes, tenants) = (986_u64, 15_000_u64);
     let rows_of = |node: u64| {
         let rows = (0..100).map(|place| {
             let tenant = (node * 100 + place) % tenants;
-            // Every hundredth tenant asks for most.
+            // Every hundredth tenant has a large demand.
             let asked = if tenant.is_multiple_of(100) {
                 5.0
             } else {
@@ -354,7 +363,7 @@
 }
 
 #[rstest]
-fn a_long_name_has_a_short_number_and_the_reserved_ones_are_nobodys() {
+fn tenant_codes_are_stable_and_never_reserved_values() {
     let long = TenantName::from("n".repeat(8 << 10));
     let other = TenantName::from("n".repeat((8 << 10) + 1));
     assert_eq!(TenantCode::of(&long), TenantCode::of(&long));
