--- a/crates/forwarding/src/fleet_sums.rs
+++ b/crates/forwarding/src/fleet_sums.rs
@@ -62,8 +62,8 @@
 
     /// Forgets what `source` reported.
     pub(crate) fn forget(&self, source: LoadSource) {
-        self.classes.borrow_mut().forget(source);
-        self.tenants.borrow_mut().forget(source);
-        self.slowness.borrow_mut().forget(source);
+        self.classes.borrow_mut().forget_source(source);
+        self.tenants.borrow_mut().forget_source(source);
+        self.slowness.borrow_mut().forget_source(source);
     }
 }
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -67,7 +67,7 @@
         let now = context.now();
         let table = context.table();
         for pool in table.iter().flat_map(|table| table.pools()) {
-            let left = context.budget.borrow_mut().left(now, &pool.name);
+            let left = context.budget.borrow_mut().available(now, &pool.name);
             let gauge = self.repeats_left.with_label_values(&[pool.name.as_str()]);
             gauge.set(left.floor() as i64);
         }
--- a/crates/forwarding/src/serve/admit.rs
+++ b/crates/forwarding/src/serve/admit.rs
@@ -47,7 +47,7 @@
     let class = class(&route, &caller, &pools);
     let now = context.now();
     if let Some(pool) = pools.first() {
-        context.budget.borrow_mut().request(now, pool);
+        context.budget.borrow_mut().record_request(now, pool);
     }
     context
         .classes
--- a/crates/forwarding/src/serve/patience.rs
+++ b/crates/forwarding/src/serve/patience.rs
@@ -33,7 +33,7 @@
         return left;
     }
     let now = context.now();
-    if context.budget.borrow_mut().left(now, pool) < BUDGET_KEPT
+    if context.budget.borrow_mut().available(now, pool) < BUDGET_KEPT
         || !has_other_engine(context, progress, pool, &choice.engine)
     {
         return left;
--- a/crates/forwarding/src/serve/repeated_calls.rs
+++ b/crates/forwarding/src/serve/repeated_calls.rs
@@ -27,13 +27,13 @@
         return false;
     }
     let share = share_now(context, progress);
-    share.is_none_or(|share| share.part() >= 1.0) && may_call_again(context, progress)
+    share.is_none_or(|share| share.fraction_within() >= 1.0) && may_call_again(context, progress)
 }
 
 /// Whether its tenant asks for more than its share: what it may repeat is left to the others, unless an engine may
 /// have prefilled its prompt.
 fn is_cut(context: &Context, progress: &Progress) -> bool {
-    share_now(context, progress).is_some_and(|share| share.part() < 1.0)
+    share_now(context, progress).is_some_and(|share| share.fraction_within() < 1.0)
 }
 
 /// The share of its tenant, where shares decide anything.
@@ -60,5 +60,5 @@
         return true;
     };
     let now = context.now();
-    context.budget.borrow_mut().left(now, pool) >= 1.0
+    context.budget.borrow_mut().available(now, pool) >= 1.0
 }
--- a/crates/forwarding/src/spread/sums.rs
+++ b/crates/forwarding/src/spread/sums.rs
@@ -219,7 +219,7 @@
                 .map(|row| ((row.pool, row.priority), row.figures))
                 .collect();
             let unsound = told - rows.len();
-            sums.classes.borrow_mut().reported(now, source, rows);
+            sums.classes.borrow_mut().set_reported(now, source, rows);
             unsound
         }
         SummedRows::Tenants(TenantRows {
@@ -233,7 +233,7 @@
                 .map(|row| (((pool.clone(), priority), row.tenant), row.figures))
                 .collect();
             let unsound = told - rows.len();
-            sums.tenants.borrow_mut().reported(now, source, rows);
+            sums.tenants.borrow_mut().set_reported(now, source, rows);
             unsound
         }
         SummedRows::Slowness(rows) => {
@@ -243,7 +243,7 @@
                 .map(|row| ((row.engine, row.kind), row.figures))
                 .collect();
             let unsound = told - rows.len();
-            sums.slowness.borrow_mut().reported(now, source, rows);
+            sums.slowness.borrow_mut().set_reported(now, source, rows);
             unsound
         }
     }
--- a/crates/routing/src/class_meter.rs
+++ b/crates/routing/src/class_meter.rs
@@ -6,25 +6,25 @@
 
 /// Time constant of the rates, in seconds: shorter than the shifts of demand that room and shares follow, which take
 /// three seconds, and long enough that a node with ten requests a second sees some tens of them.
-pub(crate) const RATE_TIME_S: f64 = 2.0;
+pub(crate) const RATE_TIME_CONSTANT_S: f64 = 2.0;
 
 /// An event rate that fades.
 #[derive(Clone, Copy, Debug)]
-pub struct FadingRate {
+pub struct DecayingRate {
     time_s: f64,
     per_s: f64,
     counted_at: MonotonicTime,
 }
 
-impl Default for FadingRate {
+impl Default for DecayingRate {
     fn default() -> Self {
-        Self::over(RATE_TIME_S)
+        Self::with_time_constant(RATE_TIME_CONSTANT_S)
     }
 }
 
-impl FadingRate {
+impl DecayingRate {
     /// No events yet; they fade with a time constant of `time_s` seconds.
-    pub fn over(time_s: f64) -> Self {
+    pub fn with_time_constant(time_s: f64) -> Self {
         Self {
             time_s,
             per_s: 0.0,
@@ -55,19 +55,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClassMeter {
     /// Requests that came for the first time.
-    pub asked: FadingRate,
+    pub asked: DecayingRate,
     /// Requests that came back after a refusal.
-    pub returned: FadingRate,
+    pub returned: DecayingRate,
     /// Requests that an engine began to answer.
-    pub begun: FadingRate,
+    pub begun: DecayingRate,
     /// Requests that were refused.
-    pub refused: FadingRate,
+    pub refused: DecayingRate,
     /// Those among them whose tenant was over its share.
-    pub over_share: FadingRate,
+    pub over_share: DecayingRate,
     /// Calls that engines refused.
-    pub engine_refusals: FadingRate,
+    pub engine_refusals: DecayingRate,
     /// Prompt tokens that engines had to prefill.
-    pub prefill_tokens: FadingRate,
+    pub prefill_tokens: DecayingRate,
     /// Slots of engines that requests of this node take up now.
     pub busy_slots: u32,
     /// Requests that wait at this node for a place at an engine.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -29,7 +29,7 @@
 
 pub use admission::aged_priority;
 pub use call_counts::{CallCounts, CallOutcome, CallPurpose};
-pub use class_meter::{ClassMeter, FadingRate};
+pub use class_meter::{ClassMeter, DecayingRate};
 pub use config::RouterConfig;
 pub use figures::{ClassFigures, SlownessFigures, TenantCode, TenantFigures, WorkKind, WorkRate};
 pub use learning::PriorSpeeds;
--- a/crates/routing/src/overload/shares.rs
+++ b/crates/routing/src/overload/shares.rs
@@ -36,7 +36,7 @@
 
 impl TenantShare {
     /// Fraction of its demand that lies within the share, at most 1.
-    pub fn part(self) -> f64 {
+    pub fn fraction_within(self) -> f64 {
         if self.asked_per_s > self.share_per_s {
             self.share_per_s / self.asked_per_s
         } else {
@@ -47,7 +47,7 @@
     /// Retry delay of a caller that is refused for exceeding the share and has `left` time for its request. `draw`, a
     /// random number from 0 to 1, spreads callers that are refused together.
     pub fn retry_after(self, left: Duration, draw: f64) -> Duration {
-        let excess = 1.0 / self.part().max(f64::MIN_POSITIVE) - 1.0;
+        let excess = 1.0 / self.fraction_within().max(f64::MIN_POSITIVE) - 1.0;
         let longest_s = left.as_secs_f64() * MAX_RETRY_FRACTION;
         let wait_s = (CATCH_UP_TIME.as_secs_f64() * excess).min(longest_s);
         Duration::from_secs_f64(wait_s * (1.0 + draw) / 2.0).max(MIN_RETRY_DELAY)
@@ -135,7 +135,7 @@
                 asked_per_s: demand.per_s,
                 share_per_s: level * demand.weight,
             };
-            if share.part() < 1.0 {
+            if share.fraction_within() < 1.0 {
                 self.limited.insert(*code, share);
             } else {
                 self.unlimited.insert(*code, share);
@@ -151,7 +151,7 @@
     }
 
     /// Number of limited tenants; all tenants without figures of their own count as one.
-    pub fn limited_tenants(&self, now: MonotonicTime) -> usize {
+    pub fn tenants_over_share(&self, now: MonotonicTime) -> usize {
         if self.is_enforced(now) {
             self.limited.len()
         } else {
@@ -177,7 +177,10 @@
     /// is divided among them by demand. `draw`, a random number from 0 to 1, is the initial credit of a tenant: with a
     /// fixed value, many nodes with few requests each would all decide alike about the first one.
     pub fn classify(&mut self, now: MonotonicTime, tenant: TenantCode, draw: f64) -> ShareStanding {
-        let Some(share) = self.share(now, tenant).filter(|share| share.part() < 1.0) else {
+        let Some(share) = self
+            .share(now, tenant)
+            .filter(|share| share.fraction_within() < 1.0)
+        else {
             return ShareStanding::Within;
         };
         let code = if self.limited.contains_key(&tenant) {
@@ -186,7 +189,7 @@
             TenantCode::OTHERS
         };
         let credit = self.credits.entry(code).or_insert(draw);
-        *credit += share.part();
+        *credit += share.fraction_within();
         if *credit < 1.0 {
             return ShareStanding::Over;
         }
--- a/crates/routing/src/overload/shortage.rs
+++ b/crates/routing/src/overload/shortage.rs
@@ -8,7 +8,7 @@
 
 use dalestand_types::MonotonicTime;
 
-use crate::class_meter::RATE_TIME_S;
+use crate::class_meter::RATE_TIME_CONSTANT_S;
 use crate::figures::WorkRate;
 
 /// Fraction of failed attempts above which a pool is short of capacity.
@@ -78,7 +78,7 @@
 impl AttemptRates {
     /// The contribution of events since the rates were `earlier`, `elapsed` ago.
     fn since(self, earlier: Self, elapsed: Duration) -> Self {
-        let kept = (-elapsed.as_secs_f64() / RATE_TIME_S).exp();
+        let kept = (-elapsed.as_secs_f64() / RATE_TIME_CONSTANT_S).exp();
         Self {
             begun_per_s: (self.begun_per_s - earlier.begun_per_s * kept).max(0.0),
             failed_per_s: (self.failed_per_s - earlier.failed_per_s * kept).max(0.0),
--- a/crates/routing/src/overload/tenant_meters.rs
+++ b/crates/routing/src/overload/tenant_meters.rs
@@ -7,7 +7,7 @@
 
 use dalestand_types::MonotonicTime;
 
-use crate::class_meter::FadingRate;
+use crate::class_meter::DecayingRate;
 use crate::figures::{TenantCode, TenantFigures, WorkRate};
 
 /// Most tenants of one pool that have a row of their own in the reported figures. All others share one row.
@@ -26,10 +26,10 @@
 /// Rates of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
 struct TenantMeter {
-    asked: FadingRate,
-    asked_tokens: FadingRate,
-    begun: FadingRate,
-    begun_tokens: FadingRate,
+    asked: DecayingRate,
+    asked_tokens: DecayingRate,
+    begun: DecayingRate,
+    begun_tokens: DecayingRate,
     /// Average time that its requests hold a slot, in seconds.
     slot_s: Option<f64>,
 }
@@ -42,7 +42,7 @@
 
     fn figures(&self, now: MonotonicTime, default_slot_s: f64) -> TenantFigures {
         let slot_s = self.slot_s.unwrap_or(default_slot_s);
-        let work = |requests: &FadingRate, tokens: &FadingRate| WorkRate {
+        let work = |requests: &DecayingRate, tokens: &DecayingRate| WorkRate {
             slots: (requests.at(now) * slot_s) as f32,
             prompt_tokens_per_s: tokens.at(now) as f32,
         };
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -9,7 +9,7 @@
 
 use crate::admission::wait_if_unreachable;
 use crate::choice::{Choice, Chooser};
-use crate::class_meter::FadingRate;
+use crate::class_meter::DecayingRate;
 use crate::config::RouterConfig;
 use crate::estimate::Estimator;
 use crate::learning::Learned;
@@ -37,7 +37,7 @@
     tracks: Tracks,
     prefixes: PrefixMemory,
     /// Requests admitted a second, by model.
-    admitted: HashMap<ModelName, FadingRate>,
+    admitted: HashMap<ModelName, DecayingRate>,
     returns: RetryAfterSchedule<ModelName>,
 }
 
@@ -124,7 +124,7 @@
     }
 
     fn count_admitted(&mut self, now: MonotonicTime, model: &ModelName) {
-        let new_rate = || FadingRate::over(ADMISSION_RATE_TIME_S);
+        let new_rate = || DecayingRate::with_time_constant(ADMISSION_RATE_TIME_S);
         let rate = self.admitted.entry(model.clone()).or_insert_with(new_rate);
         rate.count(now, 1.0);
     }
--- a/crates/routing/src/shared_retry_budget.rs
+++ b/crates/routing/src/shared_retry_budget.rs
@@ -89,7 +89,7 @@
     }
 
     /// Notes a request for a pool.
-    pub fn request(&mut self, now: MonotonicTime, pool: &PoolName) {
+    pub fn record_request(&mut self, now: MonotonicTime, pool: &PoolName) {
         let window = self.limits.window;
         let counts = self.pools.entry(pool.clone()).or_default();
         counts.expire(now, window);
@@ -98,7 +98,7 @@
 
     /// Takes one repeated send; `None` if none is left.
     pub fn take(&mut self, now: MonotonicTime, pool: &PoolName) -> Option<RepeatedSend> {
-        let allowed = self.left(now, pool) >= 1.0;
+        let allowed = self.available(now, pool) >= 1.0;
         let counts = self.pools.get_mut(pool).filter(|_| allowed)?;
         counts.repeats.push_back(now);
         Some(RepeatedSend(now))
@@ -114,7 +114,7 @@
     }
 
     /// Repeated sends left now.
-    pub fn left(&mut self, now: MonotonicTime, pool: &PoolName) -> f64 {
+    pub fn available(&mut self, now: MonotonicTime, pool: &PoolName) -> f64 {
         let SharedRetryLimits {
             ratio,
             slack,
--- a/crates/routing/src/source_sums.rs
+++ b/crates/routing/src/source_sums.rs
@@ -49,7 +49,7 @@
     }
 
     /// Takes rows in that `source` reported. Its rows of other keys stand until they lapse.
-    pub fn reported(
+    pub fn set_reported(
         &mut self,
         now: MonotonicTime,
         source: LoadSource,
@@ -60,7 +60,7 @@
     }
 
     /// Forgets what a source reported.
-    pub fn forget(&mut self, source: LoadSource) {
+    pub fn forget_source(&mut self, source: LoadSource) {
         self.reported.remove(&source);
     }
 
--- a/crates/routing/tests/shared_retry_budget.rs
+++ b/crates/routing/tests/shared_retry_budget.rs
@@ -34,7 +34,7 @@
         for (node, pause_ms, is_request) in steps {
             now = now + Duration::from_millis(pause_ms);
             if is_request {
-                nodes[node].request(now, &pool);
+                nodes[node].record_request(now, &pool);
                 requests.push(now);
             } else if nodes[node].take(now, &pool).is_some() {
                 repeats.push(now);
@@ -97,7 +97,7 @@
                 for place in 0..10 {
                     let at = (second as usize * 10 + place * 7 + number) % is_repeat.len();
                     if !is_repeat[at] {
-                        node.request(now, &pool);
+                        node.record_request(now, &pool);
                         requests.push(now);
                     } else if node.take(now, &pool).is_some() {
                         repeats.push(now);
@@ -200,7 +200,7 @@
         let count = requests.len();
         for (node, calls) in requests {
             let budget = &mut nodes[node];
-            budget.request(now, &pool);
+            budget.record_request(now, &pool);
             let mut counts = CallCounts::default();
             let mut made = Vec::new();
             for (purpose, outcome) in calls {
--- a/crates/routing/tests/source_sums.rs
+++ b/crates/routing/tests/source_sums.rs
@@ -34,8 +34,8 @@
 fn a_relay_adds_up_its_own_its_members_and_the_other_relays() {
     let mut sums = sums();
     sums.set_own([("pool", asked(1.0))]);
-    sums.reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
-    sums.reported(at(0), LoadSource::Relay(2), [("pool", asked(4.0))]);
+    sums.set_reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
+    sums.set_reported(at(0), LoadSource::Relay(2), [("pool", asked(4.0))]);
     sums.refresh(at(10));
     assert_eq!(sums.total(&"pool"), Some(&asked(7.0)));
     let is_member = |source| matches!(source, LoadSource::Member(_));
@@ -46,7 +46,7 @@
 fn a_member_takes_the_sums_of_the_fleet_for_the_whole() {
     let mut sums = sums();
     sums.set_own([("pool", asked(1.0)), ("new", asked(5.0))]);
-    sums.reported(at(0), LoadSource::Fleet, [("pool", asked(9.0))]);
+    sums.set_reported(at(0), LoadSource::Fleet, [("pool", asked(9.0))]);
     sums.refresh(at(10));
     assert_eq!(sums.total(&"pool"), Some(&asked(9.0)));
     assert_eq!(sums.total(&"new"), Some(&asked(5.0)));
@@ -57,7 +57,7 @@
     let mut sums = sums();
     for milliseconds in [0, 5] {
         let row = ("pool", asked(2.0));
-        sums.reported(at(milliseconds), LoadSource::Member(1), [row]);
+        sums.set_reported(at(milliseconds), LoadSource::Member(1), [row]);
     }
     sums.refresh(at(10));
     assert_eq!(sums.total(&"pool"), Some(&asked(2.0)));
@@ -69,7 +69,7 @@
 fn a_node_that_hears_no_other_knows_its_own() {
     let mut sums = sums();
     sums.set_own([("pool", asked(3.0))]);
-    sums.reported(at(0), LoadSource::Fleet, [("pool", asked(50.0))]);
+    sums.set_reported(at(0), LoadSource::Fleet, [("pool", asked(50.0))]);
     sums.refresh(at(60_000));
     assert_eq!(sums.total(&"pool"), Some(&asked(3.0)));
 }
@@ -115,7 +115,7 @@
         let mut now = 0;
         for (source, later, rate) in reports {
             now += later / 20;
-            sums.reported(at(now), LoadSource::Member(source), [("pool", asked(rate))]);
+            sums.set_reported(at(now), LoadSource::Member(source), [("pool", asked(rate))]);
             newest.insert(source, (now, rate));
         }
         sums.refresh(at(now));
@@ -129,8 +129,8 @@
 #[rstest]
 fn a_source_is_as_old_as_its_newest_row_and_goes_when_that_lapses() {
     let mut sums = sums();
-    sums.reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
-    sums.reported(at(400), LoadSource::Member(1), [("other", asked(2.0))]);
+    sums.set_reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
+    sums.set_reported(at(400), LoadSource::Member(1), [("other", asked(2.0))]);
     let heard = |milliseconds| sums.heard(at(milliseconds)).collect::<Vec<_>>();
     let age = Duration::from_millis(100);
     assert_eq!(heard(500), [(LoadSource::Member(1), age)]);
--- a/crates/routing/tests/tenant_shares.rs
+++ b/crates/routing/tests/tenant_shares.rs
@@ -50,7 +50,10 @@
 }
 
 fn part(shares: &PoolShares, tenant: TenantCode) -> f64 {
-    shares.share(at(0), tenant).expect("a share").part()
+    shares
+        .share(at(0), tenant)
+        .expect("a share")
+        .fraction_within()
 }
 
 fn demands() -> impl Strategy<Value = Vec<WeightedDemand>> {
@@ -140,7 +143,7 @@
     }
     // 200 slots are served, 20 of them for the small tenant.
     assert!((part(&shares, BIG) - 180.0 / 400.0).abs() < 1e-6);
-    assert_eq!(shares.limited_tenants(at(0)), 1);
+    assert_eq!(shares.tenants_over_share(at(0)), 1);
     let share = shares.share(at(0), BIG).expect("a share");
     let left = Duration::from_secs(3);
     let soonest = share.retry_after(left, 0.0);
@@ -264,7 +267,7 @@
         );
         let part = shares
             .share(at(step * 250), BIG)
-            .map_or(1.0, |share| share.part());
+            .map_or(1.0, |share| share.fraction_within());
         // Nine of ten admitted requests are served, as a mean over two seconds.
         begun += (asked * part as f32 * 0.9 - begun) * 0.125;
     }
@@ -320,7 +323,7 @@
     let unknown = shares.classify(at(2_000), TenantCode(99_999_999), 0.0);
     assert_eq!(unknown, ShareStanding::Within);
     let big = shares.share(at(2_000), BIG).expect("a share");
-    assert!(big.part() < 0.5, "{big:?}");
+    assert!(big.fraction_within() < 0.5, "{big:?}");
 }
 
 /// The number of rows that nodes hold and send does not grow with the number of tenants.
