--- a/crates/forwarding/src/serve/tenant_shares.rs
+++ b/crates/forwarding/src/serve/tenant_shares.rs
@@ -164,7 +164,7 @@
         let classes = self.classes.borrow();
         let mut cut = BTreeMap::new();
         for ((pool, _), tenants) in classes.iter() {
-            *cut.entry(pool.clone()).or_default() += tenants.shares.tenants_over_share(now);
+            *cut.entry(pool.clone()).or_default() += tenants.shares.limited_tenants(now);
         }
         cut
     }
--- a/crates/routing/src/overload/shares.rs
+++ b/crates/routing/src/overload/shares.rs
@@ -151,7 +151,7 @@
     }
 
     /// Number of limited tenants; all tenants without figures of their own count as one.
-    pub fn tenants_over_share(&self, now: MonotonicTime) -> usize {
+    pub fn limited_tenants(&self, now: MonotonicTime) -> usize {
         if self.is_enforced(now) {
             self.limited.len()
         } else {
--- a/crates/routing/tests/tenant_shares.rs
+++ b/crates/routing/tests/tenant_shares.rs
@@ -143,7 +143,7 @@
     }
     // 200 slots are served, 20 of them for the small tenant.
     assert!((part(&shares, BIG) - 180.0 / 400.0).abs() < 1e-6);
-    assert_eq!(shares.tenants_over_share(at(0)), 1);
+    assert_eq!(shares.limited_tenants(at(0)), 1);
     let share = shares.share(at(0), BIG).expect("a share");
     let left = Duration::from_secs(3);
     let soonest = share.retry_after(left, 0.0);
