--- a/crates/routing/src/shared_rate/held_permits.rs
+++ b/crates/routing/src/shared_rate/held_permits.rs
@@ -1,4 +1,4 @@
-//! The permits that a node holds.
+//! Permits that a node has been issued and not yet used.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,10 +7,10 @@
 
 use crate::staged::EngineKey;
 
-/// From so many engines on, those with nothing in force are forgotten.
+/// Number of engines from which those without valid permits or pause are removed.
 const MANY_ENGINES: usize = 1_024;
 
-/// Leave to send one request to an engine. It is spent, given back or left to lapse.
+/// Permission to send one request to an engine. It is used, given back or left to expire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct Permit {
@@ -19,28 +19,28 @@
 }
 
 impl Permit {
-    /// Whether a request may still go out on it.
+    /// Whether a request may still be sent with it.
     pub fn is_valid(self, now: MonotonicTime) -> bool {
         now < self.valid_until
     }
 }
 
 #[derive(Clone, Debug, Default)]
-struct Held {
-    /// Until when each permit holds.
+struct EnginePermits {
+    /// Expiry times of the permits.
     permits: Vec<MonotonicTime>,
-    /// Until when the node is not to ask.
+    /// Until when the node may not request permits.
     closed_until: MonotonicTime,
 }
 
-/// The permits of one node, and the engines for which it is to ask for none now.
+/// Permits of one node by engine, and the engines for which it may not request any now.
 #[derive(Clone, Debug, Default)]
 pub struct HeldPermits {
-    engines: HashMap<EngineKey, Held>,
+    engines: HashMap<EngineKey, EnginePermits>,
 }
 
 impl HeldPermits {
-    /// Takes a permit; `None` if none is held.
+    /// Takes a valid permit; `None` if none is held.
     pub fn take(&mut self, now: MonotonicTime, engine: EngineKey) -> Option<Permit> {
         let held = self.engines.get_mut(&engine)?;
         held.permits.retain(|valid_until| now < *valid_until);
@@ -51,13 +51,13 @@
         })
     }
 
-    /// Gives a permit back on which nothing went out.
+    /// Gives back an unused permit.
     pub fn give_back(&mut self, permit: Permit) {
         let held = self.engines.entry(permit.engine).or_default();
         held.permits.push(permit.valid_until);
     }
 
-    /// Adds permits that were given for an engine.
+    /// Adds permits that were issued for an engine.
     pub fn add(
         &mut self,
         now: MonotonicTime,
@@ -71,26 +71,26 @@
         held.permits.extend(permits);
     }
 
-    /// Has an engine get no requests for a time, unless a permit is held.
+    /// Blocks requests to an engine for `time`, unless a permit is held.
     pub fn close(&mut self, now: MonotonicTime, engine: EngineKey, time: Duration) {
         self.forget_idle(now);
         let held = self.engines.entry(engine).or_default();
         held.closed_until = now + time;
     }
 
-    /// Until when the engine gets no request for want of a permit; `None` if one is held or may be asked for.
+    /// Until when the engine is blocked for lack of a permit; `None` if a permit is held or may be requested.
     pub fn closed_until(&self, now: MonotonicTime, engine: EngineKey) -> Option<MonotonicTime> {
         let held = self.engines.get(&engine)?;
         let has_permit = held.permits.iter().any(|valid_until| now < *valid_until);
         (now < held.closed_until && !has_permit).then_some(held.closed_until)
     }
 
-    /// Engines that were closed for want of a permit, lately or now.
+    /// Engines for which permits were issued or denied. Includes engines that are no longer blocked.
     pub fn closed(&self) -> impl Iterator<Item = EngineKey> {
         self.engines.keys().copied()
     }
 
-    /// Forgets an engine.
+    /// Removes an engine with its permits.
     pub fn forget(&mut self, engine: EngineKey) {
         self.engines.remove(&engine);
     }
--- a/crates/routing/src/shared_rate/issuer.rs
+++ b/crates/routing/src/shared_rate/issuer.rs
@@ -1,4 +1,4 @@
-//! Gives out the permits of engines.
+//! Issues permits for engines from one token bucket per engine.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,52 +7,49 @@
 
 use crate::staged::EngineKey;
 
-/// Permits that a bucket holds at most, as a time at its rate: what is not used for so long is not lost.
+/// Capacity of a bucket, as the time in which it fills at its rate.
 const CAPACITY: Duration = Duration::from_millis(250);
 
-/// The same at low rates, in permits: a node whose turn it is has its next request a while later, and what
-/// comes in meanwhile would be lost with a bucket of one.
-const LEAST_CAPACITY: f64 = 2.0;
+/// Smallest capacity, in permits. With a single one, permits would be lost at low rates while the node that is to ask
+/// next has no request.
+const MIN_CAPACITY: f64 = 2.0;
 
-/// Nodes that are told to ask again in the time of one permit: not each of them has a request when its turn
-/// comes, and one that asks in vain costs its request a round trip.
-const TURNS_PER_PERMIT: f64 = 2.0;
+/// Nodes that are told to retry within the time of one permit. More than one, because a node may have no request by
+/// then; not many more, because a retry that gets no permit costs its request a round trip.
+const RETRIES_PER_PERMIT: f64 = 2.0;
 
-/// Permits that one answer gives, as a time at the rate: an issuer answers 20 times a second and node at most,
-/// whatever the rate.
+/// Most permits in one grant, as a time at the rate. Bounds the requests per second that a node makes to an issuer.
 const BATCH: Duration = Duration::from_millis(50);
 
-/// An engine that takes less than this in a second, or nothing, gets this: who is never called can never tell
-/// that it takes requests again.
-const LEAST_RATE: f64 = 0.1;
+/// Smallest rate, in requests per second. An engine with a limit of zero still gets an occasional request, because it
+/// announces a new limit in its responses.
+const MIN_RATE: f64 = 0.1;
 
-/// Longest time for which a node is told not to ask. Those that were told so and have nothing to send then
-/// leave their turn to others.
-const LONGEST_TURN: Duration = Duration::from_secs(2);
+/// Longest retry delay of a node that gets no permit.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// From so many engines on, those that nobody has asked for lately are forgotten.
+/// Number of buckets from which unused ones are removed.
 const MANY_ENGINES: usize = 1_024;
 
-/// An engine that was not asked for during this time starts with an empty bucket, which takes nothing from
-/// those that ask all the time.
-const FORGOTTEN_AFTER: Duration = Duration::from_secs(20);
+/// A bucket that was not used for this long may be removed; its engine then starts with an empty one.
+const UNUSED_AFTER: Duration = Duration::from_secs(20);
 
-/// What an issuer answers.
+/// Response to a permit request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Permits given.
+    /// Number of permits issued.
     pub permits: u32,
-    /// Where none was given: after how long it is this node's turn to ask again.
+    /// If no permit was issued: delay after which this node may ask again.
     pub retry_in: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// Permits left; below zero where calls went out that need none.
+    /// Permits left; negative after requests that were sent without one.
     tokens: f64,
     filled_at: MonotonicTime,
-    /// When the next of those that ask in vain is to ask again.
-    next_turn: MonotonicTime,
+    /// Time of the last retry given to a node that got no permit.
+    last_retry: MonotonicTime,
 }
 
 /// The engines for which this node issues permits.
@@ -62,19 +59,19 @@
 }
 
 impl PermitIssuer {
-    /// Gives permits for an engine that takes requests at `rate`, or says when to ask again.
+    /// Issues permits for an engine limited to `rate`, or tells when to ask again.
     pub fn issue(&mut self, now: MonotonicTime, engine: EngineKey, rate: RequestRate) -> Grant {
         let rate = rate_of(rate);
         let bucket = self.filled(now, engine, rate);
         if bucket.tokens < 1.0 {
             let missing = Duration::from_secs_f64((1.0 - bucket.tokens) / rate);
-            let spacing = Duration::from_secs_f64(1.0 / (rate * TURNS_PER_PERMIT));
-            let after_the_last = bucket.next_turn + spacing;
-            let turn = (now + missing).max(after_the_last).min(now + LONGEST_TURN);
-            bucket.next_turn = turn;
+            let spacing = Duration::from_secs_f64(1.0 / (rate * RETRIES_PER_PERMIT));
+            let after_last = bucket.last_retry + spacing;
+            let retry_at = (now + missing).max(after_last).min(now + MAX_RETRY_DELAY);
+            bucket.last_retry = retry_at;
             return Grant {
                 permits: 0,
-                retry_in: turn.since(now),
+                retry_in: retry_at.since(now),
             };
         }
         let batch = (rate * BATCH.as_secs_f64()).max(1.0);
@@ -86,19 +83,19 @@
         }
     }
 
-    /// Counts a call that goes out whatever the rate: an order, a question. What follows waits for it.
+    /// Counts a request that is sent without a permit, such as an order or a status query. Later permits are delayed
+    /// accordingly.
     pub fn debit(&mut self, now: MonotonicTime, engine: EngineKey, rate: RequestRate) {
         let rate = rate_of(rate);
         let bucket = self.filled(now, engine, rate);
         bucket.tokens = (bucket.tokens - 1.0).max(-capacity(rate));
     }
 
-    /// Engines that were asked for lately.
+    /// Number of engines with a bucket.
     pub fn len(&self) -> usize {
         self.buckets.len()
     }
 
-    /// Whether none was.
     pub fn is_empty(&self) -> bool {
         self.buckets.is_empty()
     }
@@ -106,12 +103,12 @@
     fn filled(&mut self, now: MonotonicTime, engine: EngineKey, rate: f64) -> &mut Bucket {
         if self.buckets.len() >= MANY_ENGINES {
             self.buckets
-                .retain(|_, bucket| now.since(bucket.filled_at) < FORGOTTEN_AFTER);
+                .retain(|_, bucket| now.since(bucket.filled_at) < UNUSED_AFTER);
         }
         let bucket = self.buckets.entry(engine).or_insert(Bucket {
             tokens: 0.0,
             filled_at: now,
-            next_turn: now,
+            last_retry: now,
         });
         let earned = rate * now.since(bucket.filled_at).as_secs_f64();
         bucket.tokens = (bucket.tokens + earned).min(capacity(rate));
@@ -121,9 +118,9 @@
 }
 
 fn rate_of(rate: RequestRate) -> f64 {
-    rate.as_per_second().max(LEAST_RATE)
+    rate.as_per_second().max(MIN_RATE)
 }
 
 fn capacity(rate: f64) -> f64 {
-    (rate * CAPACITY.as_secs_f64()).max(LEAST_CAPACITY)
+    (rate * CAPACITY.as_secs_f64()).max(MIN_CAPACITY)
 }
--- a/crates/routing/src/shared_rate/mod.rs
+++ b/crates/routing/src/shared_rate/mod.rs
@@ -1,18 +1,16 @@
-//! A rate of requests to an engine that all nodes keep together.
+//! A limit on the rate of requests to an engine, enforced by all nodes together.
 //!
-//! One node issues permits for an engine ([`PermitIssuer`]); a node that is to send it a request asks for one,
-//! and spends it when the request goes out ([`HeldPermits`]). Shares of the rate would not do: with `s` nodes
-//! that each hold a bucket of one request, `s + 4 q` go out in four seconds at the rate `q`, which for nine
-//! nodes is twice the rate of an engine that takes two a second; and a share that lies idle at one node is not
-//! there for another.
+//! One node issues permits for an engine ([`PermitIssuer`], a token bucket). The other nodes request permits from it,
+//! and use one for each request that they send ([`HeldPermits`]). Dividing the rate among nodes statically would not
+//! work: an idle node's part would be unused, and the bursts of many small buckets would add up to more than the limit.
 //!
-//! The sum, at a rate of `L` a second: an issuer gives out at most `C + L t` permits in a time `t`, where
-//! `C = max(2, L / 4)`, its bucket's capacity. A permit holds for a quarter of a second, so that of any window
-//! `w` those count that were given out within `w + 1/4`: `C + L (w + 1/4)`, in four seconds `4.5 L`, or
-//! `4.25 L + 2` where the engine takes less than eight a second. Where nodes disagree for a second on who
-//! issues, two do so: `L + C` more, `5.75 L` or `5.25 L + 4` in all. Buckets start empty.
+//! Bound on the requests sent at a rate of `L` per second: an issuer issues at most `C + L t` permits within a time
+//! `t`, where `C = max(2, L / 4)` is the capacity of its bucket. A permit is valid for a quarter of a second, so any
+//! window `w` contains permits issued within `w + 1/4`: at most `C + L (w + 1/4)`. In four seconds, that is `4.5 L`, or
+//! `4.25 L + 2` where `L` is less than 8. While nodes disagree for up to a second on which node issues, two of them do:
+//! at most `L + C` more, in total `5.75 L` or `5.25 L + 4`. Buckets start empty.
 //!
-//! Pure: times come in as arguments, and messages between nodes are its users'.
+//! Time is passed in, and callers exchange the messages between nodes.
 
 mod held_permits;
 mod issuer;
@@ -22,6 +20,6 @@
 
 use std::time::Duration;
 
-/// For how long a permit holds from the moment at which it was asked for: longer than a usual connection takes
-/// to come up, and short beside the windows in which a rate is counted.
+/// Validity of a permit, counted from when it was requested: long enough to open a connection, short compared with the
+/// windows over which a rate is measured.
 pub const PERMIT_LIFETIME: Duration = Duration::from_millis(250);
--- a/crates/routing/tests/shared_rate.rs
+++ b/crates/routing/tests/shared_rate.rs
@@ -1,7 +1,7 @@
-//! The requests that an engine with a limit gets, summed over the nodes, as the engine sees them.
+//! The rate of requests that all nodes together send to an engine with a limit.
 //!
-//! Virtual time, in milliseconds. Requests for leave and its answers take a while or are lost, nodes disagree for
-//! a time on who gives leave, issuers start anew, and a request goes out some time after its permit came.
+//! Simulated in steps of a millisecond: permit messages are delayed or lost, nodes disagree for a time on which node
+//! issues, an issuer restarts, and requests are sent some time after their permit was granted.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,20 +15,20 @@
 
 const ENGINE: EngineKey = EngineKey(7);
 
-/// The users' bound: in any four seconds, one and a half times the limit and five requests.
+/// Allowed in any window of four seconds: one and a half times the limit, plus five requests.
 const WINDOW_MS: u64 = 4_000;
 const FACTOR: f64 = 1.5;
 const EXTRA: f64 = 5.0;
 
-/// Longest time for which nodes disagree on who gives leave.
+/// Longest time for which nodes disagree on which node issues.
 const DISAGREEMENT_MS: u64 = 1_000;
 
-/// Longest way of a message where things go badly, and where they go well.
-const LONGEST_WAY_MS: u64 = 120;
-const USUAL_WAY_MS: u64 = 4;
+/// Largest message delay in a degraded and in a healthy network.
+const MAX_DELAY_MS: u64 = 120;
+const USUAL_DELAY_MS: u64 = 4;
 
-/// Longest time until a request goes out on a permit that is held: a connection is made.
-const LONGEST_CONNECT_MS: u64 = 300;
+/// Longest time from taking a permit to sending the request, for opening a connection.
+const MAX_CONNECT_MS: u64 = 300;
 
 const END_MS: u64 = 10_000;
 
@@ -36,15 +36,15 @@
 struct Run {
     nodes: usize,
     limit: f64,
-    /// Requests a millisecond and node.
+    /// Requests per millisecond and node.
     demand: f64,
     loss: f64,
-    longest_way: u64,
-    longest_connect: u64,
-    /// When the second issuer follows the first, and for how long nodes then disagree.
-    changes_at: u64,
+    max_delay: u64,
+    max_connect: u64,
+    /// When the second issuer replaces the first, and for how long nodes then disagree.
+    switch_at: u64,
     disagreement: u64,
-    /// When an issuer starts anew.
+    /// When the first issuer restarts.
     restarts_at: u64,
     seed: u64,
     end_ms: u64,
@@ -64,9 +64,9 @@
             limit,
             demand,
             loss,
-            longest_way: LONGEST_WAY_MS,
-            longest_connect: LONGEST_CONNECT_MS,
-            changes_at: times.0,
+            max_delay: MAX_DELAY_MS,
+            max_connect: MAX_CONNECT_MS,
+            switch_at: times.0,
             disagreement: times.1,
             restarts_at: times.2,
             seed,
@@ -74,35 +74,35 @@
         })
 }
 
-/// What happens at a millisecond.
-enum Happens {
-    Asked {
+/// A scheduled event.
+enum Event {
+    Requested {
         node: usize,
         issuer: usize,
         at: u64,
     },
-    Answered {
+    Granted {
         node: usize,
-        asked_at: u64,
+        requested_at: u64,
         grant: Grant,
     },
-    GoesOut {
+    Sent {
         permit: Permit,
         node: usize,
     },
 }
 
-/// When requests arrived at the engine.
+/// Arrival times of requests at the engine, in milliseconds.
 fn arrivals(run: &Run) -> Vec<u64> {
     let mut random = StdRng::seed_from_u64(run.seed);
     let rate = RequestRate::per_second(run.limit).expect("a rate");
     let mut issuers = [PermitIssuer::default(), PermitIssuer::default()];
     let mut held = vec![HeldPermits::default(); run.nodes];
-    // Each node hears of the change at a moment of its own.
-    let hears: Vec<u64> = (0..run.nodes)
-        .map(|_| run.changes_at + random.random_range(0..=run.disagreement))
+    // Each node learns of the new issuer at a different time.
+    let switch_times: Vec<u64> = (0..run.nodes)
+        .map(|_| run.switch_at + random.random_range(0..=run.disagreement))
         .collect();
-    let mut coming: HashMap<u64, Vec<Happens>> = HashMap::new();
+    let mut scheduled: HashMap<u64, Vec<Event>> = HashMap::new();
     let mut arrived = Vec::new();
     for ms in 0..run.end_ms {
         let now = MonotonicTime::from_millis(ms);
@@ -115,57 +115,57 @@
                 continue;
             }
             if let Some(permit) = held[node].take(now, ENGINE) {
-                let at = ms + random.random_range(0..run.longest_connect);
-                coming
+                let at = ms + random.random_range(0..run.max_connect);
+                scheduled
                     .entry(at)
                     .or_default()
-                    .push(Happens::GoesOut { permit, node });
+                    .push(Event::Sent { permit, node });
             } else if !random.random_bool(run.loss) {
-                let issuer = usize::from(ms >= hears[node]);
-                let at = ms + random.random_range(0..run.longest_way);
-                let asked = Happens::Asked {
+                let issuer = usize::from(ms >= switch_times[node]);
+                let at = ms + random.random_range(0..run.max_delay);
+                let requested = Event::Requested {
                     node,
                     issuer,
                     at: ms,
                 };
-                coming.entry(at).or_default().push(asked);
+                scheduled.entry(at).or_default().push(requested);
             }
         }
-        let mut now_happens = coming.remove(&ms).unwrap_or_default();
-        while let Some(event) = now_happens.pop() {
+        let mut events = scheduled.remove(&ms).unwrap_or_default();
+        while let Some(event) = events.pop() {
             match event {
-                Happens::Asked { node, issuer, at } => {
+                Event::Requested { node, issuer, at } => {
                     let grant = issuers[issuer].issue(now, ENGINE, rate);
                     if random.random_bool(run.loss) {
                         continue;
                     }
-                    let answered = Happens::Answered {
+                    let granted = Event::Granted {
                         node,
-                        asked_at: at,
+                        requested_at: at,
                         grant,
                     };
-                    let back = ms + 1 + random.random_range(0..run.longest_way);
-                    coming.entry(back).or_default().push(answered);
+                    let back = ms + 1 + random.random_range(0..run.max_delay);
+                    scheduled.entry(back).or_default().push(granted);
                 }
-                Happens::Answered {
+                Event::Granted {
                     node,
-                    asked_at,
+                    requested_at,
                     grant,
                 } => {
-                    let valid_until = MonotonicTime::from_millis(asked_at) + PERMIT_LIFETIME;
+                    let valid_until = MonotonicTime::from_millis(requested_at) + PERMIT_LIFETIME;
                     held[node].add(now, ENGINE, grant.permits, valid_until);
                     if grant.permits == 0 {
                         held[node].close(now, ENGINE, grant.retry_in);
                     } else if let Some(permit) = held[node].take(now, ENGINE) {
-                        // The request that asked.
-                        let at = ms + 1 + random.random_range(0..run.longest_connect);
-                        coming
+                        // Serves the request that caused the permit request.
+                        let at = ms + 1 + random.random_range(0..run.max_connect);
+                        scheduled
                             .entry(at)
                             .or_default()
-                            .push(Happens::GoesOut { permit, node });
+                            .push(Event::Sent { permit, node });
                     }
                 }
-                Happens::GoesOut { permit, node } => {
+                Event::Sent { permit, node } => {
                     if !permit.is_valid(now) {
                         held[node].give_back(permit);
                     } else {
@@ -178,7 +178,7 @@
     arrived
 }
 
-/// Most in any window.
+/// Largest number of arrivals in any window.
 fn most_in_a_window(arrived: &[u64]) -> usize {
     let until = |at: u64| arrived.partition_point(|other| *other < at + WINDOW_MS);
     let counts = arrived.iter().enumerate();
@@ -186,16 +186,16 @@
     counts.max().unwrap_or_default()
 }
 
-/// Nothing is lost and nothing late; one issuer.
-fn calm(nodes: usize, limit: f64, demand: f64, seed: u64) -> Run {
+/// One issuer, no loss and short delays.
+fn ideal(nodes: usize, limit: f64, demand: f64, seed: u64) -> Run {
     Run {
         nodes,
         limit,
         demand,
         loss: 0.0,
-        longest_way: USUAL_WAY_MS,
-        longest_connect: USUAL_WAY_MS,
-        changes_at: END_MS,
+        max_delay: USUAL_DELAY_MS,
+        max_connect: USUAL_DELAY_MS,
+        switch_at: END_MS,
         disagreement: 0,
         restarts_at: END_MS,
         seed,
@@ -206,7 +206,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// Whatever is lost, late or held for another's, no window has more than the engine allows.
+    /// The limit holds with lost and late messages, restarts and disagreement on the issuer.
     #[test]
     fn no_window_has_more_than_the_engine_allows(run in run()) {
         let allowed = FACTOR * run.limit * WINDOW_MS as f64 / 1e3 + EXTRA;
@@ -214,45 +214,44 @@
         prop_assert!(most as f64 <= allowed, "{most} of {allowed}");
     }
 
-    /// Where four times as many requests come as the engine takes, most of what it takes is used. Requests don't
-    /// wait for a permit, so that of a bucket of one `4 / (1 + 4)` is used on average.
+    /// With demand at four times the limit, most of the limit is used. Requests don't wait for a permit, so a bucket of
+    /// one would be used to `4 / (1 + 4)` on average.
     #[test]
-    fn a_limit_is_used(limit in 2.0..40.0_f64, nodes in 1..20_usize, seed in any::<u64>()) {
+    fn most_of_a_limit_is_used(limit in 2.0..40.0_f64, nodes in 1..20_usize, seed in any::<u64>()) {
         let demand = (4.0 * limit / 1e3 / nodes as f64).min(0.5);
-        let run = calm(nodes, limit, demand, seed);
+        let run = ideal(nodes, limit, demand, seed);
         let got = arrivals(&run).len() as f64;
         let wanted = limit * END_MS as f64 / 1e3;
         prop_assert!(got >= 0.6 * wanted, "{got} of {wanted}");
     }
 }
 
-/// An engine that takes nothing is called now and then, each ten seconds at most: it may take requests again, and
-/// nobody else can tell.
+/// An engine with a limit of zero still gets a request about every ten seconds, so that it can announce a new limit.
 #[test]
-fn an_engine_that_takes_nothing_is_asked_now_and_then() {
+fn an_engine_with_a_limit_of_zero_still_gets_occasional_requests() {
     let run = Run {
         end_ms: 25_000,
-        ..calm(9, 0.0, 0.01, 1)
+        ..ideal(9, 0.0, 0.01, 1)
     };
     let arrived = arrivals(&run);
     assert!((1..=2).contains(&arrived.len()), "{arrived:?}");
     assert!(arrived.windows(2).all(|pair| pair[1] - pair[0] >= 9_000));
 }
 
-/// Those that ask in vain are given different turns.
+/// Nodes that get no permit are told to retry at different times.
 #[test]
-fn turns_follow_each_other() {
+fn retries_are_spread() {
     let mut issuer = PermitIssuer::default();
     let rate = RequestRate::per_second(4.0).expect("a rate");
     let now = MonotonicTime::from_millis(1_000);
-    let turns = (0..4).map(|_| issuer.issue(now, ENGINE, rate).retry_in.as_micros());
-    let turns: Vec<u128> = turns.collect();
-    assert_eq!(turns, [250_000, 375_000, 500_000, 625_000]);
+    let delays = (0..4).map(|_| issuer.issue(now, ENGINE, rate).retry_in.as_micros());
+    let delays: Vec<u128> = delays.collect();
+    assert_eq!(delays, [250_000, 375_000, 500_000, 625_000]);
 }
 
-/// Calls that need no permit are taken off what follows.
+/// Requests sent without a permit delay later permits.
 #[test]
-fn calls_that_go_out_all_the_same_are_counted() {
+fn requests_without_a_permit_are_counted() {
     let mut issuer = PermitIssuer::default();
     let rate = RequestRate::per_second(4.0).expect("a rate");
     let start = MonotonicTime::from_millis(1_000);
