--- a/crates/routing/src/call_counts.rs
+++ b/crates/routing/src/call_counts.rs
@@ -1,25 +1,25 @@
-//! Which calls of one request are repeated ones, as the budget of repeated sends counts them.
+//! Counts the calls of one request, to tell which of them are repeated sends.
 //!
-//! Every call that reaches an engine counts, whatever it is for and whatever comes of it, but for the first
-//! prefill that an engine takes up. Repeated are all that count beyond the first.
+//! Every call that reaches an engine counts, whatever its purpose and outcome, except the first prefill that an engine
+//! accepts. Each counted call after the first is a repeated send.
 
-/// What a call to an engine is for.
+/// Purpose of a call to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallPurpose {
-    /// To prefill the prompt.
+    /// Prefills the prompt.
     Prefill,
-    /// To run the request.
+    /// Runs the request.
     Run,
 }
 
-/// What is known of a call once it is over.
+/// Outcome of a call to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The engine took it up.
+    /// The engine accepted it.
     Accepted,
-    /// The engine refused it, or nothing shows that it took it up.
+    /// The engine refused it, or there is no proof that it accepted it.
     NotAccepted,
-    /// Nothing of it reached the engine.
+    /// Nothing was sent to the engine.
     NotDelivered,
 }
 
@@ -28,18 +28,18 @@
 pub struct CallCounts {
     /// Calls that count.
     counted: u32,
-    /// Whether an engine took a prefill up.
+    /// Whether an engine has accepted a prefill.
     is_prefilled: bool,
 }
 
 impl CallCounts {
-    /// Whether a call that is about to be made must be taken from the budget. A prefill is taken before it
-    /// is known whether it counts.
+    /// Whether the next call must be taken from the retry budget. This includes prefills, although one may turn out not
+    /// to count.
     pub fn is_repeat(&self) -> bool {
         self.counted > 0
     }
 
-    /// Notes how a call came out; whether it does not count, so that what was taken for it is given back.
+    /// Records the outcome of a call. Returns whether the call does not count, so that its budget is to be given back.
     pub fn record(&mut self, purpose: CallPurpose, outcome: CallOutcome) -> bool {
         let is_first_prefill = purpose == CallPurpose::Prefill && !self.is_prefilled;
         match outcome {
--- a/crates/routing/src/choice.rs
+++ b/crates/routing/src/choice.rs
@@ -1,17 +1,17 @@
-//! Choice among the engines that may take a request.
+//! Selects the best of the engines that are eligible for a request.
 
 use dalestand_types::Role;
 use rand::Rng;
 
 use crate::config::RouterConfig;
+use crate::eligible_engines::{EligibleEngine, EligibleEngines, holders_to_front};
 use crate::estimate::{Estimate, Estimator};
 use crate::prefix::KnownPrefix;
 use crate::request::Placement;
-use crate::sample::draw_front;
-use crate::usables::{Usable, Usables, holders_to_front};
+use crate::sample::sample_to_front;
 use crate::view::EngineView;
 
-/// The best choice of one kind.
+/// The selected engine and what it is expected to do.
 pub(crate) struct Choice<'a> {
     pub(crate) engine: &'a EngineView,
     pub(crate) placement: Placement,
@@ -19,24 +19,24 @@
     score_s: f64,
 }
 
-/// Chooses for one request.
+/// Selects engines for one request.
 pub(crate) struct Chooser<'r> {
     pub(crate) config: &'r RouterConfig,
     pub(crate) estimator: Estimator<'r>,
 }
 
 impl Chooser<'_> {
-    /// One engine for all of it, or a prompt engine with the output elsewhere, whichever is
-    /// expected to end first.
+    /// Selects one engine for the whole request, or a prefill engine if running prefill and decode on different engines
+    /// is expected to complete earlier.
     pub(crate) fn choose_start<'a, R: Rng>(
         &self,
-        usables: &mut Usables<'a>,
+        eligible: &mut EligibleEngines<'a>,
         random: &mut R,
         note: &mut impl FnMut(&EngineView, f64),
     ) -> Option<Choice<'a>> {
         let whole = self.choose(
             self.estimator.prefix,
-            &mut usables.whole,
+            &mut eligible.whole,
             random,
             |engine, role| {
                 let estimate = self.estimator.whole(engine, role);
@@ -50,7 +50,7 @@
             estimate,
             score_s,
         });
-        let split = self.choose_split(usables, random, note);
+        let split = self.choose_split(eligible, random, note);
         match (whole, split) {
             (Some(whole), Some(split)) if split.score_s < whole.score_s => Some(split),
             (None, split) => split,
@@ -58,30 +58,30 @@
         }
     }
 
-    /// The prompt on one engine and the output on another.
+    /// Selects a prefill engine, given the best engine for the decode phase.
     fn choose_split<'a, R: Rng>(
         &self,
-        usables: &mut Usables<'a>,
+        eligible: &mut EligibleEngines<'a>,
         random: &mut R,
         note: &mut impl FnMut(&EngineView, f64),
     ) -> Option<Choice<'a>> {
-        if usables.prefill.is_empty() {
+        if eligible.prefill.is_empty() {
             return None;
         }
-        let mut silent = |_: &EngineView, _: f64| ();
-        let output = self.choose_decode(&mut usables.decode, random, &mut silent)?;
+        let mut ignore = |_: &EngineView, _: f64| ();
+        let decode = self.choose_decode(&mut eligible.decode, random, &mut ignore)?;
         let (engine, estimate, score_s) = self.choose(
             self.estimator.prefix,
-            &mut usables.prefill,
+            &mut eligible.prefill,
             random,
             |engine, role| {
-                let mut estimate = self.estimator.prompt(engine, role);
-                if engine.engine == output.engine.engine {
-                    // That would be the whole request on one engine.
+                let mut estimate = self.estimator.prefill_only(engine, role);
+                if engine.engine == decode.engine.engine {
+                    // Both phases on one engine are covered by `Placement::Whole`.
                     return (estimate, f64::INFINITY);
                 }
-                estimate.first_token_s += output.estimate.first_token_s;
-                estimate.output_s = output.estimate.output_s;
+                estimate.first_token_s += decode.estimate.first_token_s;
+                estimate.output_s = decode.estimate.output_s;
                 note(engine, estimate.score_s());
                 (estimate, estimate.score_s())
             },
@@ -96,12 +96,12 @@
 
     pub(crate) fn choose_decode<'a, R: Rng>(
         &self,
-        usable: &mut [Usable<'a>],
+        eligible: &mut [EligibleEngine<'a>],
         random: &mut R,
         note: &mut impl FnMut(&EngineView, f64),
     ) -> Option<Choice<'a>> {
-        let (engine, estimate, score_s) = self.choose(None, usable, random, |engine, role| {
-            let estimate = self.estimator.output(engine, role);
+        let (engine, estimate, score_s) = self.choose(None, eligible, random, |engine, role| {
+            let estimate = self.estimator.decode_only(engine, role);
             note(engine, estimate.whole_s());
             (estimate, estimate.whole_s())
         })?;
@@ -113,19 +113,19 @@
         })
     }
 
-    /// Draws some engines, with those that are likely to hold the prefix, and takes the best.
+    /// Evaluates a random sample of engines and those likely to have the prefix cached, and takes the best.
     fn choose<'a, R: Rng>(
         &self,
         prefix: Option<&KnownPrefix>,
-        usable: &mut [Usable<'a>],
+        eligible: &mut [EligibleEngine<'a>],
         random: &mut R,
         mut estimate: impl FnMut(&'a EngineView, Role) -> (Estimate, f64),
     ) -> Option<(&'a EngineView, Estimate, f64)> {
-        let mut front = prefix.map_or(0, |prefix| holders_to_front(prefix, usable));
-        let sample_size = self.sample_size(usable);
-        front += draw_front(&mut usable[front..], sample_size, random);
+        let mut front = prefix.map_or(0, |prefix| holders_to_front(prefix, eligible));
+        let sample_size = self.sample_size(eligible);
+        front += sample_to_front(&mut eligible[front..], sample_size, random);
         let mut best: Option<(&EngineView, Estimate, f64)> = None;
-        for (engine, role) in &usable[..front] {
+        for (engine, role) in &eligible[..front] {
             let (estimate, score_s) = estimate(engine, *role);
             if best.as_ref().is_none_or(|(_, _, lowest)| score_s < *lowest) {
                 best = Some((engine, estimate, score_s));
@@ -134,20 +134,21 @@
         best
     }
 
-    /// Candidates to draw: all of a few where this node sends much of their load, else a sample.
-    fn sample_size(&self, usable: &[Usable<'_>]) -> usize {
-        if usable.len() > self.config.look_at_all {
+    /// Number of engines to sample. If there are few and this node sends much of their load, all are evaluated: its own
+    /// requests are known at once, so it does not overload an engine that an old report shows as idle.
+    fn sample_size(&self, eligible: &[EligibleEngine<'_>]) -> usize {
+        if eligible.len() > self.config.full_scan_limit {
             return self.config.sample_size;
         }
-        let held = usable
+        let held = eligible
             .iter()
             .map(|(engine, _)| engine.running + engine.waiting);
-        let own = usable
+        let own = eligible
             .iter()
-            .map(|(engine, _)| self.estimator.tracks.own_work(engine).in_flight);
+            .map(|(engine, _)| self.estimator.sent_requests.own_work(engine).in_flight);
         let (held, own) = (f64::from(held.sum::<u32>()), f64::from(own.sum::<u32>()));
-        if own >= self.config.own_share_to_look_at_all * held {
-            usable.len()
+        if own >= self.config.full_scan_own_share * held {
+            eligible.len()
         } else {
             self.config.sample_size
         }
--- a/crates/routing/src/class_meter.rs
+++ b/crates/routing/src/class_meter.rs
@@ -1,17 +1,17 @@
-//! What this node counts of the requests of one pool and one priority, as means over the last seconds.
+//! Counts this node's requests of one pool and priority, as rates over the last seconds.
 
 use dalestand_types::MonotonicTime;
 
 use crate::figures::ClassFigures;
 
-/// Time constant of the rates, in seconds: shorter than the shifts of demand that room and shares follow, which take
-/// three seconds, and long enough that a node with ten requests a second sees some tens of them.
+/// Time constant of the rates, in seconds: short enough to follow changes in demand, long enough for a stable rate at a
+/// node with few requests.
 pub(crate) const RATE_TIME_CONSTANT_S: f64 = 2.0;
 
-/// An event rate that fades.
+/// Rate of events, averaged with exponential decay.
 #[derive(Clone, Copy, Debug)]
 pub struct DecayingRate {
-    time_s: f64,
+    time_constant_s: f64,
     per_s: f64,
     counted_at: MonotonicTime,
 }
@@ -23,61 +23,60 @@
 }
 
 impl DecayingRate {
-    /// No events yet; they fade with a time constant of `time_s` seconds.
-    pub fn with_time_constant(time_s: f64) -> Self {
+    /// A rate of zero that decays with the given time constant in seconds.
+    pub fn with_time_constant(time_constant_s: f64) -> Self {
         Self {
-            time_s,
+            time_constant_s,
             per_s: 0.0,
             counted_at: MonotonicTime::ZERO,
         }
     }
 
-    /// Counts `amount` at `now`.
+    /// Counts `amount` events at `now`.
     pub fn count(&mut self, now: MonotonicTime, amount: f64) {
-        self.per_s = self.at(now) + amount / self.time_s;
+        self.per_s = self.at(now) + amount / self.time_constant_s;
         self.counted_at = now;
     }
 
-    /// Takes in what another counted.
+    /// Adds the events that `other` has counted.
     pub fn add(&mut self, now: MonotonicTime, other: &Self) {
         self.per_s = self.at(now) + other.at(now);
         self.counted_at = now;
     }
 
-    /// The rate at `now`, a second.
+    /// The rate at `now`, in events per second.
     pub fn at(&self, now: MonotonicTime) -> f64 {
         let passed_s = now.since(self.counted_at).as_secs_f64();
-        self.per_s * (-passed_s / self.time_s).exp()
+        self.per_s * (-passed_s / self.time_constant_s).exp()
     }
 }
 
-/// Counts of one class of requests at this node.
+/// Counts of this node's requests of one class (pool and priority).
 #[derive(Clone, Debug, Default)]
 pub struct ClassMeter {
-    /// Requests that came for the first time.
+    /// Requests that arrived for the first time.
     pub asked: DecayingRate,
-    /// Requests that came back after a refusal.
+    /// Requests that callers retried after a refusal.
     pub returned: DecayingRate,
     /// Requests that an engine began to answer.
     pub begun: DecayingRate,
     /// Requests that were refused.
     pub refused: DecayingRate,
-    /// Those among them whose tenant was over its share.
+    /// Those refused because their tenant was over its share.
     pub over_share: DecayingRate,
     /// Calls that engines refused.
     pub engine_refusals: DecayingRate,
     /// Prompt tokens that engines had to prefill.
     pub prefill_tokens: DecayingRate,
-    /// Slots of engines that requests of this node take up now.
+    /// Engine slots in use by requests of this node.
     pub busy_slots: u32,
-    /// Requests that wait at this node for a place at an engine.
+    /// Requests queued at this node.
     pub waiting: u32,
-    /// Callers that were given a time to come back which is not over.
+    /// Refused callers whose retry delay has not passed.
     pub returns_due: u32,
 }
 
 impl ClassMeter {
-    /// The figures at `now`.
     pub fn figures(&self, now: MonotonicTime) -> ClassFigures {
         ClassFigures {
             asked_per_s: self.asked.at(now) as f32,
--- a/crates/routing/src/usables.rs
+++ b/crates/routing/src/eligible_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that may take a request, sorted by what they may do for it.
+//! Finds the engines that are eligible for a request, by placement.
 
 use dalestand_decision::{Candidate, Exclusion};
 use dalestand_types::{MonotonicTime, Role};
@@ -8,47 +8,47 @@
 use crate::request::{RoutePhase, RouteRequest};
 use crate::view::{EngineView, FleetView};
 
-/// Engines left out that a decision keeps for the account.
-const EXCLUSIONS_KEPT: usize = 16;
+/// Most excluded engines recorded with a decision.
+const MAX_EXCLUSIONS: usize = 16;
 
-/// An engine that may take the request, with the role it serves in.
-pub(crate) type Usable<'a> = (&'a EngineView, Role);
+/// An engine that may take the request, with its role.
+pub(crate) type EligibleEngine<'a> = (&'a EngineView, Role);
 
-/// Engines by what they may do for the request.
+/// Engines by what they may do for the request, and the excluded ones.
 #[derive(Default)]
-pub(crate) struct Usables<'a> {
-    pub(crate) whole: Vec<Usable<'a>>,
-    pub(crate) prefill: Vec<Usable<'a>>,
-    pub(crate) decode: Vec<Usable<'a>>,
+pub(crate) struct EligibleEngines<'a> {
+    pub(crate) whole: Vec<EligibleEngine<'a>>,
+    pub(crate) prefill: Vec<EligibleEngine<'a>>,
+    pub(crate) decode: Vec<EligibleEngine<'a>>,
     pub(crate) excluded: Vec<Candidate>,
     pub(crate) full: bool,
 }
 
-impl<'a> Usables<'a> {
-    /// The engines of `view` that may take the request, and why others may not.
+impl<'a> EligibleEngines<'a> {
+    /// Sorts the engines of `view` that serve the request's model into eligible and excluded ones.
     pub(crate) fn of(
         config: &RouterConfig,
         now: MonotonicTime,
         view: &'a FleetView,
         request: &RouteRequest,
     ) -> Self {
-        let mut usables = Self::default();
+        let mut eligible = Self::default();
         for engine in &view.engines {
             if !engine.serves(&request.model, request.adapter.as_ref()) {
                 continue;
             }
             let exclusion = match role_or_exclusion(config, now, engine, request) {
                 Ok(role) => {
-                    if usables.add(engine, role, request) {
+                    if eligible.add(engine, role, request) {
                         continue;
                     }
                     Exclusion::WrongRole
                 }
                 Err(exclusion) => exclusion,
             };
-            usables.full |= exclusion == Exclusion::Full;
-            if usables.excluded.len() < EXCLUSIONS_KEPT {
-                usables.excluded.push(Candidate {
+            eligible.full |= exclusion == Exclusion::Full;
+            if eligible.excluded.len() < MAX_EXCLUSIONS {
+                eligible.excluded.push(Candidate {
                     engine: engine.engine.clone(),
                     score: None,
                     exclusion: Some(exclusion),
@@ -56,10 +56,10 @@
                 });
             }
         }
-        usables
+        eligible
     }
 
-    /// Sorts an engine by what it may do; yields whether it may do anything.
+    /// Adds an engine for what it may do. Returns false if its role does not fit the request.
     fn add(&mut self, engine: &'a EngineView, role: Role, request: &RouteRequest) -> bool {
         if let RoutePhase::Prefilled { .. } = request.phase {
             if role.runs_decode() {
@@ -83,52 +83,52 @@
     }
 }
 
-/// The highest weight among the engines that may run the prompt: that of the prefix's home.
-pub(crate) fn home_weight(prefix: Option<&KnownPrefix>, usables: &Usables<'_>) -> u64 {
+/// The highest rendezvous weight among the engines that may run the prefill: that of the prefix's home.
+pub(crate) fn home_weight(prefix: Option<&KnownPrefix>, eligible: &EligibleEngines<'_>) -> u64 {
     let Some(prefix) = prefix else {
         return 0;
     };
-    let prompt_engines = usables.whole.iter().chain(&usables.prefill);
-    prompt_engines
+    let prefill_engines = eligible.whole.iter().chain(&eligible.prefill);
+    prefill_engines
         .map(|(engine, _)| rendezvous_weight(prefix.hash, engine_hash(&engine.engine)))
         .max()
         .unwrap_or(0)
 }
 
-/// Moves the engines likely to hold the prefix to the front: its home, and those this node sent it
-/// to. Yields their number.
-pub(crate) fn holders_to_front(prefix: &KnownPrefix, usable: &mut [Usable<'_>]) -> usize {
+/// Moves the engines likely to have the prefix cached to the front: its home, and those that this node sent it to.
+/// Returns their number.
+pub(crate) fn holders_to_front(prefix: &KnownPrefix, eligible: &mut [EligibleEngine<'_>]) -> usize {
     let mut front = 0;
     let mut home: Option<(usize, u64)> = None;
-    for place in 0..usable.len() {
-        let hash = engine_hash(&usable[place].0.engine);
+    for index in 0..eligible.len() {
+        let hash = engine_hash(&eligible[index].0.engine);
         let weight = rendezvous_weight(prefix.hash, hash);
-        let heaviest = home.is_none_or(|(_, known)| weight > known);
+        let is_heaviest = home.is_none_or(|(_, highest)| weight > highest);
         if prefix.held_by(hash) {
-            usable.swap(place, front);
-            if let Some((known, _)) = &mut home
-                && *known == front
+            eligible.swap(index, front);
+            if let Some((home_index, _)) = &mut home
+                && *home_index == front
             {
-                *known = place;
+                *home_index = index;
             }
-            if heaviest {
+            if is_heaviest {
                 home = Some((front, weight));
             }
             front += 1;
-        } else if heaviest {
-            home = Some((place, weight));
+        } else if is_heaviest {
+            home = Some((index, weight));
         }
     }
     match home {
-        Some((place, _)) if place >= front => {
-            usable.swap(place, front);
+        Some((index, _)) if index >= front => {
+            eligible.swap(index, front);
             front + 1
         }
         _ => front,
     }
 }
 
-/// The engine's role if it may take work, or why it may not.
+/// The engine's role if it may take the request, or why it is excluded.
 fn role_or_exclusion(
     config: &RouterConfig,
     now: MonotonicTime,
--- a/crates/routing/src/figures.rs
+++ b/crates/routing/src/figures.rs
@@ -1,4 +1,4 @@
-//! What nodes count of pools, tenants and engines, in figures that add up over all nodes.
+//! Figures that nodes count of pools, tenants and engines, and that can be summed over all nodes.
 
 use std::ops::AddAssign;
 
@@ -7,43 +7,43 @@
 
 use crate::prefix::text_hash;
 
-/// Above this a figure is taken for an error: a hundred times what the largest fleet is asked in a second.
-const MOST_PER_S: f32 = 1e6;
+/// Figures above this are rejected as implausible; far above the requests per second of the largest fleet.
+const MAX_PER_S: f32 = 1e6;
 
-/// The same for tokens a second.
-const MOST_TOKENS_PER_S: f32 = 1e9;
+/// The same for tokens per second.
+const MAX_TOKENS_PER_S: f32 = 1e9;
 
-fn is_rate(value: f32, most: f32) -> bool {
-    (0.0..=most).contains(&value)
+fn is_plausible(value: f32, max: f32) -> bool {
+    (0.0..=max).contains(&value)
 }
 
-/// Requests of one pool and one priority. Each is a mean over the last seconds.
+/// Requests of one pool and priority, as means over the last seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassFigures {
-    /// Requests a second that came for the first time, served or not.
+    /// Requests per second that arrived for the first time, whether served or not.
     pub asked_per_s: f32,
-    /// Requests a second that came back after a refusal.
+    /// Requests per second that callers retried after a refusal.
     pub returned_per_s: f32,
-    /// Requests a second that an engine began to answer.
+    /// Requests per second that an engine began to answer.
     pub begun_per_s: f32,
-    /// Requests a second that were refused.
+    /// Requests per second that were refused.
     pub refused_per_s: f32,
-    /// Those among them whose tenant was over its share.
+    /// Requests per second that were refused because their tenant was over its share.
     pub over_share_per_s: f32,
-    /// Calls a second that engines refused.
+    /// Calls per second that engines refused.
     pub engine_refusals_per_s: f32,
-    /// Slots of engines that answers took up, on average.
+    /// Engine slots in use, on average.
     pub busy_slots: f32,
-    /// Prompt tokens a second that engines had to prefill.
+    /// Prompt tokens per second that engines had to prefill.
     pub prefill_tokens_per_s: f32,
-    /// Requests that wait at nodes for a place at an engine.
+    /// Requests queued at nodes.
     pub waiting: f32,
-    /// Callers that were given a time to come back which is not over.
+    /// Refused callers whose retry delay has not passed.
     pub returns_due: f32,
 }
 
 impl ClassFigures {
-    /// Whether each figure is one that a node can have counted.
+    /// Whether all figures are plausible: not negative, not too large, and numbers.
     pub fn is_sound(&self) -> bool {
         let rates = [
             self.asked_per_s,
@@ -57,8 +57,8 @@
             self.returns_due,
         ];
         let mut rates = rates.into_iter();
-        rates.all(|rate| is_rate(rate, MOST_PER_S))
-            && is_rate(self.prefill_tokens_per_s, MOST_TOKENS_PER_S)
+        rates.all(|rate| is_plausible(rate, MAX_PER_S))
+            && is_plausible(self.prefill_tokens_per_s, MAX_TOKENS_PER_S)
     }
 }
 
@@ -77,18 +77,19 @@
     }
 }
 
-/// Work of requests, in both units in which a pool can be short.
+/// Work of requests, in both units in which a pool's capacity is measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkRate {
-    /// Slots of engines that it takes up, on average.
+    /// Engine slots in use, on average.
     pub slots: f32,
-    /// Prompt tokens a second that engines have to prefill for it.
+    /// Prompt tokens per second that engines have to prefill.
     pub prompt_tokens_per_s: f32,
 }
 
 impl WorkRate {
     fn is_sound(&self) -> bool {
-        is_rate(self.slots, MOST_PER_S) && is_rate(self.prompt_tokens_per_s, MOST_TOKENS_PER_S)
+        is_plausible(self.slots, MAX_PER_S)
+            && is_plausible(self.prompt_tokens_per_s, MAX_TOKENS_PER_S)
     }
 }
 
@@ -99,17 +100,17 @@
     }
 }
 
-/// What one tenant asks of a pool. Each is a mean over the last seconds.
+/// Demand and throughput of one tenant in a pool, as means over the last seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct TenantFigures {
-    /// Work that it asks for, served or not, repeats among it.
+    /// Work asked for, whether served or not, including retries.
     pub asked: WorkRate,
-    /// Work that engines began for it.
+    /// Work that engines began.
     pub begun: WorkRate,
 }
 
 impl TenantFigures {
-    /// Whether each figure is one that a node can have counted.
+    /// Whether all figures are plausible: not negative, not too large, and numbers.
     pub fn is_sound(&self) -> bool {
         self.asked.is_sound() && self.begun.is_sound()
     }
@@ -122,48 +123,48 @@
     }
 }
 
-/// A short number for a tenant: names may be long.
+/// Fixed-size identifier of a tenant, since tenant names may be long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct TenantCode(pub u64);
 
 impl TenantCode {
-    /// All tenants that no other row names.
+    /// All tenants without a row of their own.
     pub const OTHERS: Self = Self(0);
 
-    /// Callers that show no key, together.
+    /// All callers without a key.
     pub const ANONYMOUS: Self = Self(1);
 
-    /// The number of a tenant, the same at all nodes. Two tenants with the same number share one part.
+    /// The code of a tenant, the same at all nodes. Tenants with colliding codes share one row and one share.
     pub fn of(name: &TenantName) -> Self {
         Self(text_hash(name.as_str()).max(Self::ANONYMOUS.0 + 1))
     }
 }
 
-/// How slow one engine is at one kind of work, as a sum of weighted observations: that of several nodes is the
-/// sum of theirs.
+/// Slowness of one engine at one kind of work, as sums of weighted observations that can be added over nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SlownessFigures {
-    /// Observations, each counted less the longer ago it was.
+    /// Number of observations, weighted by recency.
     pub weight: f32,
-    /// Sum of the logarithms of the time taken over the usual one, weighted alike.
+    /// Sum of the logarithms of the ratio of actual to usual time, with the same weights.
     pub log_slowness: f32,
 }
 
-/// Observations that one node can have of one engine, each counted less the longer ago it was.
-const MOST_WEIGHT: f32 = 1e4;
+/// Largest plausible weight that one node reports of one engine.
+const MAX_WEIGHT: f32 = 1e4;
 
-/// Engines are taken to differ by this factor at most, as a logarithm.
-const MOST_LOG_SLOWNESS: f32 = 4.0;
+/// Largest plausible slowness, as a logarithm.
+const MAX_LOG_SLOWNESS: f32 = 4.0;
 
 impl SlownessFigures {
-    /// Whether the figures are such that nodes can have counted them.
+    /// Whether the figures are plausible.
     pub fn is_sound(&self) -> bool {
-        is_rate(self.weight, MOST_WEIGHT * 1e3)
-            && self.log_slowness.abs() <= self.weight * MOST_LOG_SLOWNESS
+        is_plausible(self.weight, MAX_WEIGHT * 1e3)
+            && self.log_slowness.abs() <= self.weight * MAX_LOG_SLOWNESS
     }
 
-    /// The time taken over the usual one, where `prior` observations of a usual engine count beside.
+    /// Ratio of actual to usual time; 1 for an engine of usual speed. `prior` observations of that ratio are added, so
+    /// that few observations have little effect.
     pub fn slowness(&self, prior: f32) -> f64 {
         let weight = self.weight + prior;
         if weight > 0.0 {
@@ -181,13 +182,13 @@
     }
 }
 
-/// Kinds of work at which an engine may be slow by itself.
+/// Kinds of work for which an engine's slowness is tracked separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum WorkKind {
-    /// It prefills prompts.
+    /// Prefilling prompts.
     Prefill,
-    /// It generates.
+    /// Generating output tokens.
     Decode,
-    /// It serves requests that are no prompts.
+    /// Serving requests without a prompt.
     Opaque,
 }
--- a/crates/routing/src/learning.rs
+++ b/crates/routing/src/learning.rs
@@ -1,33 +1,33 @@
-//! Speeds of engines, learnt from what they do with this node's requests.
+//! Learns the speeds of engines from this node's requests.
 
 use std::collections::HashMap;
 
 use dalestand_types::{EngineId, ModelName, PoolName, Role};
 
-/// Weight kept by older observations when a new one comes in.
-const FORGETTING: f64 = 0.98;
+/// Factor applied to the weight of older observations with each new one.
+const DECAY: f64 = 0.98;
 
-/// Observations that the prior counts for.
+/// Weight of the prior, in observations.
 const PRIOR_WEIGHT: f64 = 8.0;
 
-/// Weight of a new observation in an average.
+/// Weight of a new observation in a moving average.
 const NEW_WEIGHT: f64 = 0.05;
 
-/// Slowness of one engine against its pool is kept within these bounds.
+/// Bounds of an engine's slowness relative to its pool.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.5, 8.0);
 
-/// Speeds assumed before anything was learnt.
+/// Speeds assumed before any observation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PriorSpeeds {
-    /// Time of one queued prompt token, in seconds.
+    /// Prefill time per prompt token, in seconds.
     pub prefill_token_s: f64,
-    /// Time between output tokens of an engine with an empty batch, in seconds.
+    /// Time between output tokens at an engine with an empty batch, in seconds.
     pub token_gap_s: f64,
-    /// Added time between output tokens for each request it holds, in seconds.
+    /// Additional time between output tokens per request at the engine, in seconds.
     pub token_gap_per_request_s: f64,
-    /// Time to move the KV cache of one prompt token to another engine, in seconds.
+    /// Time to transfer the KV cache of one prompt token to another engine, in seconds.
     pub import_token_s: f64,
-    /// Output tokens generated as a share of the most asked for.
+    /// Output tokens as a fraction of the requested maximum.
     pub output_share: f64,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// A line through recent observations, held near a prior while there are few.
+/// Weighted linear regression over recent observations, regularised by a prior.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinearFit {
     weight: f64,
@@ -54,7 +54,7 @@
 }
 
 impl LinearFit {
-    /// A fit that follows `offset + slope * x` around `scale` until it has learnt.
+    /// A fit that starts as `offset + slope * x`. `scale` is a typical value of `x`.
     pub(crate) fn prior(offset: f64, slope: f64, scale: f64) -> Self {
         let mut fit = Self {
             weight: 0.0,
@@ -69,7 +69,7 @@
         fit
     }
 
-    /// Takes in one observation.
+    /// Adds one observation.
     pub(crate) fn observe(&mut self, x: f64, y: f64) {
         for sum in [
             &mut self.weight,
@@ -78,12 +78,12 @@
             &mut self.xx,
             &mut self.xy,
         ] {
-            *sum *= FORGETTING;
+            *sum *= DECAY;
         }
         self.add(x, y, 1.0);
     }
 
-    /// The value expected at `x`; never negative, and never falling with `x`.
+    /// The expected value at `x`; never negative, and never decreasing with `x`.
     pub(crate) fn at(&self, x: f64) -> f64 {
         let (mean_x, mean_y) = (self.x / self.weight, self.y / self.weight);
         let variance = self.xx / self.weight - mean_x * mean_x;
@@ -96,12 +96,12 @@
         (mean_y + slope * (x - mean_x)).max(0.0)
     }
 
-    /// How far it has left its prior behind, from 0 to 1.
+    /// Weight of the observations against the prior, from 0 (prior only) to 1.
     pub(crate) fn confidence(&self) -> f64 {
         (1.0 - PRIOR_WEIGHT / self.weight).max(0.0)
     }
 
-    /// How much the value rises for each unit of `x`, as seen over `span` from zero.
+    /// Mean increase per unit of `x`, between 0 and `span`.
     pub(crate) fn slope(&self, span: f64) -> f64 {
         (self.at(span) - self.at(0.0)) / span
     }
@@ -115,51 +115,51 @@
     }
 }
 
-/// What was learnt of a pool's engines in one role.
+/// Learnt speeds of a pool's engines in one role.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RoleSpeeds {
-    /// Time to the first token by prompt tokens ahead and own.
+    /// Time to the first token in seconds, by prompt tokens to prefill until then.
     pub(crate) first_token: LinearFit,
-    /// Time between tokens by requests held.
+    /// Time between tokens in seconds, by requests at the engine.
     pub(crate) token_gap: LinearFit,
-    /// Time to the first token after an import, by prompt tokens.
+    /// Time to the first token after a KV cache import in seconds, by prompt tokens.
     pub(crate) import: LinearFit,
-    /// Share of the prompt tokens expected in a prefix cache that were found there.
-    pub(crate) prefix_trust: f64,
+    /// Fraction of the prompt tokens expected in a prefix cache that were found there.
+    pub(crate) prefix_hit_rate: f64,
 }
 
 impl RoleSpeeds {
-    /// Speeds before anything was learnt.
+    /// Speeds before any observation.
     pub(crate) fn new(prior: &PriorSpeeds) -> Self {
         Self {
             first_token: LinearFit::prior(prior.token_gap_s, prior.prefill_token_s, 4_000.0),
             token_gap: LinearFit::prior(prior.token_gap_s, prior.token_gap_per_request_s, 64.0),
             import: LinearFit::prior(2.0 * prior.token_gap_s, prior.import_token_s, 4_000.0),
-            prefix_trust: 0.8,
+            prefix_hit_rate: 0.8,
         }
     }
 
-    /// Notes how much of an expected prefix was found.
+    /// Records how many of the expected prefix tokens were found in the cache.
     pub(crate) fn observe_prefix(&mut self, expected: u32, found: u32) {
         if expected == 0 {
             return;
         }
         let share = (f64::from(found) / f64::from(expected)).min(1.0);
-        self.prefix_trust += NEW_WEIGHT * (share - self.prefix_trust);
+        self.prefix_hit_rate += NEW_WEIGHT * (share - self.prefix_hit_rate);
     }
 }
 
-/// Everything a node has learnt of speeds.
+/// All speeds that a node has learnt.
 #[derive(Clone, Debug)]
-pub(crate) struct Learned {
+pub(crate) struct LearnedSpeeds {
     prior: PriorSpeeds,
     roles: HashMap<(PoolName, Role), RoleSpeeds>,
     output_shares: HashMap<ModelName, f64>,
     slowness: HashMap<EngineId, f64>,
 }
 
-impl Learned {
-    /// Nothing learnt yet.
+impl LearnedSpeeds {
+    /// No observations yet.
     pub(crate) fn new(prior: PriorSpeeds) -> Self {
         Self {
             prior,
@@ -175,7 +175,7 @@
         known.map_or_else(|| RoleSpeeds::new(&self.prior), |speeds| *speeds)
     }
 
-    /// Speeds of a pool's engines in a role, to be taught.
+    /// Speeds of a pool's engines in a role, for adding observations.
     pub(crate) fn role_mut(&mut self, pool: &PoolName, role: Role) -> &mut RoleSpeeds {
         let prior = &self.prior;
         self.roles
@@ -183,32 +183,32 @@
             .or_insert_with(|| RoleSpeeds::new(prior))
     }
 
-    /// Output tokens expected of a request.
+    /// Expected number of output tokens of a request.
     pub(crate) fn output_tokens(&self, model: &ModelName, max_tokens: u32) -> f64 {
         let share = self.output_shares.get(model).copied();
         f64::from(max_tokens) * share.unwrap_or(self.prior.output_share)
     }
 
-    /// Notes the length of an answer.
+    /// Records the length of an answer.
     pub(crate) fn observe_output(&mut self, model: &ModelName, max_tokens: u32, tokens: u32) {
         let prior = self.prior.output_share;
         let share = self.output_shares.entry(model.clone()).or_insert(prior);
-        let seen = f64::from(tokens) / f64::from(max_tokens.max(1));
-        *share += NEW_WEIGHT * (seen - *share);
+        let observed = f64::from(tokens) / f64::from(max_tokens.max(1));
+        *share += NEW_WEIGHT * (observed - *share);
     }
 
-    /// How much slower an engine is than its pool.
+    /// Slowness of an engine relative to its pool; 1 if unknown.
     pub(crate) fn slowness(&self, engine: &EngineId) -> f64 {
         self.slowness.get(engine).copied().unwrap_or(1.0)
     }
 
-    /// Notes how long an engine took against what was expected of its pool.
-    pub(crate) fn observe_slowness(&mut self, engine: &EngineId, seen_s: f64, expected_s: f64) {
+    /// Records how long an engine took, compared with the time expected for its pool.
+    pub(crate) fn observe_slowness(&mut self, engine: &EngineId, observed_s: f64, expected_s: f64) {
         if expected_s <= 0.0 {
             return;
         }
         let (low, high) = SLOWNESS_BOUNDS;
-        let ratio = (seen_s / expected_s).clamp(low, high);
+        let ratio = (observed_s / expected_s).clamp(low, high);
         let slowness = self.slowness.entry(engine.clone()).or_insert(1.0);
         *slowness += NEW_WEIGHT * (ratio - *slowness);
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,13 +1,14 @@
-//! Choice of an engine for a request, admission, limits and retry budgets.
+//! Engine selection for requests, admission control, tenant limits and retry budgets.
 //!
-//! Pure: time and random numbers come in as arguments, so the node and the simulator run the very
-//! same code.
+//! Deterministic and without I/O: time and random numbers are passed in, so that nodes and the simulator run the same
+//! code.
 
 mod admission;
 mod call_counts;
 mod choice;
 mod class_meter;
 mod config;
+mod eligible_engines;
 mod estimate;
 mod figures;
 mod learning;
@@ -18,13 +19,12 @@
 mod retry_budget;
 mod router;
 mod sample;
+mod sent_requests;
 pub mod shared_rate;
 mod shared_retry_budget;
 mod source_sums;
 pub mod staged;
 mod tenant_limits;
-mod track;
-mod usables;
 mod view;
 
 pub use admission::aged_priority;
@@ -40,8 +40,8 @@
 };
 pub use retry_budget::{FailedAttempt, FailureKind, RetryBudget, RetryBudgetConfig, RetryDecision};
 pub use router::Router;
+pub use sent_requests::{Completion, Ticket};
 pub use shared_retry_budget::{RepeatedSend, SharedRetryBudget, SharedRetryLimits};
 pub use source_sums::{SourceSums, Summable};
 pub use tenant_limits::{TenantDemand, TenantLimits, TenantRule, TenantTotals, summing_node};
-pub use track::{Completion, Ticket};
 pub use view::{EngineView, FleetView};
--- a/crates/routing/src/node_count.rs
+++ b/crates/routing/src/node_count.rs
@@ -1,61 +1,60 @@
-//! How many nodes there are, for what is divided among them.
+//! The number of nodes among which limits are divided.
 //!
-//! Each node takes its part of a bound by its own count. A count that is too low at one node lets the sum exceed
-//! the bound: by a third of it where three of nine nodes can't renew their entries, are taken for gone by the
-//! others, and go on with a ninth each. So a lower count holds only once it has been heard for a time, a higher one
-//! at once. Nodes that are gone for good leave their parts unused meanwhile.
+//! Each node takes its part of a limit by its own count of nodes. If the count is too low at some nodes, the parts add
+//! up to more than the limit, for example while other nodes cannot renew their registration. A lower count therefore
+//! takes effect only after a delay, and a higher one at once. The cost is that the parts of nodes that have left stay
+//! unused for that time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use dalestand_types::MonotonicTime;
 
-/// For how long a higher count holds after a lower one was heard: an outage in which entries lapse (15 s) and come
-/// back takes less.
-const HIGHER_HOLDS: Duration = Duration::from_secs(60);
+/// Delay before a lower count takes effect. Longer than an outage in which registrations expire (15 s) and are renewed.
+const DECREASE_DELAY: Duration = Duration::from_secs(60);
 
-/// The counts that were heard.
+/// Tracks the number of nodes.
 #[derive(Clone, Debug, Default)]
 pub struct NodeCount {
-    /// Falling counts, each with when it was last the highest.
-    held: VecDeque<(usize, MonotonicTime)>,
+    /// Recent counts in decreasing order, each with the time until which it was current.
+    recent: VecDeque<(usize, MonotonicTime)>,
 }
 
 impl NodeCount {
-    /// Notes a count heard at `now`; zero counts as one.
+    /// Records the count observed at `now`; zero counts as one.
     pub fn set(&mut self, now: MonotonicTime, nodes: usize) {
         let nodes = nodes.max(1);
         self.expire(now);
-        // What was the newest count held until now.
-        if let Some(newest) = self.held.back_mut() {
+        // The previous count was current until now.
+        if let Some(newest) = self.recent.back_mut() {
             newest.1 = now;
         }
-        while self.held.back().is_some_and(|(held, _)| *held <= nodes) {
-            self.held.pop_back();
+        while self.recent.back().is_some_and(|(count, _)| *count <= nodes) {
+            self.recent.pop_back();
         }
-        self.held.push_back((nodes, now));
+        self.recent.push_back((nodes, now));
     }
 
-    /// The highest count that holds at `now`; `None` before the first.
+    /// The count in effect at `now`: the highest of the recent ones. `None` before the first.
     pub fn get(&mut self, now: MonotonicTime) -> Option<usize> {
         self.expire(now);
-        self.held.front().map(|(nodes, _)| *nodes)
+        self.recent.front().map(|(nodes, _)| *nodes)
     }
 
-    /// The count that was heard last; `None` before the first.
+    /// The count that was recorded last; `None` before the first.
     pub fn newest(&self) -> Option<usize> {
-        self.held.back().map(|(nodes, _)| *nodes)
+        self.recent.back().map(|(nodes, _)| *nodes)
     }
 
-    /// The newest count holds, however old it is.
+    /// Removes outdated counts. The newest one is kept, however old it is.
     fn expire(&mut self, now: MonotonicTime) {
-        while self.held.len() > 1
+        while self.recent.len() > 1
             && self
-                .held
+                .recent
                 .front()
-                .is_some_and(|(_, until)| now.since(*until) > HIGHER_HOLDS)
+                .is_some_and(|(_, until)| now.since(*until) > DECREASE_DELAY)
         {
-            self.held.pop_front();
+            self.recent.pop_front();
         }
     }
 }
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,35 +1,35 @@
-//! Prefix affinity without messages: nodes that see the same leading prompt blocks come to the
-//! same engine by rendezvous hashing, and each remembers where it sent a prefix itself.
+//! Prefix affinity without messages between nodes: rendezvous hashing maps the same leading prompt blocks to the same
+//! engine at every node, and each node remembers where it has sent a prefix itself.
 
 use std::collections::{HashMap, VecDeque};
 
 use dalestand_types::EngineId;
 
-/// Bytes of the first block; each further block doubles the length.
+/// Length of the first block. Each further block doubles the length of the prefix.
 const FIRST_BLOCK_BYTES: usize = 512;
 
-/// Most blocks of one prompt.
+/// Most blocks per prompt.
 const MAX_BLOCKS: usize = 10;
 
-/// Bytes that are taken for one token.
+/// Assumed bytes per token.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// Engines remembered for one prefix.
-const HOLDERS_REMEMBERED: usize = 4;
+/// Most engines remembered per prefix.
+const MAX_HOLDERS: usize = 4;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
 
-/// A leading part of a prompt.
+/// A prefix of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptBlock {
-    /// Hash of the prompt up to the block's end.
+    /// Hash of the prefix.
     pub hash: u64,
-    /// Tokens up to the block's end, as estimated.
+    /// Estimated number of tokens of the prefix.
     pub tokens: u32,
 }
 
-/// The leading blocks of a prompt, each twice as long as the one before.
+/// The prefixes of a prompt, each twice as long as the one before.
 pub fn prompt_blocks(prompt: &str) -> Vec<PromptBlock> {
     let bytes = prompt.as_bytes();
     let mut blocks = Vec::new();
@@ -52,17 +52,17 @@
     })
 }
 
-/// A number for a text that all nodes agree on.
+/// Hash of a text, the same at all nodes.
 pub(crate) fn text_hash(text: &str) -> u64 {
     fnv(FNV_OFFSET, text.as_bytes())
 }
 
-/// A number for an engine that all nodes agree on.
+/// Hash of an engine's name, the same at all nodes.
 pub(crate) fn engine_hash(engine: &EngineId) -> u64 {
     text_hash(engine.as_str())
 }
 
-/// Weight of an engine for a prefix; the engine of the highest weight is the prefix's home.
+/// Rendezvous weight of an engine for a prefix. The engine with the highest weight is the prefix's home.
 pub fn rendezvous_weight(prefix: u64, engine: u64) -> u64 {
     let mut mixed = prefix ^ engine.rotate_left(32);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -70,24 +70,22 @@
     mixed ^ (mixed >> 31)
 }
 
-/// A prefix that this node has seen before.
+/// A prefix that this node has sent to an engine before.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KnownPrefix {
-    /// Hash of the prefix.
     pub(crate) hash: u64,
-    /// Its tokens.
     pub(crate) tokens: u32,
     holders: VecDeque<u64>,
 }
 
 impl KnownPrefix {
-    /// Whether this node has sent the prefix to that engine lately.
+    /// Whether this node has recently sent the prefix to that engine.
     pub(crate) fn held_by(&self, engine: u64) -> bool {
         self.holders.contains(&engine)
     }
 }
 
-/// Prefixes seen lately; bounded, the oldest go first.
+/// Recently sent prefixes. Bounded; the oldest are dropped first.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixMemory {
     capacity: usize,
@@ -96,7 +94,7 @@
 }
 
 impl PrefixMemory {
-    /// An empty memory for `capacity` prefixes.
+    /// An empty memory of up to `capacity` prefixes.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity,
@@ -105,7 +103,7 @@
         }
     }
 
-    /// The longest leading part of the prompt that was seen before.
+    /// The longest known prefix of the prompt.
     pub(crate) fn longest_known(&self, blocks: &[PromptBlock]) -> Option<KnownPrefix> {
         blocks.iter().rev().find_map(|block| {
             let holders = self.holders.get(&block.hash)?;
@@ -117,10 +115,10 @@
         })
     }
 
-    /// Notes that a prompt was sent to an engine.
-    pub(crate) fn sent(&mut self, blocks: &[PromptBlock], engine: u64) {
+    /// Records that a prompt was sent to an engine.
+    pub(crate) fn record_sent(&mut self, blocks: &[PromptBlock], engine: u64) {
         for block in blocks {
-            self.note(block.hash, engine);
+            self.insert(block.hash, engine);
         }
         while self.order.len() > self.capacity {
             if let Some(oldest) = self.order.pop_front() {
@@ -129,16 +127,16 @@
         }
     }
 
-    fn note(&mut self, hash: u64, engine: u64) {
+    fn insert(&mut self, hash: u64, engine: u64) {
         if !self.holders.contains_key(&hash) {
             self.order.push_back(hash);
         }
         let holders = self.holders.entry(hash).or_default();
-        if let Some(place) = holders.iter().position(|held| *held == engine) {
-            holders.remove(place);
+        if let Some(index) = holders.iter().position(|holder| *holder == engine) {
+            holders.remove(index);
         }
         holders.push_back(engine);
-        if holders.len() > HOLDERS_REMEMBERED {
+        if holders.len() > MAX_HOLDERS {
             holders.pop_front();
         }
     }
--- a/crates/routing/src/request.rs
+++ b/crates/routing/src/request.rs
@@ -1,4 +1,4 @@
-//! What goes into a decision and what comes out of it.
+//! Input and output of routing decisions.
 
 use std::time::Duration;
 
@@ -9,54 +9,54 @@
 use crate::prefix::PromptBlock;
 use crate::view::EngineView;
 
-/// Time left for a request; `None` where there is no bound.
+/// Time left for a request; `None` if there is no deadline.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Deadlines {
-    /// Time left to the first token.
+    /// Time left until the first token.
     pub first_token: Option<Duration>,
-    /// Time left to the end of the answer.
+    /// Time left until the end of the answer.
     pub whole: Option<Duration>,
 }
 
-/// How far a request has come.
+/// Progress of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum RoutePhase {
-    /// Nothing has run.
+    /// Nothing has run yet.
     #[default]
     Start,
-    /// The prompt has run on this engine, which holds its KV cache for export.
+    /// This engine has prefilled the prompt and holds the KV cache for export.
     Prefilled { engine: EngineId },
 }
 
-/// What the router must know of a request.
+/// A request to be routed.
 #[derive(Clone, Debug)]
 pub struct RouteRequest {
-    /// Model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// Adapter asked for.
+    /// Requested adapter.
     pub adapter: Option<AdapterName>,
     /// Zone of the deciding node.
     pub zone: ZoneName,
-    /// Estimated tokens of the prompt.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Leading blocks of the prompt, shortest first.
+    /// Prefixes of the prompt, shortest first.
     pub blocks: Vec<PromptBlock>,
-    /// Time left.
+    /// Time left for the request.
     pub deadlines: Deadlines,
-    /// Importance.
+    /// Priority; a higher number is more important.
     pub priority: Priority,
-    /// Whether the prompt may run on one engine and the output on another.
+    /// Whether prefill and decode may run on different engines.
     pub may_split: bool,
-    /// How far it has come.
+    /// Progress of the request.
     pub phase: RoutePhase,
-    /// Engines tried before.
+    /// Engines that were tried before and are excluded.
     pub tried: Vec<EngineId>,
 }
 
 impl RouteRequest {
-    /// A request without deadline that runs on one engine.
+    /// A request without deadlines whose phases run on one engine.
     pub fn new(model: ModelName, zone: ZoneName, prompt_tokens: u32, max_tokens: u32) -> Self {
         Self {
             model,
@@ -74,37 +74,37 @@
     }
 }
 
-/// Why no engine was chosen.
+/// Why no engine was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteRefusal {
-    /// No engine is known that serves the model now.
+    /// No known engine serves the model now.
     NoEngine,
-    /// Every engine that serves it is full, as far as is known.
+    /// Engines that could serve it are full according to their last reports.
     Full,
-    /// No engine is expected to answer within the deadline.
+    /// The selected engine is not expected to answer within the deadlines.
     DeadlineUnreachable,
 }
 
-/// Times that the router expects, from now.
+/// Expected times from the decision on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Expected {
-    /// To the first token.
+    /// Time to the first token.
     pub first_token: Duration,
-    /// To the end of the answer.
+    /// Time to the end of the answer.
     pub whole: Duration,
 }
 
-/// What was decided.
+/// A routing decision.
 #[derive(Clone, Debug)]
 pub enum RouteDecision {
-    /// Send it to this engine.
+    /// Send the request to this engine.
     Send {
         engine: EngineView,
         placement: Placement,
         expected: Expected,
         candidates: Vec<Candidate>,
     },
-    /// Refuse it; tell the caller when to come back.
+    /// Refuse the request and tell the caller when to retry.
     Refuse {
         reason: RouteRefusal,
         retry_after: Duration,
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,86 +1,86 @@
-//! Retries within a budget, and never of what may have run and may not run again.
+//! Limits retries to a budget, and refuses to retry non-repeatable requests that may have run.
 //!
-//! Each first attempt earns a share of a retry. While an engine group is lost, retries end as soon
-//! as the savings are spent, so that they do not load what is left with a multiple of the demand.
+//! Each first attempt adds a fraction of a retry to the budget. When a group of engines fails, retries stop as soon as
+//! the budget is exhausted, so that they do not multiply the load on the remaining engines.
 
-/// Bounds on retries.
+/// Configuration of a [`RetryBudget`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Share of a retry earned by each first attempt.
-    pub earned: f64,
-    /// Most retries saved up.
-    pub saved: f64,
-    /// Most retries of one request.
+    /// Retries added to the budget by each first attempt.
+    pub per_attempt: f64,
+    /// Largest budget, which is also the initial one.
+    pub max_budget: f64,
+    /// Most retries per request.
     pub per_request: u32,
 }
 
 impl Default for RetryBudgetConfig {
     fn default() -> Self {
         Self {
-            earned: 0.1,
-            saved: 20.0,
+            per_attempt: 0.1,
+            max_budget: 20.0,
             per_request: 2,
         }
     }
 }
 
-/// What is known of an attempt that failed.
+/// Whether a failed attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// No byte was sent.
+    /// No byte was sent to the engine.
     NotSent,
-    /// The engine refused it and did not run it.
+    /// The engine refused the request without running it.
     Refused,
-    /// Bytes were sent and the engine gave no proof that it did not run.
+    /// Bytes were sent, and there is no proof that the engine did not run it.
     MayHaveRun,
 }
 
-/// A request whose attempt failed.
+/// A failed attempt at a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// What is known of the attempt.
+    /// Whether the attempt may have run.
     pub kind: FailureKind,
-    /// Whether the request may run again.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Retries of the request so far.
+    /// Number of retries of the request so far.
     pub retries: u32,
 }
 
-/// Whether to try again.
+/// Decision about a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try another engine.
+    /// Retry at another engine.
     Retry,
-    /// The request may have run and may not run again: its result is unknown.
+    /// No retry: the request may have run and is not repeatable, so its result is unknown.
     MayHaveRun,
-    /// The request has used its retries.
+    /// No retry: the request has reached its limit of retries.
     RequestLimitReached,
-    /// The node has used its retries.
+    /// No retry: the node's budget is exhausted.
     BudgetExhausted,
 }
 
-/// The retries a node may make.
+/// Retry budget of a node.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
-    savings: f64,
+    available: f64,
 }
 
 impl RetryBudget {
-    /// A budget with full savings.
+    /// A full budget.
     pub fn new(config: RetryBudgetConfig) -> Self {
         Self {
-            savings: config.saved,
+            available: config.max_budget,
             config,
         }
     }
 
-    /// Notes a request's first attempt.
+    /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self) {
-        self.savings = (self.savings + self.config.earned).min(self.config.saved);
+        self.available = (self.available + self.config.per_attempt).min(self.config.max_budget);
     }
 
-    /// Decides on a retry and, if it is made, pays for it.
+    /// Decides about a retry and takes it from the budget if it is allowed.
     pub fn decide(&mut self, attempt: &FailedAttempt) -> RetryDecision {
         if attempt.kind == FailureKind::MayHaveRun && !attempt.repeatable {
             return RetryDecision::MayHaveRun;
@@ -88,10 +88,10 @@
         if attempt.retries >= self.config.per_request {
             return RetryDecision::RequestLimitReached;
         }
-        if self.savings < 1.0 {
+        if self.available < 1.0 {
             return RetryDecision::BudgetExhausted;
         }
-        self.savings -= 1.0;
+        self.available -= 1.0;
         RetryDecision::Retry
     }
 }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! The router of one node.
+//! Selects engines for the requests of one node.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,54 +7,54 @@
 use dalestand_types::{EngineId, ModelName, MonotonicTime, Priority, Role};
 use rand::Rng;
 
-use crate::admission::wait_if_unreachable;
+use crate::admission::retry_after_if_unreachable;
 use crate::choice::{Choice, Chooser};
 use crate::class_meter::DecayingRate;
 use crate::config::RouterConfig;
+use crate::eligible_engines::{EligibleEngines, home_weight};
 use crate::estimate::Estimator;
-use crate::learning::Learned;
+use crate::learning::LearnedSpeeds;
 use crate::overload::{RetryAfterBounds, RetryAfterSchedule};
 use crate::prefix::{PrefixMemory, engine_hash};
 use crate::request::{Placement, RouteDecision, RoutePhase, RouteRefusal, RouteRequest};
-use crate::track::{Completion, Ticket, Tracks};
-use crate::usables::{Usables, home_weight};
+use crate::sent_requests::{Completion, SentRequests, Ticket};
 use crate::view::{EngineView, FleetView};
 
-/// Time constant of the rate of admissions, in seconds: a model that is asked for rarely has some in it.
+/// Time constant of the admission rate, in seconds: long enough to measure rarely requested models.
 const ADMISSION_RATE_TIME_S: f64 = 10.0;
 
-/// Callers of models rank the more important request higher; slots go to the lowest rank first.
+/// Converts a priority, where a higher number is more important, to the order of retry slots, where 0 comes first.
 fn urgency(priority: Priority) -> u8 {
     u8::MAX - priority.0
 }
 
-/// Chooses engines on a picture that is always somewhat old, corrected by what this node itself
-/// has sent, at speeds learnt from what the engines did with it.
+/// Selects engines from reports that are always somewhat out of date, corrected for the requests that this node has
+/// sent since, and with speeds learnt from this node's requests.
 #[derive(Clone, Debug)]
 pub struct Router {
     config: RouterConfig,
-    learned: Learned,
-    tracks: Tracks,
+    learned: LearnedSpeeds,
+    sent_requests: SentRequests,
     prefixes: PrefixMemory,
-    /// Requests admitted a second, by model.
+    /// Requests admitted per second, by model.
     admitted: HashMap<ModelName, DecayingRate>,
-    returns: RetryAfterSchedule<ModelName>,
+    retries: RetryAfterSchedule<ModelName>,
 }
 
 impl Router {
-    /// A router that has sent nothing.
+    /// A router without any observations.
     pub fn new(config: RouterConfig) -> Self {
         Self {
-            learned: Learned::new(config.prior_speeds),
-            tracks: Tracks::default(),
-            prefixes: PrefixMemory::new(config.prefixes_remembered),
+            learned: LearnedSpeeds::new(config.prior_speeds),
+            sent_requests: SentRequests::default(),
+            prefixes: PrefixMemory::new(config.max_prefixes),
             admitted: HashMap::new(),
-            returns: RetryAfterSchedule::default(),
+            retries: RetryAfterSchedule::default(),
             config,
         }
     }
 
-    /// Chooses an engine for the next phase of a request.
+    /// Selects an engine for the next phase of a request, or refuses it.
     pub fn decide<R: Rng>(
         &mut self,
         now: MonotonicTime,
@@ -62,15 +62,15 @@
         request: &RouteRequest,
         random: &mut R,
     ) -> RouteDecision {
-        let mut usables = Usables::of(&self.config, now, view, request);
-        let mut candidates = std::mem::take(&mut usables.excluded);
+        let mut eligible = EligibleEngines::of(&self.config, now, view, request);
+        let mut candidates = std::mem::take(&mut eligible.excluded);
         let prefix = self.prefixes.longest_known(&request.blocks);
         let estimator = Estimator {
             learned: &self.learned,
-            tracks: &self.tracks,
+            sent_requests: &self.sent_requests,
             request,
             prefix: prefix.as_ref(),
-            home_weight: home_weight(prefix.as_ref(), &usables),
+            home_weight: home_weight(prefix.as_ref(), &eligible),
             other_zone_s: self.config.other_zone_penalty_ms / 1_000.0,
             others_delay_weight: self.config.others_delay_weight,
         };
@@ -87,17 +87,17 @@
             });
         };
         let choice = match request.phase {
-            RoutePhase::Start => chooser.choose_start(&mut usables, random, &mut note),
+            RoutePhase::Start => chooser.choose_start(&mut eligible, random, &mut note),
             RoutePhase::Prefilled { .. } => {
-                chooser.choose_decode(&mut usables.decode, random, &mut note)
+                chooser.choose_decode(&mut eligible.decode, random, &mut note)
             }
         };
         let shortest = self.config.shortest_retry_after;
         let refusal = match &choice {
-            None if usables.full => Some((RouteRefusal::Full, shortest)),
+            None if eligible.full => Some((RouteRefusal::Full, shortest)),
             None => Some((RouteRefusal::NoEngine, shortest)),
             Some(choice) => self
-                .unreachable(request, choice)
+                .retry_if_unreachable(request, choice)
                 .map(|wait| (RouteRefusal::DeadlineUnreachable, wait)),
         };
         let choice = match (choice, refusal) {
@@ -107,7 +107,7 @@
                 let longest = self.config.longest_retry_after;
                 return RouteDecision::Refuse {
                     reason,
-                    retry_after: self.return_slot(now, request, wait, longest),
+                    retry_after: self.retry_after(now, request, wait, longest),
                     candidates,
                 };
             }
@@ -129,8 +129,8 @@
         rate.count(now, 1.0);
     }
 
-    /// After how long a refused caller is to come back.
-    fn return_slot(
+    /// Retry delay of a refused caller.
+    fn retry_after(
         &mut self,
         now: MonotonicTime,
         request: &RouteRequest,
@@ -142,12 +142,12 @@
         let bounds = RetryAfterBounds { shortest, longest };
         let urgency = urgency(request.priority);
         let slot = self
-            .returns
+            .retries
             .assign(now, &request.model, urgency, admitted_per_s, bounds);
         slot.delay().min(longest)
     }
 
-    /// Notes that a request was sent; the ticket is to be given back when it is over.
+    /// Records that a request was sent. The ticket is to be passed to [`Self::finished`] when the request has ended.
     pub fn sent(
         &mut self,
         now: MonotonicTime,
@@ -162,7 +162,7 @@
         let prefix_tokens = held_before.map_or(0, |known| known.tokens.min(request.prompt_tokens));
         let estimator = Estimator {
             learned: &self.learned,
-            tracks: &self.tracks,
+            sent_requests: &self.sent_requests,
             request,
             prefix: prefix.as_ref(),
             home_weight: 0,
@@ -170,11 +170,11 @@
             others_delay_weight: 0.0,
         };
         let estimate = match placement {
-            Placement::DecodeOnly => estimator.output(engine, role),
-            Placement::Whole | Placement::PrefillOnly => estimator.prompt(engine, role),
+            Placement::DecodeOnly => estimator.decode_only(engine, role),
+            Placement::Whole | Placement::PrefillOnly => estimator.prefill_only(engine, role),
         };
         let ticket = Ticket {
-            number: self.tracks.next_number(),
+            number: self.sent_requests.next_number(),
             engine: engine.engine.clone(),
             pool: engine.pool.clone(),
             role,
@@ -187,43 +187,43 @@
             max_tokens: request.max_tokens,
             tokens_ahead: estimate.tokens_ahead,
             held: estimate.held,
-            prompt_share: estimate.prompt_share,
+            prefill_share: estimate.prefill_share,
             queued: estimate.queued,
         };
-        self.tracks.sent(&ticket, engine);
+        self.sent_requests.insert(&ticket, engine);
         if placement != Placement::DecodeOnly {
-            self.prefixes.sent(&request.blocks, hash);
+            self.prefixes.record_sent(&request.blocks, hash);
         }
         ticket
     }
 
-    /// Notes the first token of a request (the end of the prompt for a prompt only).
+    /// Records the first token of a request (for a prefill only, its end).
     pub fn first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
         if ticket.first_token_at.is_some() {
             return;
         }
         ticket.first_token_at = Some(now);
-        // A wait for a place in the batch says nothing about speed.
+        // The time includes a wait for a place in the batch and says nothing about speed.
         if ticket.queued {
             return;
         }
-        let seen_s = now.since(ticket.sent_at).as_secs_f64();
+        let observed_s = now.since(ticket.sent_at).as_secs_f64();
         let speeds = self.learned.role_mut(&ticket.pool, ticket.role);
         match ticket.placement {
             Placement::DecodeOnly => {
                 speeds
                     .import
-                    .observe(f64::from(ticket.prompt_tokens), seen_s);
+                    .observe(f64::from(ticket.prompt_tokens), observed_s);
             }
             Placement::Whole | Placement::PrefillOnly => {
-                speeds.first_token.observe(ticket.tokens_ahead, seen_s);
+                speeds.first_token.observe(ticket.tokens_ahead, observed_s);
             }
         }
     }
 
-    /// Notes that a request is over.
+    /// Records the end of a request.
     pub fn finished(&mut self, now: MonotonicTime, ticket: &Ticket, completion: Completion) {
-        self.tracks.finished(ticket);
+        self.sent_requests.remove(ticket);
         if let Some(found) = completion.cached_tokens {
             let speeds = self.learned.role_mut(&ticket.pool, ticket.role);
             speeds.observe_prefix(ticket.prefix_tokens, found);
@@ -240,21 +240,25 @@
         if tokens > 1 {
             let gap_s = now.since(first_at).as_secs_f64() / f64::from(tokens - 1);
             let speeds = self.learned.role_mut(&ticket.pool, ticket.role);
-            let quiet_s = gap_s * (1.0 - ticket.prompt_share);
+            let unloaded_s = gap_s * (1.0 - ticket.prefill_share);
             let expected_s = speeds.token_gap.at(ticket.held);
-            speeds.token_gap.observe(ticket.held, quiet_s);
+            speeds.token_gap.observe(ticket.held, unloaded_s);
             self.learned
-                .observe_slowness(&ticket.engine, quiet_s, expected_s);
+                .observe_slowness(&ticket.engine, unloaded_s, expected_s);
         }
     }
 
-    /// Whether the deadline is out of reach; yields when to come back.
-    fn unreachable(&self, request: &RouteRequest, choice: &Choice<'_>) -> Option<Duration> {
-        // What has run its prompt was admitted and is never given up.
+    /// Retry delay if the deadlines cannot be met, otherwise `None`.
+    fn retry_if_unreachable(
+        &self,
+        request: &RouteRequest,
+        choice: &Choice<'_>,
+    ) -> Option<Duration> {
+        // A request whose prefill has run was admitted and is not refused any more.
         if choice.placement == Placement::DecodeOnly {
             return None;
         }
-        wait_if_unreachable(
+        retry_after_if_unreachable(
             &self.config,
             &request.deadlines,
             request.priority,
@@ -264,7 +268,7 @@
 }
 
 impl RouteDecision {
-    /// The engine chosen, if one was.
+    /// The selected engine, if any.
     pub fn engine(&self) -> Option<&EngineId> {
         match self {
             Self::Send { engine, .. } => Some(&engine.engine),
--- a/crates/routing/src/shared_retry_budget.rs
+++ b/crates/routing/src/shared_retry_budget.rs
@@ -1,10 +1,9 @@
-//! A budget of repeated sends that all nodes share without a word for each request.
+//! A budget of repeated sends that all nodes share without a message for each request.
 //!
-//! In any window, the sends to a pool beyond the first of each request may be a ratio of the
-//! requests for it, and a slack besides. Each node counts its own requests and takes its part of
-//! the slack, by the highest count of nodes that it heard lately ([`NodeCount`]). The parts add up to the whole
-//! at most, so that what all spend together stays within it, if each
-//! takes every send that counts ([`crate::CallCounts`]) before it goes out.
+//! Within any time window, the sends to a pool beyond the first of each request may not exceed a ratio of its requests
+//! plus a fixed slack. Each node counts its own requests and uses an equal part of the slack, divided by the node count
+//! ([`NodeCount`]). The parts add up to at most the whole, so all nodes together stay within the budget, provided that
+//! each takes every counted send ([`crate::CallCounts`]) from its budget before sending.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -13,24 +12,22 @@
 
 use crate::node_count::NodeCount;
 
-/// Share of what is allowed that is spent: a send counts when it arrives, which is some milliseconds after
-/// it was taken, in a window of 10 s, and nodes hear of each other's coming and going within a second.
-/// With nine nodes and engines that refuse half of all calls, 27 plays of ten seconds each kept the whole
-/// budget.
-const SPENT_SHARE: f64 = 0.95;
+/// Fraction of the budget that is used. The rest is a margin for sends that arrive in a later window than the one in
+/// which they were taken, and for nodes that learn of each other with a delay.
+const USABLE_FRACTION: f64 = 0.95;
 
-/// Bounds that all nodes keep together.
+/// Limits that apply to all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedRetryLimits {
-    /// Repeated sends for each request.
+    /// Repeated sends allowed per request.
     pub ratio: f64,
-    /// Repeated sends allowed besides.
+    /// Repeated sends allowed in addition.
     pub slack: f64,
-    /// Length of the window.
+    /// Length of the sliding time window.
     pub window: Duration,
 }
 
-/// A repeated send that was taken from a budget.
+/// A repeated send taken from a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub struct RepeatedSend(MonotonicTime);
@@ -41,20 +38,20 @@
     repeats: VecDeque<MonotonicTime>,
 }
 
-/// This node's part of the budget.
+/// This node's part of the shared budget.
 #[derive(Clone, Debug)]
 pub struct SharedRetryBudget {
     limits: SharedRetryLimits,
     nodes: NodeCount,
-    /// Whether this node hears no other, though there are others.
+    /// Whether this node has no contact to any other, although there are others.
     is_isolated: bool,
-    /// When this node started, where a former life of it may have spent from the same window.
+    /// When this node restarted; its former process may have used the budget of the same window.
     restarted_at: Option<MonotonicTime>,
     pools: HashMap<PoolName, PoolCounts>,
 }
 
 impl SharedRetryBudget {
-    /// A budget that nothing was spent of.
+    /// An unused budget.
     pub fn new(limits: SharedRetryLimits) -> Self {
         Self {
             limits,
@@ -65,30 +62,28 @@
         }
     }
 
-    /// Notes that the node started at `now` and lived before: what its former life spent is not
-    /// known, so for a window it has no part of the slack.
+    /// Records that the node restarted at `now`. What the former process used is unknown, so this node gets no slack
+    /// for the length of a window.
     pub fn note_restart(&mut self, now: MonotonicTime) {
         self.restarted_at = Some(now);
     }
 
-    /// Sets the bounds.
     pub fn set_limits(&mut self, limits: SharedRetryLimits) {
         self.limits = limits;
     }
 
-    /// Notes the number of nodes among which the slack is divided, as it was heard at `now`. Before the first
-    /// there is no slack.
+    /// Sets the number of nodes among which the slack is divided, as known at `now`. Until then there is no slack.
     pub fn set_nodes(&mut self, now: MonotonicTime, nodes: usize) {
         self.nodes.set(now, nodes);
     }
 
-    /// Notes whether this node hears none of the others: they take it for gone after a time and divide its part
-    /// of the slack among themselves.
+    /// Sets whether this node has no contact to any other. It then uses no slack, because the others will divide its
+    /// part among themselves.
     pub fn set_isolated(&mut self, is_isolated: bool) {
         self.is_isolated = is_isolated;
     }
 
-    /// Notes a request for a pool.
+    /// Records a request for a pool.
     pub fn record_request(&mut self, now: MonotonicTime, pool: &PoolName) {
         let window = self.limits.window;
         let counts = self.pools.entry(pool.clone()).or_default();
@@ -96,7 +91,7 @@
         counts.requests.push_back(now);
     }
 
-    /// Takes one repeated send; `None` if none is left.
+    /// Takes one repeated send; `None` if none is available.
     pub fn take(&mut self, now: MonotonicTime, pool: &PoolName) -> Option<RepeatedSend> {
         let allowed = self.available(now, pool) >= 1.0;
         let counts = self.pools.get_mut(pool).filter(|_| allowed)?;
@@ -104,16 +99,16 @@
         Some(RepeatedSend(now))
     }
 
-    /// Gives a send back that did not count.
+    /// Gives back a send that did not count.
     pub fn give_back(&mut self, pool: &PoolName, send: RepeatedSend) {
         if let Some(counts) = self.pools.get_mut(pool)
-            && let Some(place) = counts.repeats.iter().rposition(|at| *at == send.0)
+            && let Some(index) = counts.repeats.iter().rposition(|at| *at == send.0)
         {
-            counts.repeats.remove(place);
+            counts.repeats.remove(index);
         }
     }
 
-    /// Repeated sends left now.
+    /// Repeated sends available now; may be fractional or negative.
     pub fn available(&mut self, now: MonotonicTime, pool: &PoolName) -> f64 {
         let SharedRetryLimits {
             ratio,
@@ -123,14 +118,14 @@
         let counts = self.pools.entry(pool.clone()).or_default();
         counts.expire(now, window);
         let restarted = self.restarted_at;
-        let may_have_spent = restarted.is_some_and(|at| now.since(at) < window);
+        let usage_unknown = restarted.is_some_and(|at| now.since(at) < window);
         let nodes = self.nodes.get(now);
-        let part = match nodes.filter(|_| !may_have_spent && !self.is_isolated) {
+        let slack_part = match nodes.filter(|_| !usage_unknown && !self.is_isolated) {
             Some(nodes) => slack / nodes as f64,
             None => 0.0,
         };
-        let earned = ratio * counts.requests.len() as f64 + part;
-        earned * SPENT_SHARE - counts.repeats.len() as f64
+        let allowed = ratio * counts.requests.len() as f64 + slack_part;
+        allowed * USABLE_FRACTION - counts.repeats.len() as f64
     }
 }
 
--- a/crates/routing/src/source_sums.rs
+++ b/crates/routing/src/source_sums.rs
@@ -1,8 +1,8 @@
-//! Sums over all nodes of figures that each node counts for itself.
+//! Sums, over all nodes, of figures that each node counts for itself.
 //!
-//! Members report their own figures to a relay, relays exchange the sums of their members, and members hear the
-//! sums of the fleet. Each row stands by itself and lapses by itself: a report that is lost costs the news of its
-//! rows only, and what a node that is gone reported is forgotten.
+//! Members report their figures to a relay, relays exchange the sums of their members, and members receive the sums of
+//! the fleet. Each row expires separately, so a lost report only delays the update of its rows, and rows of nodes that
+//! have left disappear.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -13,25 +13,25 @@
 
 use crate::staged::LoadSource;
 
-/// Summable that add up.
+/// Figures that can be added.
 pub trait Summable: Clone + Default + for<'a> AddAssign<&'a Self> {}
 
 impl<T: Clone + Default + for<'a> AddAssign<&'a Self>> Summable for T {}
 
-/// Rows of figures by key: this node's own, those that others reported, and the sums of all.
+/// Rows of figures by key: this node's own, those reported by other sources, and the totals.
 #[derive(Clone, Debug)]
 pub struct SourceSums<K, V> {
-    counts_for: Duration,
+    row_lifetime: Duration,
     own: HashMap<K, V>,
     reported: HashMap<LoadSource, HashMap<K, (V, MonotonicTime)>>,
     totals: HashMap<K, V>,
 }
 
 impl<K: Clone + Eq + Hash, V: Summable> SourceSums<K, V> {
-    /// No figures; a reported row counts for `counts_for`.
-    pub fn new(counts_for: Duration) -> Self {
+    /// No rows yet. Reported rows expire after `row_lifetime`.
+    pub fn new(row_lifetime: Duration) -> Self {
         Self {
-            counts_for,
+            row_lifetime,
             own: HashMap::new(),
             reported: HashMap::new(),
             totals: HashMap::new(),
@@ -48,7 +48,7 @@
         &self.own
     }
 
-    /// Takes rows in that `source` reported. Its rows of other keys stand until they lapse.
+    /// Inserts or replaces rows that `source` reported. Its rows with other keys stay until they expire.
     pub fn set_reported(
         &mut self,
         now: MonotonicTime,
@@ -59,29 +59,36 @@
         known.extend(rows.into_iter().map(|(key, figures)| (key, (figures, now))));
     }
 
-    /// Forgets what a source reported.
+    /// Removes all rows that a source reported.
     pub fn forget_source(&mut self, source: LoadSource) {
         self.reported.remove(&source);
     }
 
-    /// Own rows and those of the sources that `counts` names, added up.
-    pub fn sum_of(&self, now: MonotonicTime, counts: impl Fn(LoadSource) -> bool) -> HashMap<K, V> {
+    /// Sums this node's own rows and those of the sources for which `is_included` returns true.
+    pub fn sum_of(
+        &self,
+        now: MonotonicTime,
+        is_included: impl Fn(LoadSource) -> bool,
+    ) -> HashMap<K, V> {
         let mut sums = self.own.clone();
-        let counted = self.reported.iter().filter(|(source, _)| counts(**source));
-        for (key, (figures, reported_at)) in counted.flat_map(|(_, rows)| rows) {
-            if now.since(*reported_at) < self.counts_for {
+        let included = self
+            .reported
+            .iter()
+            .filter(|(source, _)| is_included(**source));
+        for (key, (figures, reported_at)) in included.flat_map(|(_, rows)| rows) {
+            if now.since(*reported_at) < self.row_lifetime {
                 *sums.entry(key.clone()).or_default() += figures;
             }
         }
         sums
     }
 
-    /// Forgets rows that have lapsed, and adds up the totals anew. The sums of the fleet have this node's own
-    /// figures in them: where they are known, they are the totals.
+    /// Removes expired rows and recomputes the totals. If sums of the whole fleet were reported, they are the totals,
+    /// because they include this node's figures.
     pub fn refresh(&mut self, now: MonotonicTime) {
-        let counts_for = self.counts_for;
+        let row_lifetime = self.row_lifetime;
         for rows in self.reported.values_mut() {
-            rows.retain(|_, (_, reported_at)| now.since(*reported_at) < counts_for);
+            rows.retain(|_, (_, reported_at)| now.since(*reported_at) < row_lifetime);
         }
         self.reported.retain(|_, rows| !rows.is_empty());
         self.totals = match self.reported.get(&LoadSource::Fleet) {
@@ -95,12 +102,12 @@
         };
     }
 
-    /// Sources of which rows count at `now`, with the age of the newest one of each.
+    /// Sources with rows that are valid at `now`, each with the age of its newest row.
     pub fn heard(&self, now: MonotonicTime) -> impl Iterator<Item = (LoadSource, Duration)> + '_ {
         self.reported.iter().filter_map(move |(source, rows)| {
             let newest = rows.values().map(|(_, reported_at)| *reported_at).max()?;
             let age = now.since(newest);
-            (age < self.counts_for).then_some((*source, age))
+            (age < self.row_lifetime).then_some((*source, age))
         })
     }
 
--- a/crates/routing/src/tenant_limits.rs
+++ b/crates/routing/src/tenant_limits.rs
@@ -1,10 +1,9 @@
-//! Fair shares of tenants over many nodes, without a call for each request.
+//! Enforces rate limits of tenants over many nodes, without a message for each request.
 //!
-//! A tenant's limit holds over the whole fleet. Each node lets through its share of it by a token
-//! bucket. The share is the node's part of the tenant's demand: every node reports the demand of
-//! its active tenants to one node for each tenant (chosen by rendezvous hashing) and is told the
-//! sum. Reports hold the tenants of the last seconds only, a few bytes each, so their size follows
-//! a node's requests and not the number of tenants or nodes.
+//! A tenant's limit applies to the whole fleet. Each node enforces its share of it with a token bucket; the share is
+//! the node's fraction of the tenant's demand. Every node reports the demand of its active tenants to one node per
+//! tenant (selected by rendezvous hashing) and receives the sum. Reports only contain tenants with recent requests, so
+//! their size depends on a node's requests and not on the number of tenants or nodes.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -14,33 +13,32 @@
 
 use crate::prefix::{rendezvous_weight, text_hash};
 
-/// Time constant of a tenant's demand at a node, in seconds.
+/// Time constant of the measured demand of a tenant at a node, in seconds.
 const DEMAND_TIME_S: f64 = 5.0;
 
-/// A total older than this counts for nothing.
-const TOTAL_LIMIT: Duration = Duration::from_secs(15);
+/// Totals and reports older than this are ignored.
+const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
 
-/// Share assumed of a tenant of which no total is known, as a multiple of an even share.
+/// Share assumed while a tenant's total is unknown, as a multiple of an equal share.
 const UNKNOWN_SHARE_FACTOR: f64 = 2.0;
 
-/// Shortest wait told to a tenant over its limit.
-const SHORTEST_WAIT: Duration = Duration::from_millis(100);
+/// Shortest retry delay of a tenant over its limit.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A tenant's limit over the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantRule {
-    /// Tokens (prompt and output) a second.
+    /// Prompt and output tokens per second.
     pub tokens_per_second: u64,
-    /// Most tokens at once.
+    /// Most tokens in a burst.
     pub burst_tokens: u64,
 }
 
 /// A tenant's demand at one node, or over all nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantDemand {
-    /// The tenant.
     pub tenant: TenantName,
-    /// Tokens asked for in a second, let through or not.
+    /// Tokens per second asked for, whether admitted or not.
     pub tokens_per_s: f64,
 }
 
@@ -53,7 +51,7 @@
     total: Option<(f64, MonotonicTime)>,
 }
 
-/// The tenants' shares at one node.
+/// Tenant limits at one node.
 #[derive(Clone, Debug)]
 pub struct TenantLimits {
     capacity: usize,
@@ -63,8 +61,7 @@
 }
 
 impl TenantLimits {
-    /// Limits of one of `nodes` nodes that remember up to `capacity` tenants; the one known longest
-    /// goes first.
+    /// Limits at one of `nodes` nodes. Up to `capacity` tenants are remembered; the one added first is dropped first.
     pub fn new(capacity: usize, nodes: usize) -> Self {
         Self {
             capacity,
@@ -74,12 +71,12 @@
         }
     }
 
-    /// Notes the number of nodes.
+    /// Sets the number of nodes.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.unknown_share = unknown_share(nodes);
     }
 
-    /// Lets a request of so many tokens through, or says when to come back.
+    /// Admits a request of `tokens` tokens, or returns the retry delay for its caller.
     pub fn admit(
         &mut self,
         now: MonotonicTime,
@@ -90,36 +87,36 @@
         let tokens = tokens as f64;
         let unknown_share = self.unknown_share;
         let state = self.state(now, tenant, rule);
-        state.ask(now, tokens);
+        state.record_demand(now, tokens);
         let share = state.share(now).unwrap_or(unknown_share);
         let rate = share * rule.tokens_per_second as f64;
-        // A share of a burst must still hold one request, or a small tenant would never get in.
-        let largest = (share * rule.burst_tokens as f64).max(tokens);
+        // The bucket must hold at least one request, or it would never be admitted at a node with a small share.
+        let capacity = (share * rule.burst_tokens as f64).max(tokens);
         let filled = state.bucket_tokens + rate * now.since(state.filled_at).as_secs_f64();
-        state.bucket_tokens = filled.min(largest);
+        state.bucket_tokens = filled.min(capacity);
         state.filled_at = now;
         if state.bucket_tokens >= tokens {
             state.bucket_tokens -= tokens;
             return Ok(());
         }
         let missing = tokens - state.bucket_tokens;
-        let wait_s = (missing / rate.max(f64::MIN_POSITIVE)).min(TOTAL_LIMIT.as_secs_f64());
-        Err(Duration::from_secs_f64(wait_s).max(SHORTEST_WAIT))
+        let wait_s = (missing / rate.max(f64::MIN_POSITIVE)).min(MAX_REPORT_AGE.as_secs_f64());
+        Err(Duration::from_secs_f64(wait_s).max(MIN_RETRY_DELAY))
     }
 
-    /// Gives back the tokens that a request did not use.
+    /// Gives back tokens that an admitted request did not use.
     pub fn give_back(&mut self, tenant: &TenantName, tokens: u64) {
         if let Some(state) = self.tenants.get_mut(tenant) {
             state.bucket_tokens += tokens as f64;
         }
     }
 
-    /// Demand of the tenants that asked within the last seconds, to be reported; the largest first.
-    pub fn demands(&self, now: MonotonicTime, most: usize) -> Vec<TenantDemand> {
+    /// Demand of the up to `max` tenants with the largest recent demand, in descending order, for a report.
+    pub fn demands(&self, now: MonotonicTime, max: usize) -> Vec<TenantDemand> {
         let active = self
             .tenants
             .iter()
-            .filter(|(_, state)| now.since(state.asked_at) <= TOTAL_LIMIT);
+            .filter(|(_, state)| now.since(state.asked_at) <= MAX_REPORT_AGE);
         let mut demands: Vec<TenantDemand> = active
             .map(|(tenant, state)| TenantDemand {
                 tenant: tenant.clone(),
@@ -130,11 +127,11 @@
             let by_demand = other.tokens_per_s.total_cmp(&one.tokens_per_s);
             by_demand.then_with(|| one.tenant.cmp(&other.tenant))
         });
-        demands.truncate(most);
+        demands.truncate(max);
         demands
     }
 
-    /// Takes in the demand of tenants over all nodes.
+    /// Records the demand of tenants over all nodes.
     pub fn observe_totals(&mut self, now: MonotonicTime, totals: &[TenantDemand]) {
         for total in totals {
             if let Some(state) = self.tenants.get_mut(&total.tenant) {
@@ -143,12 +140,11 @@
         }
     }
 
-    /// Tenants remembered.
+    /// Number of remembered tenants.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether none is remembered.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
@@ -181,7 +177,7 @@
 }
 
 impl TenantState {
-    fn ask(&mut self, now: MonotonicTime, tokens: f64) {
+    fn record_demand(&mut self, now: MonotonicTime, tokens: f64) {
         self.asked_per_s = self.demand(now) + tokens / DEMAND_TIME_S;
         self.asked_at = now;
     }
@@ -191,10 +187,10 @@
         self.asked_per_s * (-passed_s / DEMAND_TIME_S).exp()
     }
 
-    /// This node's part of the tenant's demand, if a recent total is known.
+    /// This node's fraction of the tenant's demand, if a recent total is known.
     fn share(&self, now: MonotonicTime) -> Option<f64> {
         match self.total {
-            Some((total, at)) if now.since(at) <= TOTAL_LIMIT && total > 0.0 => {
+            Some((total, at)) if now.since(at) <= MAX_REPORT_AGE && total > 0.0 => {
                 Some((self.demand(now) / total).min(1.0))
             }
             _ => None,
@@ -206,7 +202,7 @@
     (UNKNOWN_SHARE_FACTOR / nodes.max(1) as f64).min(1.0)
 }
 
-/// The node that sums a tenant's demand: the same for every node that knows the same nodes.
+/// The node that sums a tenant's demand. All nodes that know the same nodes agree on it.
 pub fn summing_node<'a>(tenant: &TenantName, nodes: &'a [NodeId]) -> Option<&'a NodeId> {
     let tenant = text_hash(tenant.as_str());
     nodes
@@ -214,14 +210,14 @@
         .max_by_key(|node| (rendezvous_weight(tenant, text_hash(node.as_str())), *node))
 }
 
-/// Sums the demand of the tenants that fall to one node.
+/// Sums of the demand of the tenants assigned to one node.
 #[derive(Clone, Debug, Default)]
 pub struct TenantTotals {
     reports: HashMap<TenantName, HashMap<NodeId, (f64, MonotonicTime)>>,
 }
 
 impl TenantTotals {
-    /// Takes a node's report in and yields the sums for the tenants it names.
+    /// Records a node's report and returns the sums for the tenants in it.
     pub fn report(
         &mut self,
         now: MonotonicTime,
@@ -231,7 +227,7 @@
         let reports = demands.iter().map(|demand| {
             let by_node = self.reports.entry(demand.tenant.clone()).or_default();
             by_node.insert(node.clone(), (demand.tokens_per_s, now));
-            by_node.retain(|_, (_, at)| now.since(*at) <= TOTAL_LIMIT);
+            by_node.retain(|_, (_, at)| now.since(*at) <= MAX_REPORT_AGE);
             let mut values: Vec<f64> = by_node.values().map(|(rate, _)| *rate).collect();
             values.sort_by(f64::total_cmp);
             TenantDemand {
@@ -242,20 +238,19 @@
         reports.collect()
     }
 
-    /// Forgets tenants of which nothing was heard.
+    /// Removes tenants without recent reports.
     pub fn forget_silent(&mut self, now: MonotonicTime) {
         for by_node in self.reports.values_mut() {
-            by_node.retain(|_, (_, at)| now.since(*at) <= TOTAL_LIMIT);
+            by_node.retain(|_, (_, at)| now.since(*at) <= MAX_REPORT_AGE);
         }
         self.reports.retain(|_, by_node| !by_node.is_empty());
     }
 
-    /// Tenants summed.
+    /// Number of tenants with recent reports.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// Whether none is summed.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
--- a/crates/routing/src/view.rs
+++ b/crates/routing/src/view.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the fleet: always somewhat old.
+//! The fleet as known to a node, from reports that are always somewhat out of date.
 
 use std::net::SocketAddr;
 
@@ -7,45 +7,41 @@
     Revision, Role, ZoneName,
 };
 
-/// What is known of one engine.
+/// Last known state of one engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineView {
-    /// The engine.
     pub engine: EngineId,
-    /// Its group.
     pub group: GroupId,
-    /// Its pool.
     pub pool: PoolName,
-    /// Its zone.
     pub zone: ZoneName,
-    /// Where it listens.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// Its run, as last reported.
+    /// Incarnation (run of the engine) as last reported.
     pub incarnation: Incarnation,
-    /// Its role; `None` while it is out of service.
+    /// Role; `None` while the engine is out of service.
     pub role: Option<Role>,
-    /// Models it can serve.
+    /// Loaded models.
     pub models: Vec<LoadedModel>,
-    /// Requests being generated.
+    /// Requests in the batch.
     pub running: u32,
-    /// Requests accepted and not started.
+    /// Requests accepted but not started.
     pub waiting: u32,
-    /// Prompt tokens accepted and not yet run.
+    /// Prompt tokens of accepted requests that are not yet prefilled.
     pub queued_prefill_tokens: u64,
-    /// Prompt tokens it runs in a second.
+    /// Prompt tokens prefilled per second.
     pub prefill_tokens_per_s: f64,
-    /// Output tokens it generates in a second.
+    /// Output tokens generated per second.
     pub decode_tokens_per_s: f64,
-    /// Most requests it holds at once.
+    /// Most requests that it accepts at a time.
     pub capacity: u32,
-    /// When the report behind this was made, on the reader's clock.
+    /// When the report was made, on this node's clock.
     pub reported_at: MonotonicTime,
-    /// Whether it may take new work, as far as the machine list and its holder say.
+    /// Whether it may take new requests, according to the machine list and the node that manages it.
     pub accepting: bool,
 }
 
 impl EngineView {
-    /// Whether a model, with an adapter where named, is loaded.
+    /// Whether the model, and the adapter if one is given, is loaded.
     pub fn serves(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
         self.models.iter().any(|loaded| {
             loaded.model == *model && adapter.is_none_or(|name| loaded.adapters.contains(name))
@@ -53,11 +49,11 @@
     }
 }
 
-/// What is known of the fleet.
+/// Last known state of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FleetView {
-    /// Configuration the view was built under.
+    /// Configuration revision for which the view was built.
     pub revision: Revision,
-    /// The engines, by name.
+    /// The engines, sorted by name.
     pub engines: Vec<EngineView>,
 }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits: ageing, retry budgets and tenants' shares.
+//! Priority ageing, retry budgets and tenant limits.
 
 use std::time::Duration;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_request_that_waits_overtakes_more_important_ones_in_the_end() {
+fn a_waiting_request_eventually_overtakes_more_important_ones() {
     let waited = Duration::from_secs(30);
     assert!(aged_priority(Priority(1), waited) > Priority(6));
     assert_eq!(aged_priority(Priority(1), Duration::ZERO), Priority(1));
@@ -40,7 +40,7 @@
 #[case::refused(failed(FailureKind::Refused, false, 1), RetryDecision::Retry)]
 #[case::sent(failed(FailureKind::MayHaveRun, false, 0), RetryDecision::MayHaveRun)]
 #[case::sent_and_repeatable(failed(FailureKind::MayHaveRun, true, 0), RetryDecision::Retry)]
-#[case::too_often(
+#[case::too_many_retries(
     failed(FailureKind::Refused, true, 2),
     RetryDecision::RequestLimitReached
 )]
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_lost_group_makes_no_storm_of_retries() {
+fn retries_are_bounded_when_a_group_fails() {
     let mut budget = RetryBudget::new(RetryBudgetConfig::default());
     let mut retries = 0;
     for _ in 0..10_000 {
@@ -68,21 +68,21 @@
     assert!(retries <= 1_000 + 20, "{retries} retries of 10000 requests");
 }
 
-/// Nodes that exchange demands once a second; each is asked for `per_second` tokens.
-fn let_through(per_second: &[u64], seconds: u64) -> Vec<u64> {
+/// Tokens admitted by each node. Nodes exchange demands once a second, and each gets a demand of `per_second` tokens.
+fn admitted_tokens(per_second: &[u64], seconds: u64) -> Vec<u64> {
     let tenant = TenantName::from("archive");
     let names: Vec<NodeId> = (0..per_second.len())
         .map(|number| NodeId::from(format!("node-{number}")))
         .collect();
     let mut nodes = vec![TenantLimits::new(100, per_second.len()); per_second.len()];
     let mut totals = TenantTotals::default();
-    let mut passed = vec![0; per_second.len()];
+    let mut admitted = vec![0; per_second.len()];
     for tick in 0..seconds * 10 {
         let now = at(tick * 100);
         for (node, asked) in per_second.iter().enumerate() {
             let tokens = asked / 10;
             if tokens > 0 && nodes[node].admit(now, &tenant, &RULE, tokens).is_ok() {
-                passed[node] += tokens;
+                admitted[node] += tokens;
             }
         }
         if tick % 10 == 9 {
@@ -93,7 +93,7 @@
             }
         }
     }
-    passed
+    admitted
 }
 
 #[rstest]
@@ -101,23 +101,23 @@
 #[case::two_nodes(&[40_000, 40_000])]
 #[case::uneven(&[90_000, 1_000, 1_000, 1_000])]
 #[case::many(&[5_000; 20])]
-fn a_tenant_gets_its_limit_and_no_more_over_all_nodes(#[case] per_second: &[u64]) {
+fn a_tenant_gets_exactly_its_limit_over_all_nodes(#[case] per_second: &[u64]) {
     let seconds = 120;
-    let passed: u64 = let_through(per_second, seconds).iter().sum();
+    let admitted: u64 = admitted_tokens(per_second, seconds).iter().sum();
     let limit = RULE.tokens_per_second * seconds;
-    let share = passed as f64 / limit as f64;
+    let share = admitted as f64 / limit as f64;
     assert!((0.9..1.1).contains(&share), "{share} of the limit");
 }
 
 #[test]
-fn a_tenant_within_its_limit_is_not_held_back() {
-    let passed = let_through(&[3_000, 3_000, 2_000], 60);
-    let all: u64 = passed.iter().sum();
-    assert!(all >= 8_000 * 60 * 98 / 100, "{all} let through");
+fn a_tenant_within_its_limit_is_not_limited() {
+    let admitted = admitted_tokens(&[3_000, 3_000, 2_000], 60);
+    let all: u64 = admitted.iter().sum();
+    assert!(all >= 8_000 * 60 * 98 / 100, "{all} tokens admitted");
 }
 
 #[test]
-fn a_refused_tenant_gets_in_when_told_to_come_back() {
+fn a_refused_tenant_is_admitted_after_the_retry_delay() {
     let tenant = TenantName::from("archive");
     let mut limits = TenantLimits::new(10, 1);
     let mut now = at(0);
@@ -127,8 +127,8 @@
             Err(wait) => break wait,
         }
     };
-    let back = now + wait + Duration::from_millis(1);
-    assert_eq!(limits.admit(back, &tenant, &RULE, 1_000), Ok(()));
+    let retry_at = now + wait + Duration::from_millis(1);
+    assert_eq!(limits.admit(retry_at, &tenant, &RULE, 1_000), Ok(()));
 }
 
 #[test]
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn every_node_names_the_same_node_for_a_tenant_and_work_is_spread() {
+fn all_nodes_agree_on_the_summing_node_and_tenants_are_spread() {
     let nodes: Vec<NodeId> = (0..10)
         .map(|number| NodeId::from(format!("node-{number}")))
         .collect();
@@ -162,8 +162,8 @@
         let tenant = TenantName::from(format!("tenant-{number}"));
         let chosen = summing_node(&tenant, &nodes).expect("there are nodes");
         assert_eq!(Some(chosen), summing_node(&tenant, &reversed));
-        let place = nodes.iter().position(|node| node == chosen);
-        counts[place.expect("one of them")] += 1;
+        let index = nodes.iter().position(|node| node == chosen);
+        counts[index.expect("one of them")] += 1;
     }
     assert!(
         counts.iter().all(|count| (50..200).contains(count)),
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_total_of_an_unknown_tenant_changes_nothing() {
+fn a_total_of_an_unknown_tenant_is_ignored() {
     let mut limits = TenantLimits::new(10, 1);
     let total = TenantDemand {
         tenant: TenantName::from("nobody"),
--- a/crates/routing/tests/overload.rs
+++ b/crates/routing/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Which requests are begun under load, and how long engines may keep them waiting.
+//! Rejection of requests that would miss their objective because of queues, and response timeouts.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -37,9 +37,9 @@
 
 #[rstest]
 #[case::in_time(expected(150, 100), bounds(2_000, 200), false)]
-#[case::late_by_queues(expected(400, 350), bounds(2_000, 200), true)]
-#[case::late_by_itself(expected(900, 50), bounds(5_000, 500), false)]
-#[case::late_by_itself_behind_a_long_queue(expected(1_500, 600), bounds(5_000, 500), true)]
+#[case::late_because_of_queues(expected(400, 350), bounds(2_000, 200), true)]
+#[case::late_without_queues(expected(900, 50), bounds(5_000, 500), false)]
+#[case::late_without_queues_and_behind_a_long_one(expected(1_500, 600), bounds(5_000, 500), true)]
 #[case::past_its_deadline(expected(1_900, 20), bounds(2_000, 200), true)]
 #[case::without_an_objective(expected(900, 800), bounds(2_000, 0), false)]
 fn a_request_is_refused_where_queues_make_it_late(
@@ -51,7 +51,7 @@
 }
 
 #[rstest]
-fn a_link_is_a_queue_that_empties_with_time() {
+fn a_link_queue_drains_over_time() {
     let mut link = LinkQueue::default();
     let at = MonotonicTime::from_millis;
     link.sent(at(100), Duration::from_millis(30));
@@ -66,7 +66,7 @@
 }
 
 proptest! {
-    /// An engine without a queue takes all: what is expected may be wrong, and only answers show it.
+    /// A request is never refused without a queue, because only responses can correct a wrong estimate.
     #[test]
     fn nothing_is_refused_at_an_idle_engine(
         own_ms in 0_u64..10_000,
@@ -76,8 +76,7 @@
         prop_assert_eq!(refused_for(expected(own_ms, 0), bounds(left_ms, objective_ms)), None);
     }
 
-    /// A longer queue never turns a refusal into a begin, and callers are told to come back within
-    /// the time that they have.
+    /// A longer queue never turns a refusal into an admission, and the retry delay is shorter than the time left.
     #[test]
     fn refusals_grow_with_the_queue(
         own_ms in 0_u64..1_000,
@@ -93,9 +92,9 @@
         }
     }
 
-    /// Found on the third site: runs expected to take 1,207 ms were given up after 600 ms.
+    /// Guards against timeouts shorter than the expected time of a call.
     #[test]
-    fn patience_is_never_shorter_than_what_is_expected(expected_s in 0.0_f64..100.0, least_ms in 0_u64..5_000) {
+    fn patience_is_never_shorter_than_the_expected_time(expected_s in 0.0_f64..100.0, least_ms in 0_u64..5_000) {
         let least = Duration::from_millis(least_ms);
         let patience = patience(expected_s, least);
         prop_assert!(patience >= least);
@@ -129,8 +128,8 @@
     }
 }
 
-/// Requests a second that are answered within the objective by engines that read one prompt after
-/// the other, at `load` times what they can read.
+/// Requests per second answered within the objective, by engines that prefill one prompt at a time, with a demand of
+/// `load` times their capacity.
 fn goodput(load: f64, refuses: bool) -> f64 {
     let mut router = StagedRouter::default();
     let engines: Vec<StagedEngine> = (0..ENGINES).map(engine).collect();
@@ -149,18 +148,18 @@
     while now_s < RUN.as_secs_f64() {
         now_s -= (1.0 - random.random::<f64>()).ln() / per_s;
         id += 1;
-        while let Some(Reverse((at_us, place))) = ends.peek().copied() {
+        while let Some(Reverse((at_us, index))) = ends.peek().copied() {
             if at_us as f64 > now_s * 1e6 {
                 break;
             }
             ends.pop();
-            router.work.read(engines[place].key, PROMPT_TOKENS);
-            router.work.ended(engines[place].key);
+            router.work.read(engines[index].key, PROMPT_TOKENS);
+            router.work.ended(engines[index].key);
         }
         let now = MonotonicTime((now_s * 1e6) as u64);
         let plan = router.plan_prompt(now, &ZoneName::from("here"), &pool, &prompt(id));
         let Some(PromptPlan::Whole(choice)) = plan else {
-            panic!("engines that read and answer");
+            panic!("engines prefill and decode");
         };
         let expectation = PromptPlan::Whole(choice.clone()).expectation();
         let bounds = TimeBounds {
@@ -170,14 +169,14 @@
         if refuses && refused_for(expectation, bounds).is_some() {
             continue;
         }
-        let place = engines
+        let index = engines
             .iter()
             .position(|engine| engine.key == choice.engine.key)
             .expect("known");
         router.work.sent(choice.engine.key, choice.unread_tokens);
-        let ends_s = free_at_s[place].max(now_s) + service_s;
-        free_at_s[place] = ends_s;
-        ends.push(Reverse(((ends_s * 1e6) as u64, place)));
+        let ends_s = free_at_s[index].max(now_s) + service_s;
+        free_at_s[index] = ends_s;
+        ends.push(Reverse(((ends_s * 1e6) as u64, index)));
         if ends_s - now_s <= OBJECTIVE.as_secs_f64() {
             in_time += 1;
         }
@@ -185,18 +184,18 @@
     f64::from(in_time) / RUN.as_secs_f64()
 }
 
-/// Found on the third site: in bursts every request was begun, and 30 in 100 came in time.
+/// Guards against goodput collapse: without refusals, every request in an overload is started and nearly all are late.
 #[rstest]
-fn three_times_the_load_keeps_the_goodput_of_capacity() {
+fn goodput_at_three_times_the_capacity_stays_near_capacity() {
     let at_capacity = goodput(0.9, true);
     let overloaded = goodput(3.0, true);
     assert!(
         overloaded >= 0.9 * at_capacity,
         "{overloaded:.1} a second of {at_capacity:.1}"
     );
-    let collapsed = goodput(3.0, false);
+    let without_refusals = goodput(3.0, false);
     assert!(
-        collapsed < 0.2 * at_capacity,
-        "without refusals nothing is left: {collapsed:.1}"
+        without_refusals < 0.2 * at_capacity,
+        "without refusals goodput collapses: {without_refusals:.1}"
     );
 }
--- a/crates/routing/tests/router_properties.rs
+++ b/crates/routing/tests/router_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of routing over arbitrary fleets.
+//! Properties of the router over arbitrary fleets.
 
 use std::time::Duration;
 
@@ -91,7 +91,7 @@
     })
 }
 
-/// Fixed seed, no files: the same cases each time.
+/// Fixed seed and no persistence, so that every run has the same cases.
 fn cases(count: u32) -> ProptestConfig {
     ProptestConfig {
         cases: count,
@@ -119,7 +119,7 @@
     #![proptest_config(cases(256))]
 
     #[test]
-    fn an_engine_that_is_out_leaving_or_in_the_wrong_role_is_never_chosen(
+    fn an_ineligible_engine_is_never_selected(
         view in any_fleet(),
         may_split in any::<bool>(),
         prefilled in any::<bool>(),
@@ -143,15 +143,15 @@
     }
 
     #[test]
-    fn an_engine_that_may_take_the_request_is_found(
+    fn an_eligible_engine_is_always_found(
         view in any_fleet(),
         seed in any::<u64>(),
     ) {
         let mut router = Router::new(RouterConfig::default());
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let decision = router.decide(NOW, &view, &request(), &mut random);
-        let possible = view.engines.iter().any(|one| may_take(one, Placement::Whole, false));
-        prop_assert_eq!(decision.engine().is_some(), possible);
+        let is_eligible = view.engines.iter().any(|one| may_take(one, Placement::Whole, false));
+        prop_assert_eq!(decision.engine().is_some(), is_eligible);
     }
 
     #[test]
@@ -177,7 +177,7 @@
     }
 
     #[test]
-    fn what_has_run_its_prompt_is_never_refused_for_its_deadline(
+    fn a_prefilled_request_is_never_refused_for_its_deadline(
         running in 0_u32..CAPACITY,
         left_ms in 0_u64..100,
     ) {
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn own_requests_spread_while_the_digest_stands_still() {
+fn own_requests_are_spread_without_new_reports() {
     let view = fleet((0..4).map(engine).collect());
     let config = RouterConfig {
         sample_size: 4,
@@ -211,8 +211,8 @@
         else {
             panic!("refused: {decision:?}");
         };
-        let place = view.engines.iter().position(|one| *one == engine);
-        counts[place.expect("of the fleet")] += 1;
+        let index = view.engines.iter().position(|one| *one == engine);
+        counts[index.expect("an engine of the fleet")] += 1;
         router.sent(NOW, &engine, &request(), placement);
     }
     assert_eq!(counts, [10; 4]);
@@ -236,7 +236,7 @@
         choose(&mut router, &view, NOW),
         Some(view.engines[1].engine.clone())
     );
-    // The next reports say that the first engine is done with its queue and the second is not.
+    // The next reports show that the first engine has processed its queue and the second has not.
     let later = NOW + Duration::from_secs(2);
     for one in &mut view.engines {
         one.reported_at = NOW + Duration::from_secs(1);
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn nodes_that_share_nothing_send_a_known_prefix_to_the_same_engine() {
+fn nodes_without_shared_state_send_a_known_prefix_to_the_same_engine() {
     let view = fleet((0..64).map(engine).collect());
     let mut request = request();
     request.blocks = prompt_blocks(&"the screening history of a donor ".repeat(200));
@@ -257,7 +257,7 @@
     let home = |seed| {
         let mut router = Router::new(RouterConfig::default());
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        // The first sight of the prefix goes anywhere; the second, with that engine busy, home.
+        // The first request with the prefix may go anywhere; the second, with that engine busy, goes to the home.
         router.sent(
             NOW,
             &view.engines[seed as usize],
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn a_deadline_out_of_reach_is_refused_at_once_with_a_time_to_come_back() {
+fn a_request_that_cannot_meet_its_deadline_is_refused_with_a_retry_delay() {
     let mut slow = engine(0);
     slow.queued_prefill_tokens = 200_000;
     let mut request = request();
@@ -301,12 +301,12 @@
 }
 
 #[test]
-fn an_engine_slower_than_its_pool_gets_less() {
+fn an_engine_slower_than_its_pool_is_avoided() {
     let view = fleet(vec![engine(0), engine(1)]);
     let mut router = Router::new(RouterConfig::default());
     let mut now = NOW;
-    let serve = |router: &mut Router, place: usize, gap_ms: u64, now: MonotonicTime| {
-        let engine = &view.engines[place];
+    let serve = |router: &mut Router, index: usize, gap_ms: u64, now: MonotonicTime| {
+        let engine = &view.engines[index];
         let mut ticket = router.sent(now, engine, &request(), Placement::Whole);
         router.first_token(now + Duration::from_millis(100), &mut ticket);
         let end = now + Duration::from_millis(100 + 100 * gap_ms);
--- a/crates/routing/tests/shared_retry_budget.rs
+++ b/crates/routing/tests/shared_retry_budget.rs
@@ -1,4 +1,4 @@
-//! The budget of repeated sends that all nodes share.
+//! The budget of repeated sends that all nodes share, and which calls count as repeated.
 
 use std::time::Duration;
 
@@ -9,22 +9,21 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const TERMS: SharedRetryLimits = SharedRetryLimits {
+const LIMITS: SharedRetryLimits = SharedRetryLimits {
     ratio: 0.2,
     slack: 54.0,
     window: Duration::from_secs(10),
 };
 
 proptest! {
-    /// Whatever each node does at whatever time, all nodes together stay within the ratio of all
-    /// requests and the slack, in every window.
+    /// In every window, all nodes together stay within the ratio of all requests plus the slack.
     #[test]
     fn all_nodes_together_stay_within_the_budget(
         steps in proptest::collection::vec((0_usize..7, 0_u64..400, any::<bool>()), 1..1_500),
     ) {
         let pool = PoolName::from("captions");
         let mut nodes: Vec<SharedRetryBudget> =
-            (0..7).map(|_| SharedRetryBudget::new(TERMS)).collect();
+            (0..7).map(|_| SharedRetryBudget::new(LIMITS)).collect();
         for node in &mut nodes {
             node.set_nodes(MonotonicTime::ZERO, 7);
         }
@@ -40,18 +39,18 @@
                 repeats.push(now);
             }
             let within = |times: &[MonotonicTime]| {
-                times.iter().filter(|at| now.since(**at) <= TERMS.window).count() as f64
+                times.iter().filter(|at| now.since(**at) <= LIMITS.window).count() as f64
             };
-            let allowed = TERMS.ratio * within(&requests) + TERMS.slack;
+            let allowed = LIMITS.ratio * within(&requests) + LIMITS.slack;
             prop_assert!(within(&repeats) <= allowed);
         }
     }
 }
 
-/// A count of nodes that some of them hear for a time, instead of the right one.
+/// A wrong count of nodes that one node sees for a time.
 #[derive(Clone, Debug)]
 struct WrongCount {
-    hears: usize,
+    node: usize,
     counted: usize,
     from_s: u64,
     for_s: u64,
@@ -59,9 +58,9 @@
 
 fn wrong_count() -> impl Strategy<Value = WrongCount> {
     let counted = prop_oneof![Just(NODES - 1), Just(NODES / 2), Just(1)];
-    (0..NODES, counted, 0_u64..60, 1_u64..30).prop_map(|(hears, counted, from_s, for_s)| {
+    (0..NODES, counted, 0_u64..60, 1_u64..30).prop_map(|(node, counted, from_s, for_s)| {
         WrongCount {
-            hears,
+            node,
             counted,
             from_s,
             for_s,
@@ -72,26 +71,26 @@
 const NODES: usize = 8;
 
 proptest! {
-    /// Nodes that take others for gone, whose entries lapsed while the key-value service was away, stay within the
-    /// budget with those that are there all the same: wrong by one, by half, or alone.
+    /// The budget holds while some nodes see too few others, for example because registrations expired during an outage
+    /// of the key-value service.
     #[test]
-    fn a_wrong_count_of_nodes_spends_no_more(
+    fn a_wrong_count_of_nodes_does_not_exceed_the_budget(
         wrong in proptest::collection::vec(wrong_count(), 1..10),
         is_repeat in proptest::collection::vec(proptest::bool::weighted(0.7), 600),
     ) {
         let pool = PoolName::from("captions");
         let mut nodes: Vec<SharedRetryBudget> =
-            (0..NODES).map(|_| SharedRetryBudget::new(TERMS)).collect();
+            (0..NODES).map(|_| SharedRetryBudget::new(LIMITS)).collect();
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
         for second in 0..60 {
             let now = MonotonicTime::from_millis(second * 1_000);
             for (number, node) in nodes.iter_mut().enumerate() {
                 let counted = wrong.iter().find(|one| {
-                    one.hears == number
+                    one.node == number
                         && (one.from_s..one.from_s + one.for_s).contains(&second)
                 });
-                // All nodes hear the right count at first.
+                // All nodes see the right count at first.
                 let counted = counted.filter(|_| second > 0);
                 node.set_nodes(now, counted.map_or(NODES, |one| one.counted));
                 for place in 0..10 {
@@ -105,35 +104,34 @@
                 }
             }
             let within = |times: &[MonotonicTime]| {
-                times.iter().filter(|at| now.since(**at) <= TERMS.window).count() as f64
+                times.iter().filter(|at| now.since(**at) <= LIMITS.window).count() as f64
             };
-            let allowed = TERMS.ratio * within(&requests) + TERMS.slack;
+            let allowed = LIMITS.ratio * within(&requests) + LIMITS.slack;
             prop_assert!(within(&repeats) <= allowed, "{} of {allowed}", within(&repeats));
         }
     }
 }
 
-/// A node that does not know how many there are takes no part of what they share.
+/// A node that does not know the number of nodes must not use any slack.
 #[rstest]
-#[case::never_told(None, false)]
-#[case::alone(Some(1), false)]
-#[case::hears_nobody(Some(8), true)]
-fn a_node_without_a_count_has_no_slack(#[case] nodes: Option<usize>, #[case] cut_off: bool) {
+#[case::count_unknown(None, false)]
+#[case::single_node(Some(1), false)]
+#[case::isolated(Some(8), true)]
+fn a_node_without_a_count_has_no_slack(#[case] nodes: Option<usize>, #[case] isolated: bool) {
     let pool = PoolName::from("pool");
     let now = MonotonicTime::from_millis(5_000);
-    let mut budget = SharedRetryBudget::new(TERMS);
+    let mut budget = SharedRetryBudget::new(LIMITS);
     if let Some(nodes) = nodes {
         budget.set_nodes(now, nodes);
     }
-    budget.set_isolated(cut_off);
-    let is_counted = nodes.is_some() && !cut_off;
+    budget.set_isolated(isolated);
+    let is_counted = nodes.is_some() && !isolated;
     assert_eq!(budget.take(now, &pool).is_some(), is_counted);
 }
 
-/// Seen in a hunt: five nodes were stopped and started within ten seconds while engines failed, and
-/// each life of a node spent the node's whole part of the slack.
+/// Guards against a restarted node using its part of the slack a second time within a window.
 #[rstest]
-fn two_lives_of_a_node_spend_one_part_of_the_slack() {
+fn a_restarted_node_uses_its_part_of_the_slack_once() {
     let pool = PoolName::from("pool");
     let spend = |budget: &mut SharedRetryBudget, now| {
         let mut spent = 0;
@@ -143,11 +141,11 @@
         spent
     };
     let start = MonotonicTime::from_millis(5_000);
-    let mut former = SharedRetryBudget::new(TERMS);
+    let mut former = SharedRetryBudget::new(LIMITS);
     former.set_nodes(MonotonicTime::ZERO, 1);
     let spent_before = spend(&mut former, start);
     assert!(spent_before > 0);
-    let mut budget = SharedRetryBudget::new(TERMS);
+    let mut budget = SharedRetryBudget::new(LIMITS);
     budget.set_nodes(MonotonicTime::ZERO, 1);
     budget.note_restart(start);
     assert_eq!(spend(&mut budget, start + Duration::from_secs(9)), 0);
@@ -167,8 +165,7 @@
     ]
 }
 
-/// Calls of one request beyond the first, counted as the users do from what engines saw: the first prefill
-/// that is taken up is left out.
+/// Repeated calls of one request, counted from what engines received. The first accepted prefill does not count.
 fn beyond_the_first(calls: &[(CallPurpose, CallOutcome)]) -> usize {
     let arrived = calls
         .iter()
@@ -180,10 +177,9 @@
 }
 
 proptest! {
-    /// Whatever calls the requests of all nodes make, in any order and however they come out, those that
-    /// count stay within what is allowed, and a budget that is there is used.
+    /// The counted calls of all nodes stay within the budget, whatever their order and outcomes.
     #[test]
-    fn every_call_that_counts_is_taken_from_the_budget(
+    fn every_counted_call_is_taken_from_the_budget(
         requests in proptest::collection::vec(
             (0_usize..5, proptest::collection::vec((purpose(), outcome()), 1..7)),
             1..200,
@@ -191,7 +187,7 @@
     ) {
         let pool = PoolName::from("captions");
         let mut nodes: Vec<SharedRetryBudget> =
-            (0..5).map(|_| SharedRetryBudget::new(TERMS)).collect();
+            (0..5).map(|_| SharedRetryBudget::new(LIMITS)).collect();
         for node in &mut nodes {
             node.set_nodes(MonotonicTime::ZERO, 5);
         }
@@ -221,7 +217,7 @@
             }
             beyond += beyond_the_first(&made);
         }
-        let allowed = TERMS.ratio * count as f64 + TERMS.slack;
+        let allowed = LIMITS.ratio * count as f64 + LIMITS.slack;
         prop_assert!(beyond as f64 <= allowed, "{beyond} of {allowed}");
     }
 }
@@ -232,7 +228,10 @@
 #[case::run_refused_then_prefill_refused(&[(CallPurpose::Run, CallOutcome::NotAccepted), (CallPurpose::Prefill, CallOutcome::NotAccepted), (CallPurpose::Run, CallOutcome::Accepted)], 2)]
 #[case::prefilled_twice(&[(CallPurpose::Prefill, CallOutcome::Accepted), (CallPurpose::Prefill, CallOutcome::Accepted), (CallPurpose::Run, CallOutcome::Accepted)], 1)]
 #[case::nothing_arrived(&[(CallPurpose::Run, CallOutcome::NotDelivered), (CallPurpose::Run, CallOutcome::Accepted)], 0)]
-fn calls_that_are_taken(#[case] calls: &[(CallPurpose, CallOutcome)], #[case] expected: usize) {
+fn counted_calls_of_a_request(
+    #[case] calls: &[(CallPurpose, CallOutcome)],
+    #[case] expected: usize,
+) {
     let mut counts = CallCounts::default();
     let mut taken = 0;
     for (purpose, outcome) in calls {
--- a/crates/routing/tests/source_sums.rs
+++ b/crates/routing/tests/source_sums.rs
@@ -1,4 +1,4 @@
-//! Figures that add up over nodes, whoever sends them, is lost or comes twice.
+//! Sums of figures over nodes, with lost and duplicate reports.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-const COUNTS_FOR: Duration = Duration::from_secs(3);
+const ROW_LIFETIME: Duration = Duration::from_secs(3);
 
 fn at(milliseconds: u64) -> MonotonicTime {
     MonotonicTime(milliseconds * 1_000)
@@ -27,11 +27,11 @@
 }
 
 fn sums() -> SourceSums<&'static str, TenantFigures> {
-    SourceSums::new(COUNTS_FOR)
+    SourceSums::new(ROW_LIFETIME)
 }
 
 #[rstest]
-fn a_relay_adds_up_its_own_its_members_and_the_other_relays() {
+fn a_relay_sums_its_own_figures_its_members_and_the_other_relays() {
     let mut sums = sums();
     sums.set_own([("pool", asked(1.0))]);
     sums.set_reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
@@ -43,7 +43,7 @@
 }
 
 #[rstest]
-fn a_member_takes_the_sums_of_the_fleet_for_the_whole() {
+fn a_member_uses_the_sums_of_the_fleet_as_totals() {
     let mut sums = sums();
     sums.set_own([("pool", asked(1.0)), ("new", asked(5.0))]);
     sums.set_reported(at(0), LoadSource::Fleet, [("pool", asked(9.0))]);
@@ -53,7 +53,7 @@
 }
 
 #[rstest]
-fn a_report_that_comes_twice_counts_once_and_a_lost_one_lapses() {
+fn a_duplicate_report_counts_once_and_a_missing_one_expires() {
     let mut sums = sums();
     for milliseconds in [0, 5] {
         let row = ("pool", asked(2.0));
@@ -66,7 +66,7 @@
 }
 
 #[rstest]
-fn a_node_that_hears_no_other_knows_its_own() {
+fn a_node_without_reports_uses_its_own_figures() {
     let mut sums = sums();
     sums.set_own([("pool", asked(3.0))]);
     sums.set_reported(at(0), LoadSource::Fleet, [("pool", asked(50.0))]);
@@ -76,11 +76,11 @@
 
 #[rstest]
 #[case::usual(20.0, true)]
-#[case::more_than_any_fleet(1e9, false)]
-#[case::below_zero(-1.0, false)]
-#[case::no_number(f32::NAN, false)]
-#[case::without_end(f32::INFINITY, false)]
-fn a_rate_that_no_node_can_have_counted_is_unsound(#[case] rate: f32, #[case] is_sound: bool) {
+#[case::implausibly_large(1e9, false)]
+#[case::negative(-1.0, false)]
+#[case::not_a_number(f32::NAN, false)]
+#[case::infinite(f32::INFINITY, false)]
+fn implausible_rates_are_rejected(#[case] rate: f32, #[case] is_sound: bool) {
     let figures = ClassFigures {
         asked_per_s: rate,
         ..ClassFigures::default()
@@ -94,7 +94,7 @@
 }
 
 #[rstest]
-fn a_meter_follows_a_steady_rate_and_forgets_it() {
+fn a_rate_converges_and_decays() {
     let mut meter = ClassMeter::default();
     for request in 0..400 {
         meter.asked.count(at(request * 25), 1.0);
@@ -105,9 +105,9 @@
 }
 
 proptest! {
-    /// Whatever is reported in whatever order, the total is the sum of each source's newest row.
+    /// The total is the sum of each source's newest row, whatever the order of the reports.
     #[test]
-    fn the_newest_row_of_each_source_counts(
+    fn only_the_newest_row_of_each_source_counts(
         reports in prop::collection::vec((0_u64..4, 0_u64..2_000, 0.0_f32..100.0), 1..40),
     ) {
         let mut sums = sums();
@@ -127,7 +127,7 @@
 }
 
 #[rstest]
-fn a_source_is_as_old_as_its_newest_row_and_goes_when_that_lapses() {
+fn the_age_of_a_source_is_that_of_its_newest_row_until_it_expires() {
     let mut sums = sums();
     sums.set_reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
     sums.set_reported(at(400), LoadSource::Member(1), [("other", asked(2.0))]);
