--- a/crates/forwarding/src/permits/asking.rs
+++ b/crates/forwarding/src/permits/requester.rs
@@ -4,15 +4,15 @@
 
 use dalestand_dissemination::{Message, PermitAnswer, PermitNeed, PermitRequest, Relay};
 use dalestand_routing::shared_rate::{PERMIT_LIFETIME, Permit};
-use dalestand_routing::staged::{ClosedFor, EngineKey};
+use dalestand_routing::staged::{ClosedReason, EngineKey};
 use dalestand_types::MonotonicTime;
 use tokio::sync::oneshot;
 
 use crate::context::Context;
 use crate::fleet::signals::known_limit;
-use crate::permits::desk::Asked;
+use crate::permits::grants;
 use crate::permits::issuer::{IssuerPlace, issuer_of};
-use crate::permits::issuing;
+use crate::permits::state::Asked;
 use crate::spread::transmit::send;
 
 /// For how long a request waits for leave: a node whose share of a core is a quota answers after a tenth of a
@@ -27,7 +27,7 @@
 const MANY_ASKED: usize = 256;
 
 /// Leave to send one request to an engine with a limit, or why there is none.
-pub(super) async fn permit(context: &Context, engine: EngineKey) -> Result<Permit, ClosedFor> {
+pub(super) async fn permit(context: &Context, engine: EngineKey) -> Result<Permit, ClosedReason> {
     if let Some(permit) = take_held(context, engine) {
         return Ok(permit);
     }
@@ -43,14 +43,14 @@
         let now = context.now();
         let router = context.router.borrow();
         let closed = router.signals.closed(now, engine);
-        closed.unwrap_or(ClosedFor::Limit(now))
+        closed.unwrap_or(ClosedReason::Limit(now))
     })
 }
 
 /// Tells the issuer of a call that needs no leave. Where that is lost, one call more goes to the engine.
 pub(super) fn tell_of_call(context: &Context, engine: EngineKey) {
     match issuer_of(context, engine) {
-        IssuerPlace::Here => issuing::debit(context, engine),
+        IssuerPlace::Here => grants::debit(context, engine),
         IssuerPlace::At(relay) => {
             send_request(context, engine, &relay, PermitNeed::Counted);
         }
@@ -59,7 +59,7 @@
 }
 
 /// Takes an answer in. One that comes late counts for what is left of its permits' time.
-pub(crate) fn take(context: &Context, answer: PermitAnswer) {
+pub(crate) fn handle_answer(context: &Context, answer: PermitAnswer) {
     let asked = context.permits.asked.borrow_mut().remove(&answer.number);
     let Some(asked) = asked.filter(|asked| asked.engine.0 == answer.engine) else {
         return;
@@ -79,7 +79,7 @@
 }
 
 fn issue_here(context: &Context, engine: EngineKey) {
-    let grant = issuing::issue(context, engine);
+    let grant = grants::issue(context, engine);
     credit(
         context,
         engine,
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -20,8 +20,8 @@
 use crate::context::Context;
 use crate::fleet_sums::ClassKey;
 use crate::serve::answer::Failure;
+use crate::serve::pool_admissions::{AdmissionRecord, Desk, Place};
 use crate::serve::progress::Progress;
-use crate::serve::rooms::{AdmissionRecord, Desk, Place};
 
 /// Shortest time between two looks at a pool: load reports are some tens of milliseconds old.
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
@@ -49,7 +49,7 @@
     if !progress.table.is_competed_for(pool) {
         return Ok(Admission::Ungated);
     }
-    let desk = context.rooms.desk(pool);
+    let desk = context.admissions.desk(pool);
     let stage = if context.fleet().pool(pool).serves_prompts() {
         Stage::Decode
     } else {
@@ -150,14 +150,14 @@
     let fleet = context.fleet();
     let router = context.router.borrow();
     let engines = fleet.pool(pool).iter();
-    let engines =
-        engines.filter(|engine| engine.stage == stage && !router.health.is_silent(now, engine.key));
+    let engines = engines
+        .filter(|engine| engine.stage == stage && !router.health.is_unresponsive(now, engine.key));
     for engine in engines {
         load.engines += 1;
         load.slots += engine.slots;
         load.taken += router.work.total(engine.key).requests;
     }
-    load.taken_age = router.work.mean_age(now, |_| true);
+    load.taken_age = router.work.mean_report_age(now, |_| true);
     let own = context.classes.figures(now);
     let own = own.iter().filter(|((of, _), _)| of == pool);
     let asked = own.clone();
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -13,7 +13,7 @@
 
 use crate::context::Context;
 use crate::quarantine::evidence::is_stopped;
-use crate::quarantine::trial::{may_try, trial_in};
+use crate::quarantine::trial::{may_try, retry_after};
 use crate::serve::account::{log_failed, log_served, log_unadmitted};
 use crate::serve::admit::admit;
 use crate::serve::admitted_plan::admitted_plan;
@@ -167,7 +167,7 @@
         return None;
     }
     progress.is_trial = may_try(context, fingerprint).await;
-    let failure = Failure::EndsEngines(trial_in(context, fingerprint));
+    let failure = Failure::EndsEngines(retry_after(context, fingerprint));
     (!progress.is_trial).then_some(failure)
 }
 
@@ -182,7 +182,7 @@
     {
         // It was stopped while it was under way here.
         return Err(if progress.runs == 0 {
-            Failure::EndsEngines(trial_in(context, fingerprint))
+            Failure::EndsEngines(retry_after(context, fingerprint))
         } else {
             final_failure(context, progress)
         });
@@ -227,7 +227,7 @@
         let now = context.now();
         let mut router = context.router.borrow_mut();
         let holder = held.engine.key;
-        router.health.note(now, holder, AttemptResult::Refused);
+        router.health.record(now, holder, AttemptResult::Refused);
     }
     match ended {
         // Nothing is left to go on with the memory.
@@ -263,7 +263,7 @@
 /// Learns from an answer how long engines take to begin one.
 fn note_start(context: &Context, answer: &EngineAnswer) {
     let mut router = context.router.borrow_mut();
-    let starts = &mut router.starts;
+    let starts = &mut router.decode_start_times;
     let moving_s = answer.choice.expected_s - starts.expected_s(answer.before);
     let took_s = answer.sent_at.elapsed().as_secs_f64();
     starts.observe(answer.before, took_s - moving_s);
--- a/crates/routing/src/overload/pool_admission.rs
+++ b/crates/routing/src/overload/pool_admission.rs
@@ -9,7 +9,7 @@
 use super::queue::{AdmissionQueue, WaiterId};
 use super::retry_after::{RETRY_SHARE, RetryAfterBounds, RetryAfterSchedule, RetryAfterSlot};
 use super::room_account::{CapacityFactor, PoolLoad, RoomAccount};
-use crate::staged::{Expectation, TimeBounds};
+use crate::staged::{LatencyEstimate, TimeBounds};
 
 /// Fraction of the time to the deadline that a request may be expected to take. The rest is a margin for estimation
 /// errors: an answer after the deadline wastes the engine's work.
@@ -38,7 +38,7 @@
     /// Its deadline and objective.
     pub bounds: TimeBounds,
     /// Expected time at an engine.
-    pub expected: Expectation,
+    pub expected: LatencyEstimate,
     /// Rate of more urgent requests at this node per second, without retries.
     pub more_urgent_per_s: f64,
 }
@@ -47,13 +47,13 @@
     /// The queue entry of a request that arrives at `now`. The expected time at the engine is deducted from the
     /// objective, except for a request that would miss the objective even without a queue.
     fn queue_entry(&self, now: MonotonicTime) -> QueueEntry {
-        let left_s = self.bounds.left.as_secs_f64() * DEADLINE_FRACTION - self.expected.whole_s;
+        let left_s = self.bounds.left.as_secs_f64() * DEADLINE_FRACTION - self.expected.total_s;
         let wanted_s = self.bounds.objective.as_secs_f64() * OBJECTIVE_FRACTION;
-        let own_s = self.expected.whole_s - self.expected.queue_s;
+        let own_s = self.expected.total_s - self.expected.queue_s;
         let on_time_s = if wanted_s <= 0.0 {
             left_s
         } else if own_s <= wanted_s {
-            wanted_s - self.expected.whole_s
+            wanted_s - self.expected.total_s
         } else {
             wanted_s
         };
--- a/crates/routing/tests/room.rs
+++ b/crates/routing/tests/room.rs
@@ -9,7 +9,7 @@
     MIN_CLASS_SHARE, PoolAdmission, PoolLoad, QueueEntry, RetryAfterBounds, RetryAfterSchedule,
     RetryAfterSlot, RoomAccount, ShareStanding, WaiterId,
 };
-use dalestand_routing::staged::{Expectation, TimeBounds};
+use dalestand_routing::staged::{LatencyEstimate, TimeBounds};
 use dalestand_types::MonotonicTime;
 use proptest::prelude::*;
 use rstest::rstest;
@@ -61,8 +61,8 @@
             left: Duration::from_millis(left_ms),
             objective: Duration::from_millis(objective_ms),
         },
-        expected: Expectation {
-            whole_s: 0.1,
+        expected: LatencyEstimate {
+            total_s: 0.1,
             queue_s: 0.0,
         },
         more_urgent_per_s: 0.0,
