--- a/crates/forwarding/src/dissemination/sums.rs
+++ b/crates/forwarding/src/dissemination/sums.rs
@@ -224,7 +224,7 @@
                 .map(|row| ((row.pool, row.priority), row.figures))
                 .collect();
             let invalid = received - rows.len();
-            sums.classes.borrow_mut().reported(now, source, rows);
+            sums.classes.borrow_mut().set_reported(now, source, rows);
             invalid
         }
         SummedRows::Tenants(TenantRows {
@@ -238,7 +238,7 @@
                 .map(|row| (((pool.clone(), priority), row.tenant), row.figures))
                 .collect();
             let invalid = received - rows.len();
-            sums.tenants.borrow_mut().reported(now, source, rows);
+            sums.tenants.borrow_mut().set_reported(now, source, rows);
             invalid
         }
         SummedRows::Slowness(rows) => {
@@ -248,7 +248,7 @@
                 .map(|row| ((row.engine, row.kind), row.figures))
                 .collect();
             let invalid = received - rows.len();
-            sums.slowness.borrow_mut().reported(now, source, rows);
+            sums.slowness.borrow_mut().set_reported(now, source, rows);
             invalid
         }
     }
