--- a/crates/planner/src/engine_scaling/decision.rs
+++ b/crates/planner/src/engine_scaling/decision.rs
@@ -1,4 +1,4 @@
-//! What was weighed when numbers of engines were decided.
+//! A scaling decision with the figures it is based on.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display, Formatter};
@@ -10,70 +10,70 @@
 use crate::engine_scaling::types::{EngineTargets, ZoneEngines};
 use crate::engine_scaling::workload::PoolWorkload;
 
-/// What decided the numbers.
+/// Rule that a scaling decision follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ScalingRule {
-    /// The operator's own number and the prices.
+    /// Baseline engines and prices only; demand is unknown or ignored.
     Fixed,
-    /// Demand, whose history is too short to give engines back by it.
+    /// Demand, with a history too short to scale down on.
     DemandRising,
     /// Demand.
     Demand,
 }
 
-/// The need of engines, in engines that are busy all the time.
+/// Estimated need, in fully busy engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct NeedEstimate {
-    /// Expected when engines that are ordered now have booted.
+    /// Forecast for the time at which engines ordered now will serve.
     pub forecast: f64,
-    /// The highest within the time for which spot engines are kept.
+    /// Peak need within the retention time of spot engines.
     pub highest_for_spot: f64,
-    /// The highest within the time for which on-demand engines are kept.
+    /// Peak need within the retention time of on-demand engines.
     pub highest_for_on_demand: f64,
-    /// Time for which the need is known, in seconds.
+    /// Length of the uninterrupted need history, in seconds.
     pub known_for_s: f64,
-    /// Time for which idle spot engines are kept, in seconds.
+    /// Retention time of idle spot engines, in seconds.
     pub spot_kept_s: f64,
-    /// Time for which idle on-demand engines are kept, in seconds.
+    /// Retention time of idle on-demand engines, in seconds.
     pub on_demand_kept_s: f64,
 }
 
-/// Losses of spot engines as they were weighed.
+/// How a decision accounts for reclamations of spot engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct LossAssessment {
-    /// What was seen.
+    /// Reclamations observed so far.
     pub record: LossRecord,
-    /// Zones whose loss is planned for.
+    /// Number of zones whose simultaneous loss the plan covers.
     pub zones_planned: usize,
-    /// Whether on-demand engines stand for spot engines that may be lost.
+    /// Whether on-demand engines are ordered to cover such a loss.
     pub insured: bool,
-    /// Engines short of the need in such a loss, before on-demand engines are counted.
+    /// Engines missing after such a loss, before on-demand engines are counted.
     pub short: u32,
 }
 
-/// One decision for a pool.
+/// Scaling decision for one pool.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ScalingDecision {
-    /// What decided.
+    /// Rule that was applied.
     pub rule: ScalingRule,
-    /// What engines did and were asked to do; `None` if no figure is known.
+    /// Load of the pool; `None` if unknown.
     pub work: Option<PoolWorkload>,
-    /// The need of engines; `None` if no figure is known.
+    /// Estimated need; `None` if unknown.
     pub need: Option<NeedEstimate>,
-    /// Losses.
+    /// Reclamations of spot engines.
     pub losses: LossAssessment,
-    /// Engines that stood.
+    /// Engines that accepted new requests at the time of the decision.
     #[serde(rename = "standing")]
     pub serving: BTreeMap<ZoneName, ZoneEngines>,
-    /// Engines wanted; `None` if the number stays as it is.
+    /// Target engine counts; `None` to leave the counts as they are.
     pub targets: Option<EngineTargets>,
-    /// What the targets cost a second, in engines at the full price.
+    /// Price of the targets, in on-demand engines.
     pub cost: f64,
 }
 
 impl ScalingDecision {
-    /// Engines wanted in all zones; those that stand where the number stays as it is.
+    /// Target engines over all zones; the serving engines if the counts stay as they are.
     pub fn wanted(&self) -> ZoneEngines {
         sum(self.targets.as_ref().unwrap_or(&self.serving))
     }
--- a/crates/planner/src/engine_scaling/fixed.rs
+++ b/crates/planner/src/engine_scaling/fixed.rs
@@ -1,9 +1,7 @@
-//! The number of engines without knowledge of demand.
+//! Engine targets without load data.
 //!
-//! The operator's own number of engines says what it is ready to pay for. Where the platform offers
-//! engines that it may take away again at a fraction of the price, the same money buys more of them:
-//! they replace the others, and there are more of them, so that what is left after a zone's were
-//! taken away is no less than the operator's number.
+//! The baseline is the number of engines that the operator pays for. Where spot engines are cheaper, the same money
+//! buys more of them, so that the baseline number is still running after a zone's spot engines were reclaimed.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +9,14 @@
 
 use crate::engine_scaling::types::{EngineTargets, ScalingBounds, ScalingPolicy, ZoneEngines};
 
-/// The engines to order where `present` take new work and the operator's own numbers are `own`;
-/// `None` where no other terms are offered, or where they would cost as much.
+/// Targets that replace the baseline engines by spot engines. `None` if the platform offers no spot engines, or if the
+/// targets would cost no less than the baseline.
 ///
-/// An on-demand engine goes only once a spot engine stands for it, anywhere in the fleet, and comes
-/// back where spot engines were taken away and fewer than the operator's number are left.
+/// An on-demand engine is removed only once a spot engine, in any zone, serves in its place. It is ordered again when
+/// reclamations leave fewer spot engines than the baseline.
 pub fn fixed_targets(
-    own: &BTreeMap<ZoneName, u32>,
-    present: &BTreeMap<ZoneName, ZoneEngines>,
+    baseline: &BTreeMap<ZoneName, u32>,
+    serving: &BTreeMap<ZoneName, ZoneEngines>,
     bounds: ScalingBounds,
     policy: ScalingPolicy,
 ) -> Option<EngineTargets> {
@@ -26,23 +24,26 @@
     if spot_price * policy.headroom + policy.on_demand_share >= 1.0 {
         return None;
     }
-    let own_total: u32 = own.values().sum();
-    let spot_total: u32 = present.values().map(|engines| engines.spot).sum();
-    let missing = own_total.saturating_sub(spot_total);
-    let kept = (f64::from(own_total) * policy.on_demand_share).ceil();
-    let serving = |zone| present.get(zone).copied().unwrap_or_default();
-    // Spot engines that stand are not given up for others: these go where there is room.
-    let room = |zone, own: u32| own.min(bounds.max.saturating_sub(serving(zone).spot));
-    let room_total: u32 = own.iter().map(|(zone, own)| room(zone, *own)).sum();
-    let on_demand_total = f64::from(missing).max(kept);
+    let baseline_total: u32 = baseline.values().sum();
+    let spot_total: u32 = serving.values().map(|engines| engines.spot).sum();
+    let missing = baseline_total.saturating_sub(spot_total);
+    let reserved = (f64::from(baseline_total) * policy.on_demand_share).ceil();
+    let serving_in = |zone| serving.get(zone).copied().unwrap_or_default();
+    // On-demand engines go only where there is room beside the serving spot engines.
+    let room = |zone, baseline: u32| baseline.min(bounds.max.saturating_sub(serving_in(zone).spot));
+    let room_total: u32 = baseline
+        .iter()
+        .map(|(zone, baseline)| room(zone, *baseline))
+        .sum();
+    let on_demand_total = f64::from(missing).max(reserved);
     let share_of_room = (on_demand_total / f64::from(room_total.max(1))).min(1.0);
-    let targets = own.iter().map(|(zone, own)| {
-        let on_demand = (f64::from(room(zone, *own)) * share_of_room).ceil() as u32;
-        // Engines that leave count until they have left: the platform refuses more than the most.
-        let taken = on_demand.max(serving(zone).on_demand).min(bounds.max);
-        let wanted = (f64::from(*own) * policy.headroom).ceil() as u32;
-        let least = bounds.min.saturating_sub(on_demand);
-        let spot = wanted.max(least).min(bounds.max - taken);
+    let targets = baseline.iter().map(|(zone, baseline)| {
+        let on_demand = (f64::from(room(zone, *baseline)) * share_of_room).ceil() as u32;
+        // The platform counts engines against the maximum until they have terminated.
+        let occupied = on_demand.max(serving_in(zone).on_demand).min(bounds.max);
+        let wanted = (f64::from(*baseline) * policy.headroom).ceil() as u32;
+        let min = bounds.min.saturating_sub(on_demand);
+        let spot = wanted.max(min).min(bounds.max - occupied);
         (zone.clone(), ZoneEngines { on_demand, spot })
     });
     Some(targets.collect())
--- a/crates/planner/src/engine_scaling/mod.rs
+++ b/crates/planner/src/engine_scaling/mod.rs
@@ -1,7 +1,7 @@
-//! How many engines each zone has, and on what terms.
+//! Autoscaling: how many on-demand and spot engines run in each zone.
 //!
-//! [`Autoscaler`] follows what callers ask for, what engines do and how spot engines were taken away. What it
-//! does without such knowledge is the rule of [`fixed_targets`]: the operator's own number, in spot engines.
+//! [`Autoscaler`] decides from request load, engine load and past reclamations of spot engines. While no load data is
+//! available, it applies [`fixed_targets`], which spends the cost of the baseline engines on spot engines.
 
 mod autoscaler;
 mod decision;
--- a/crates/planner/src/engine_scaling/need.rs
+++ b/crates/planner/src/engine_scaling/need.rs
@@ -1,4 +1,4 @@
-//! The engines that a pool's demand needs, over time: its level, its trend and the waves that were seen.
+//! Tracks how many engines a pool's demand needs: level, trend and recent peaks.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,41 +7,43 @@
 
 use crate::demand::{Smoothed, SmoothingTimes};
 
-/// What comes in is a mean over two seconds; it is smoothed no further than that a trend can be told from noise.
+/// Time constants of the need. The input is already a two-second average and only needs enough smoothing to separate
+/// a trend from noise.
 const NEED_TIMES: SmoothingTimes = SmoothingTimes {
     level_s: 0.5,
     trend_s: 2.0,
 };
 
-/// Without a sample for so long the history counts from anew: figures lapse after this time, and a process that
-/// stood still does not know what came meanwhile.
-const LONGEST_GAP: Duration = Duration::from_secs(3);
+/// Longest gap between two samples. After a longer one the history starts over: load figures expire after this time,
+/// and a stalled process has missed what happened meanwhile.
+const MAX_SAMPLE_GAP: Duration = Duration::from_secs(3);
 
-/// Time of which one highest value is kept.
-const SLOT: Duration = Duration::from_secs(1);
+/// Interval over which one peak is kept.
+const PEAK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Waves are remembered for this long at most.
-pub(crate) const MEMORY: Duration = Duration::from_secs(120);
+/// How long peaks are kept.
+pub(crate) const HISTORY_DURATION: Duration = Duration::from_secs(120);
 
-/// Highest needs from this long ago on back are those of earlier waves; later ones are of the rise under way.
-const RISE: Duration = Duration::from_secs(5);
+/// Peaks older than this belong to earlier waves of load; younger ones may belong to the current rise.
+const CURRENT_RISE_WINDOW: Duration = Duration::from_secs(5);
 
-/// A rise that is past the highest wave by this factor is a new one, and may go on.
-const PAST_WAVES: f64 = 1.1;
+/// A rise that exceeds all earlier peaks by this factor is forecast to continue beyond them.
+const NEW_PEAK_FACTOR: f64 = 1.1;
 
-/// More engines than any fleet has; a need above it is an error of the figures.
-const MOST_ENGINES: f64 = 1e5;
+/// Upper bound of a plausible need; higher values are treated as measurement errors.
+const MAX_ENGINES: f64 = 1e5;
 
+/// Highest values within one [`PEAK_INTERVAL`].
 #[derive(Clone, Copy, Debug)]
-struct Highest {
-    from: MonotonicTime,
+struct Peak {
+    start: MonotonicTime,
     needed: f64,
-    /// What was needed or expected.
+    /// Maximum of the need and its forecast.
     planned: f64,
 }
 
-impl Highest {
-    fn rise_to(&mut self, other: &Self) {
+impl Peak {
+    fn raise_to(&mut self, other: &Self) {
         self.needed = self.needed.max(other.needed);
         self.planned = self.planned.max(other.planned);
     }
@@ -52,87 +54,87 @@
     since: MonotonicTime,
     sampled_at: MonotonicTime,
     smoothed: Smoothed,
-    highest: VecDeque<Highest>,
+    peaks: VecDeque<Peak>,
 }
 
-/// Follows the need of one pool.
+/// Tracks the need of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct NeedTracker {
     history: Option<History>,
 }
 
 impl NeedTracker {
-    /// Takes in the engines needed at `now`, where orders take effect after `ahead`. What is no number of engines is
-    /// passed over, and so is what is older than the last.
+    /// Records the number of engines needed at `now`. `ahead` is the time until an order takes effect. Invalid numbers
+    /// and samples older than the last one are ignored.
     pub fn observe(&mut self, now: MonotonicTime, engines: f64, ahead: Duration) {
-        if !(0.0..=MOST_ENGINES).contains(&engines) {
+        if !(0.0..=MAX_ENGINES).contains(&engines) {
             return;
         }
         match &mut self.history {
             Some(history) if now < history.sampled_at => {}
-            Some(history) if now.since(history.sampled_at) <= LONGEST_GAP => {
+            Some(history) if now.since(history.sampled_at) <= MAX_SAMPLE_GAP => {
                 history.observe(now, engines, ahead);
             }
-            _ => self.history = Some(History::beginning(now, engines)),
+            _ => self.history = Some(History::starting_at(now, engines)),
         }
     }
 
-    /// Time for which the need was followed without a gap; `None` if it is not known now.
+    /// Length of the history without a gap; `None` if there is no current sample.
     pub fn known_for(&self, now: MonotonicTime) -> Option<Duration> {
         let history = self.current(now)?;
         Some(now.since(history.since))
     }
 
-    /// Engines needed after `ahead`; none where nothing is known.
+    /// Forecast of the engines needed after `ahead`; 0 without a current sample.
     pub fn forecast(&self, now: MonotonicTime, ahead: Duration) -> f64 {
         let history = self.current(now);
         history.map_or(0.0, |history| history.forecast(ahead))
     }
 
-    /// Most engines that were needed or expected within the last `window`.
-    pub fn highest_within(&self, now: MonotonicTime, window: Duration) -> f64 {
-        let highest = self.current(now).into_iter().flat_map(|history| {
-            let highest = history.highest.iter();
-            highest.filter(move |one| now.since(one.from) <= window + SLOT)
+    /// Highest need or forecast within the last `window`.
+    pub fn peak_within(&self, now: MonotonicTime, window: Duration) -> f64 {
+        let peaks = self.current(now).into_iter().flat_map(|history| {
+            let peaks = history.peaks.iter();
+            peaks.filter(move |peak| now.since(peak.start) <= window + PEAK_INTERVAL)
         });
-        highest.map(|one| one.planned).fold(0.0, f64::max)
+        peaks.map(|peak| peak.planned).fold(0.0, f64::max)
     }
 
     fn current(&self, now: MonotonicTime) -> Option<&History> {
         let history = self.history.as_ref()?;
-        (now.since(history.sampled_at) <= LONGEST_GAP).then_some(history)
+        (now.since(history.sampled_at) <= MAX_SAMPLE_GAP).then_some(history)
     }
 }
 
 impl History {
-    fn beginning(now: MonotonicTime, engines: f64) -> Self {
+    fn starting_at(now: MonotonicTime, engines: f64) -> Self {
         Self {
             since: now,
             sampled_at: now,
             smoothed: Smoothed::at(engines, NEED_TIMES),
-            highest: VecDeque::from([Highest {
-                from: now,
+            peaks: VecDeque::from([Peak {
+                start: now,
                 needed: engines,
                 planned: engines,
             }]),
         }
     }
 
-    /// A rise within the waves that were seen goes no further than these.
+    /// Forecast after `ahead`. While the level stays within earlier peaks, they cap the forecast.
     fn forecast(&self, ahead: Duration) -> f64 {
         let (level, expected) = (
             self.smoothed.after(0.0),
             self.smoothed.after(ahead.as_secs_f64()),
         );
         let earlier = self
-            .highest
+            .peaks
             .iter()
-            .filter(|one| self.sampled_at.since(one.from) > RISE);
-        let wave = earlier.map(|one| one.needed).fold(0.0, f64::max);
-        if level > wave * PAST_WAVES {
+            .filter(|peak| self.sampled_at.since(peak.start) > CURRENT_RISE_WINDOW);
+        let earlier_peak = earlier.map(|peak| peak.needed).fold(0.0, f64::max);
+        if level > earlier_peak * NEW_PEAK_FACTOR {
             expected
         } else {
-            expected.min(level.max(wave))
+            expected.min(level.max(earlier_peak))
         }
     }
 
@@ -143,18 +145,18 @@
         }
         self.smoothed.update(engines, elapsed.as_secs_f64());
         self.sampled_at = now;
-        let seen = Highest {
-            from: now,
+        let sample = Peak {
+            start: now,
             needed: engines,
             planned: engines.max(self.forecast(ahead)),
         };
-        match self.highest.back_mut() {
-            Some(last) if now.since(last.from) < SLOT => last.rise_to(&seen),
-            _ => self.highest.push_back(seen),
+        match self.peaks.back_mut() {
+            Some(last) if now.since(last.start) < PEAK_INTERVAL => last.raise_to(&sample),
+            _ => self.peaks.push_back(sample),
         }
-        let is_old = |one: &Highest| now.since(one.from) > MEMORY + SLOT;
-        while self.highest.front().is_some_and(is_old) {
-            self.highest.pop_front();
+        let is_expired = |peak: &Peak| now.since(peak.start) > HISTORY_DURATION + PEAK_INTERVAL;
+        while self.peaks.front().is_some_and(is_expired) {
+            self.peaks.pop_front();
         }
     }
 }
--- a/crates/planner/src/engine_scaling/types.rs
+++ b/crates/planner/src/engine_scaling/types.rs
@@ -1,43 +1,43 @@
-//! What bounds the number of engines.
+//! Engine counts, and the bounds and prices that apply to them.
 
 use std::collections::BTreeMap;
 
 use dalestand_types::ZoneName;
 use serde::Serialize;
 
-/// What a pool's engines cost and how many there may be.
+/// Limits on the engines of a pool, and the price of spot engines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScalingBounds {
-    /// Fewest engines of a zone.
+    /// Minimum engines per zone.
     pub min: u32,
-    /// Most engines of a zone, whatever their terms.
+    /// Maximum engines per zone, on-demand and spot together.
     pub max: u32,
-    /// Price of a spot engine as a share of an on-demand one; `None` where there are none.
+    /// Price of a spot engine as a fraction of the on-demand price; `None` if the platform offers no spot engines.
     pub spot_price: Option<f64>,
 }
 
-/// What the operator allows.
+/// Scaling settings of the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ScalingPolicy {
-    /// Spot engines for each engine of the operator's number.
+    /// Spot engines ordered per baseline engine.
     pub headroom: f64,
-    /// Share of the operator's number that stays on demand.
+    /// Fraction of the baseline engines that always runs on demand.
     pub on_demand_share: f64,
-    /// What an engine at work is worth to callers, as a multiple of the full price.
+    /// Value of a busy engine to callers, as a multiple of the on-demand price.
     pub engine_worth: f64,
 }
 
-/// Engines of one zone that take new work.
+/// Engines of one zone that accept new requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneEngines {
-    /// At the full price.
+    /// On-demand engines.
     pub on_demand: u32,
-    /// Engines that may be taken away.
+    /// Spot engines, which the platform may reclaim.
     pub spot: u32,
 }
 
-/// Engines that each zone is to have.
+/// Target engine counts by zone.
 pub type EngineTargets = BTreeMap<ZoneName, ZoneEngines>;
 
-/// Price of an engine by zone, as a multiple of the usual one. A zone that is not named has the usual price.
+/// Engine price by zone, as a multiple of the usual price. Zones without an entry have the usual price.
 pub type ZonePrices = BTreeMap<ZoneName, f64>;
--- a/crates/planner/src/engine_scaling/workload.rs
+++ b/crates/planner/src/engine_scaling/workload.rs
@@ -1,48 +1,48 @@
-//! How many engines the work of a pool keeps busy, from what is observed of it.
+//! Estimates how many engines a pool's requests keep busy.
 
 use std::collections::BTreeMap;
 
 use dalestand_types::MonotonicTime;
 use serde::Serialize;
 
-/// A request that is asked for is taken for this many that engines begin at most, where what one takes is not known:
-/// callers that are refused come back, and each is counted again.
-const MOST_UNSERVED: f64 = 4.0;
+/// Limit on the ratio of arriving to started requests, for classes whose cost per request is unknown. Rejected callers
+/// retry, and each retry is counted as another arrival.
+const MAX_UNSERVED_RATIO: f64 = 4.0;
 
-/// Below this, in requests a second, a rate says nothing about its relation to another.
-const LEAST_RATE_PER_S: f64 = 1.0;
+/// Rates below this, in requests per second, are too low to compute a ratio from.
+const MIN_RATE_PER_S: f64 = 1.0;
 
-/// Above this share of the slots requests wait for each other, and take longer than they need.
-const CALM_USE: f64 = 0.8;
+/// Slot utilization above which requests queue behind each other, so that their cost cannot be measured.
+const MAX_UNCONTENDED_UTILIZATION: f64 = 0.8;
 
-/// Requests that are asked for over those begun, up to which all are taken to be served: both are means over seconds.
-const CALM_UNSERVED: f64 = 1.1;
+/// Ratio of arriving to started requests up to which all count as served. Both rates are averages over seconds.
+const FULLY_SERVED_RATIO: f64 = 1.1;
 
-/// Under more work than engines do, so many times those at work are taken to be needed at most. What is beyond it shows
-/// once they serve, and refused callers that come again do not add up.
-const MOST_GROWTH: f64 = 2.0;
+/// Limit on the estimate under overload, as a multiple of the current engines. Retries of rejected callers cannot
+/// inflate it further, and any remaining need shows once the added engines serve.
+const MAX_GROWTH_FACTOR: f64 = 2.0;
 
-/// Time constant of what a request takes, in seconds: longer than a shift of the mix within a class lasts.
-const LEARNT_TIME_S: f64 = 10.0;
+/// Time constant for smoothing the cost per request, in seconds; longer than a change of mix within a class lasts.
+const COST_TIME_CONSTANT_S: f64 = 10.0;
 
-/// Time between two samples that is counted at most, in seconds.
-const LONGEST_STEP_S: f64 = 3.0;
+/// Cap on the time between two cost samples, in seconds; a sample after a long gap weighs no more than this.
+const MAX_SAMPLE_INTERVAL_S: f64 = 3.0;
 
-/// Requests of one class, over all nodes.
+/// Load of one request class, summed over all nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct ClassWorkload {
-    /// Requests a second that came for the first time.
+    /// Requests per second that arrived, first attempts only.
     pub asked_per_s: f64,
-    /// Requests a second that engines began to answer.
+    /// Requests per second that engines started to answer.
     pub begun_per_s: f64,
-    /// Slots that requests take up, those queued at engines among them.
+    /// Engine slots in use, including those of requests queued at engines.
     pub busy_slots: f64,
-    /// Prompt tokens a second that engines prefill.
+    /// Prompt tokens per second prefilled by engines.
     pub prefill_tokens_per_s: f64,
 }
 
 impl ClassWorkload {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let figures = [
             self.asked_per_s,
             self.begun_per_s,
@@ -53,31 +53,31 @@
         figures.all(|figure| figure.is_finite() && figure >= 0.0)
     }
 
-    /// Requests that were asked for over those that were begun.
-    fn unserved(&self) -> f64 {
-        if self.asked_per_s < LEAST_RATE_PER_S {
+    /// Ratio of arriving to started requests, at least 1.
+    fn unserved_ratio(&self) -> f64 {
+        if self.asked_per_s < MIN_RATE_PER_S {
             return 1.0;
         }
-        let begun = self.begun_per_s.max(LEAST_RATE_PER_S);
-        (self.asked_per_s / begun).clamp(1.0, MOST_UNSERVED)
+        let begun = self.begun_per_s.max(MIN_RATE_PER_S);
+        (self.asked_per_s / begun).clamp(1.0, MAX_UNSERVED_RATIO)
     }
 }
 
-/// What a pool's engines do and are asked to do.
+/// Load and capacity of a pool.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PoolWorkload {
-    /// Requests by priority.
+    /// Load by request priority.
     pub classes: BTreeMap<u8, ClassWorkload>,
-    /// Time to prefill a token, as learnt, in seconds.
+    /// Learned time to prefill one token, in seconds.
     pub prefill_token_s: f64,
-    /// Slots of all engines that take work.
+    /// Slots of all engines that accept new requests.
     pub slots: f64,
-    /// Engines that take work.
+    /// Engines that accept new requests.
     pub engines: f64,
 }
 
 impl PoolWorkload {
-    /// All classes together.
+    /// Sum over all classes.
     pub fn total(&self) -> ClassWorkload {
         let mut total = ClassWorkload::default();
         for class in self.classes.values() {
@@ -89,70 +89,75 @@
         total
     }
 
-    /// Engines kept busy by one class or by all: those that generate by their slots, those that prefill by their
-    /// tokens.
-    fn engines_busy(&self, work: &ClassWorkload) -> f64 {
-        let in_slots = (work.busy_slots / self.slots).min(1.0) * self.engines;
-        let in_prefill = (work.prefill_tokens_per_s * self.prefill_token_s).min(self.engines);
-        in_slots + in_prefill
+    /// Engines kept busy by `load`: by its slots for generation, and by its tokens for prefill.
+    fn busy_engines(&self, load: &ClassWorkload) -> f64 {
+        let generating = (load.busy_slots / self.slots).min(1.0) * self.engines;
+        let prefilling = (load.prefill_tokens_per_s * self.prefill_token_s).min(self.engines);
+        generating + prefilling
     }
 
-    /// Whether requests do not wait for each other. What is refused then is not for want of engines.
-    fn is_calm(&self) -> bool {
-        self.total().busy_slots <= self.slots * CALM_USE
+    /// Whether slots are free, so that requests do not wait for each other. Requests rejected in this state are not
+    /// rejected for lack of engines.
+    fn is_uncontended(&self) -> bool {
+        self.total().busy_slots <= self.slots * MAX_UNCONTENDED_UTILIZATION
     }
 
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let is_time = self.prefill_token_s.is_finite() && self.prefill_token_s >= 0.0;
         is_time
             && self.engines >= 1.0
             && self.slots >= 1.0
-            && self.classes.values().all(ClassWorkload::is_sound)
+            && self.classes.values().all(ClassWorkload::is_valid)
     }
 }
 
-/// What one request of each class takes, in seconds of an engine, learnt while all are served.
+/// Learns the cost of a request by class, in engine seconds, while the pool serves all requests.
 #[derive(Clone, Debug, Default)]
 pub struct RequestCost {
-    learnt_s: BTreeMap<u8, f64>,
+    cost_s: BTreeMap<u8, f64>,
     sampled_at: Option<MonotonicTime>,
 }
 
 impl RequestCost {
-    /// Engines that the work would keep busy all the time if all of it were served. `None` where no engine is known
-    /// or a figure is no number.
+    /// Number of engines that would be fully busy if every arriving request were served. `None` if the pool has no
+    /// engine or a figure is invalid.
     pub fn engines_needed(&mut self, now: MonotonicTime, work: &PoolWorkload) -> Option<f64> {
-        if !work.is_sound() {
+        if !work.is_valid() {
             return None;
         }
-        let busy = work.engines_busy(&work.total());
-        if work.is_calm() {
-            if work.total().unserved() <= CALM_UNSERVED {
+        let busy = work.busy_engines(&work.total());
+        if work.is_uncontended() {
+            if work.total().unserved_ratio() <= FULLY_SERVED_RATIO {
                 self.learn(now, work);
             }
             return Some(busy);
         }
-        // Under more work than engines do, what is busy and waits says little of what is asked for.
-        let asked = work.classes.iter().map(|(class, asked)| {
-            let learnt = self.learnt_s.get(class);
-            learnt.map_or_else(
-                || work.engines_busy(asked) * asked.unserved(),
-                |request_s| request_s * asked.asked_per_s,
+        // Busy slots are capped by the capacity under overload, so the estimate uses arrivals and learned costs.
+        let arriving = work.classes.iter().map(|(class, load)| {
+            let learned = self.cost_s.get(class);
+            learned.map_or_else(
+                || work.busy_engines(load) * load.unserved_ratio(),
+                |cost_s| cost_s * load.asked_per_s,
             )
         });
-        Some(asked.sum::<f64>().max(busy).min(work.engines * MOST_GROWTH))
+        Some(
+            arriving
+                .sum::<f64>()
+                .max(busy)
+                .min(work.engines * MAX_GROWTH_FACTOR),
+        )
     }
 
     fn learn(&mut self, now: MonotonicTime, work: &PoolWorkload) {
-        let passed = now.since(self.sampled_at.unwrap_or(now));
-        let passed_s = passed.as_secs_f64().min(LONGEST_STEP_S);
+        let elapsed = now.since(self.sampled_at.unwrap_or(now));
+        let elapsed_s = elapsed.as_secs_f64().min(MAX_SAMPLE_INTERVAL_S);
         self.sampled_at = Some(now);
-        let gain = 1.0 - (-passed_s / LEARNT_TIME_S).exp();
-        for (class, seen) in &work.classes {
-            if seen.begun_per_s >= LEAST_RATE_PER_S {
-                let seen_s = work.engines_busy(seen) / seen.begun_per_s;
-                let learnt_s = self.learnt_s.entry(*class).or_insert(seen_s);
-                *learnt_s += gain * (seen_s - *learnt_s);
+        let gain = 1.0 - (-elapsed_s / COST_TIME_CONSTANT_S).exp();
+        for (class, load) in &work.classes {
+            if load.begun_per_s >= MIN_RATE_PER_S {
+                let sample_s = work.busy_engines(load) / load.begun_per_s;
+                let cost_s = self.cost_s.entry(*class).or_insert(sample_s);
+                *cost_s += gain * (sample_s - *cost_s);
             }
         }
     }
--- a/crates/planner/tests/engines_by_demand.rs
+++ b/crates/planner/tests/engines_by_demand.rs
@@ -1,4 +1,4 @@
-//! Engines by demand: rises, waves, calms, zones that lose their spot engines, and figures that are none.
+//! Scaling by demand: rising, periodic and falling load, loss of spot engines, and invalid inputs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -23,17 +23,18 @@
     engine_worth: 1.0,
 };
 const BOOT: Duration = Duration::from_secs(4);
-/// Idle spot engines stay this long at these terms: the boot time over their price.
+/// Retention time of idle spot engines with these settings: boot time divided by price.
 const SPOT_KEPT_S: f64 = 16.0;
-const LOOK_MS: u64 = 250;
+/// Interval between decisions.
+const TICK_MS: u64 = 250;
 
 fn zone(number: usize) -> ZoneName {
     ZoneName::from(format!("zone-{number}"))
 }
 
-/// A fleet that does as it is told, but for zones without spot engines.
+/// A fleet that applies every target, except new spot engines in zones where none are available.
 struct Fleet {
-    scaling: Autoscaler,
+    autoscaler: Autoscaler,
     serving: BTreeMap<ZoneName, ZoneEngines>,
     spot_unavailable: BTreeSet<ZoneName>,
     prices: ZonePrices,
@@ -45,7 +46,7 @@
     fn new() -> Self {
         let engines = |spot| ZoneEngines { on_demand: 0, spot };
         Self {
-            scaling: Autoscaler::default(),
+            autoscaler: Autoscaler::default(),
             serving: (0..3).map(|number| (zone(number), engines(30))).collect(),
             spot_unavailable: BTreeSet::new(),
             prices: ZonePrices::new(),
@@ -58,7 +59,7 @@
         let baseline = (0..3).map(|number| (zone(number), 15)).collect();
         let on_demand = self.serving.iter();
         let on_demand = on_demand.map(|(zone, engines)| (zone.clone(), engines.on_demand));
-        self.scaling.decide(&ScalingInputs {
+        self.autoscaler.decide(&ScalingInputs {
             now: MonotonicTime::from_millis(self.at_ms),
             baseline: &baseline,
             serving: &self.serving,
@@ -72,15 +73,15 @@
         })
     }
 
-    /// Looks at a need of engines for so long, and follows what is decided.
+    /// Feeds `need`, a function of the elapsed seconds, and applies the decisions. Returns the last one.
     fn run(&mut self, seconds: f64, need: impl Fn(f64) -> f64) -> ScalingDecision {
-        let begun_ms = self.at_ms;
-        let passed_s = |at_ms: u64| (at_ms - begun_ms) as f64 / 1e3;
-        while passed_s(self.at_ms) < seconds {
-            self.at_ms += LOOK_MS;
+        let start_ms = self.at_ms;
+        let elapsed_s = |at_ms: u64| (at_ms - start_ms) as f64 / 1e3;
+        while elapsed_s(self.at_ms) < seconds {
+            self.at_ms += TICK_MS;
             let now = MonotonicTime::from_millis(self.at_ms);
-            let engines = need(passed_s(self.at_ms));
-            self.scaling.need.observe(now, engines, BOOT);
+            let engines = need(elapsed_s(self.at_ms));
+            self.autoscaler.need.observe(now, engines, BOOT);
             let targets = self.decide().targets.expect("targets");
             for (zone, target) in targets {
                 let serving = self.serving.entry(zone.clone()).or_default();
@@ -100,7 +101,7 @@
 }
 
 #[rstest]
-fn without_figures_the_operators_number_decides() {
+fn without_load_data_the_fixed_rule_decides() {
     let fleet = Fleet::new();
     let account = fleet.decide();
     assert_eq!(account.rule, ScalingRule::Fixed);
@@ -110,19 +111,19 @@
 }
 
 #[rstest]
-fn a_calm_gives_back_what_stands_idle_and_not_sooner() {
+fn idle_engines_are_removed_after_their_retention_time() {
     let mut fleet = Fleet::new();
     fleet.run(20.0, |_| 30.0);
-    let at_work = fleet.total();
-    assert!(at_work >= 60, "half used: {at_work}");
+    let under_load = fleet.total();
+    assert!(under_load >= 60, "utilization of one half: {under_load}");
     fleet.run(SPOT_KEPT_S - 2.0, |_| 5.0);
-    assert_eq!(fleet.total(), at_work, "a wave may return");
+    assert_eq!(fleet.total(), under_load, "the load may return");
     fleet.run(6.0, |_| 5.0);
     assert!((10..=15).contains(&fleet.total()), "{:?}", fleet.serving);
 }
 
 #[rstest]
-fn waves_that_return_find_their_engines() {
+fn engines_are_kept_between_periodic_peaks() {
     let mut fleet = Fleet::new();
     let wave = |at_ms: u64| if at_ms % 10_000 < 3_000 { 25.0 } else { 5.0 };
     let mut totals = BTreeSet::new();
@@ -138,17 +139,20 @@
 }
 
 #[rstest]
-fn engines_are_ordered_ahead_of_a_rise() {
+fn engines_are_ordered_ahead_of_rising_load() {
     let mut fleet = Fleet::new();
     fleet.run(60.0, |_| 10.0);
     assert!(fleet.total() < 30);
     let account = fleet.run(5.0, |at| 10.0 + 2.0 * at);
     let need = account.need.expect("a need");
-    assert!(need.forecast > 22.0, "20 now, 28 when they serve: {need:?}");
+    assert!(
+        need.forecast > 22.0,
+        "20 needed now, 28 once new engines serve: {need:?}"
+    );
 }
 
 #[rstest]
-fn the_other_zones_carry_what_a_loss_takes() {
+fn remaining_zones_can_serve_the_need_after_a_loss() {
     let mut fleet = Fleet::new();
     fleet.prices = ZonePrices::from([(zone(0), 0.8), (zone(1), 1.2)]);
     fleet.run(60.0, |_| 12.0);
@@ -157,20 +161,20 @@
     assert!(spot[1] + spot[2] >= 15, "{spot:?}");
 }
 
-/// Losses of two zones: what is left is short only if limits bind, and then on-demand engines stand for it where
-/// losses are as frequent as they are long.
+/// Bounds leave too few spot engines for the loss of several zones. On-demand engines cover the gap only if losses are
+/// frequent and long enough.
 #[rstest]
 #[case::frequent(8, 160.0, true)]
 #[case::rare(8, 6_000.0, false)]
-#[case::at_first(1, 2.0, false)]
-fn losses_are_insured_if_they_cost_more(
+#[case::too_little_history(1, 2.0, false)]
+fn losses_are_insured_if_they_cost_more_than_the_insurance(
     #[case] losses: u32,
     #[case] observed_s: f64,
     #[case] insured: bool,
 ) {
     let mut fleet = Fleet::new();
     fleet.bounds.max = 20;
-    fleet.scaling.losses = SpotLossTracker::from_record(LossRecord {
+    fleet.autoscaler.losses = SpotLossTracker::from_record(LossRecord {
         losses,
         zones_at_once: 3,
         missed_s: 25.0 * f64::from(losses),
@@ -183,7 +187,7 @@
 }
 
 #[rstest]
-fn on_demand_engines_come_where_no_spot_engines_can_be_had() {
+fn on_demand_engines_replace_unavailable_spot_engines() {
     let mut fleet = Fleet::new();
     fleet.run(20.0, |_| 30.0);
     fleet.spot_unavailable = (0..3).map(zone).collect();
@@ -193,18 +197,19 @@
     fleet.run(1.0, |_| 30.0);
     assert!(
         fleet.total() >= 38,
-        "used for 0.8 of the time: {:?}",
+        "utilization of at most 0.8: {:?}",
         fleet.serving
     );
-    // They stay until spot engines stand for them, however often those are asked for.
+    // They stay until spot engines serve in their place, not just until some are ordered.
     fleet.spot_unavailable.clear();
     let account = fleet.decide();
     assert!(account.wanted().on_demand >= 18, "{account}");
 }
 
-/// Zones refuse spot engines and are asked again by turns: on-demand engines that boot meanwhile are not given up.
+/// Zones alternately refuse and accept orders for spot engines that never arrive. On-demand engines that boot meanwhile
+/// are kept.
 #[rstest]
-fn zones_that_are_asked_again_do_not_cost_what_boots() {
+fn retried_spot_orders_do_not_cancel_booting_engines() {
     let mut fleet = Fleet::new();
     fleet.run(20.0, |_| 30.0);
     for lost in [0, 1] {
@@ -219,7 +224,7 @@
         };
         let before: BTreeMap<ZoneName, ZoneEngines> = fleet.serving.clone();
         fleet.run(0.25, |_| 30.0);
-        // Spot engines that were asked for do not come.
+        // Ordered spot engines do not arrive.
         for (zone, engines) in &mut fleet.serving {
             engines.spot = engines.spot.min(before[zone].spot);
         }
@@ -229,30 +234,30 @@
     }
     assert!(
         (18..=45).contains(&ordered),
-        "no more than the operator's own: {ordered}"
+        "no more than the baseline: {ordered}"
     );
 }
 
 #[rstest]
-fn a_history_with_a_gap_counts_from_anew() {
+fn a_gap_restarts_the_need_history() {
     let mut fleet = Fleet::new();
     fleet.run(60.0, |_| 5.0);
     let before = fleet.total();
     fleet.at_ms += 10_000;
     let account = fleet.decide();
-    assert_eq!(account.rule, ScalingRule::Fixed, "nothing is known");
+    assert_eq!(account.rule, ScalingRule::Fixed, "no current sample");
     let account = fleet.run(0.25, |_| 5.0);
     assert_eq!(account.rule, ScalingRule::DemandRising);
     assert!(fleet.total() >= before);
 }
 
 #[rstest]
-#[case::taken_away(0, 12, Some(12), true)]
+#[case::reclaimed(0, 12, Some(12), true)]
 #[case::half(6, 6, Some(12), true)]
-#[case::a_few_end(9, 3, Some(12), false)]
-#[case::given_back(4, 8, Some(4), false)]
-#[case::entries_lapsed(0, 0, Some(12), false)]
-fn a_loss_is_told_from_other_ends(
+#[case::single_failures(9, 3, Some(12), false)]
+#[case::removed_by_order(4, 8, Some(4), false)]
+#[case::entries_expired(0, 0, Some(12), false)]
+fn only_reclamations_count_as_losses(
     #[case] serving: u32,
     #[case] leaving: u32,
     #[case] ordered: Option<u32>,
@@ -268,7 +273,7 @@
     assert_eq!(losses.observe(MonotonicTime::ZERO, &zones), is_loss);
     assert!(
         !losses.observe(MonotonicTime::from_millis(1), &zones),
-        "once"
+        "a loss counts once"
     );
 }
 
@@ -295,39 +300,41 @@
 #[rstest]
 #[case::slots(work(100.0, 100.0, 60.0, 0.0), Some(5.0))]
 #[case::prompts_too(work(100.0, 100.0, 60.0, 2e5), Some(7.0))]
-#[case::half_is_refused(work(200.0, 100.0, 120.0, 0.0), Some(20.0))]
-#[case::refused_beside_free_slots(work(200.0, 100.0, 60.0, 0.0), Some(5.0))]
-#[case::nothing(work(0.0, 0.0, 0.0, 0.0), Some(0.0))]
-#[case::no_number(work(0.0, 0.0, f64::NAN, 0.0), None)]
+#[case::half_is_rejected(work(200.0, 100.0, 120.0, 0.0), Some(20.0))]
+#[case::rejected_beside_free_slots(work(200.0, 100.0, 60.0, 0.0), Some(5.0))]
+#[case::no_load(work(0.0, 0.0, 0.0, 0.0), Some(0.0))]
+#[case::not_a_number(work(0.0, 0.0, f64::NAN, 0.0), None)]
 #[case::no_engines(PoolWorkload::default(), None)]
-fn work_tells_how_many_engines_it_needs(#[case] work: PoolWorkload, #[case] needed: Option<f64>) {
-    let mut request = RequestCost::default();
-    assert_eq!(request.engines_needed(MonotonicTime::ZERO, &work), needed);
+fn needed_engines_follow_from_the_workload(
+    #[case] work: PoolWorkload,
+    #[case] needed: Option<f64>,
+) {
+    let mut cost = RequestCost::default();
+    assert_eq!(cost.engines_needed(MonotonicTime::ZERO, &work), needed);
 }
 
-/// In a burst engines' queues are full, and prompts are sent again and again: what is asked for counts by what
-/// requests took before.
+/// While queues are full, the need follows from arriving requests and their cost before the burst, since retries
+/// inflate the prompt tokens and the slots are capped.
 #[rstest]
-fn a_burst_needs_what_its_requests_took_in_calm() {
-    let mut request = RequestCost::default();
+fn a_burst_is_estimated_from_costs_learned_before_it() {
+    let mut cost = RequestCost::default();
     let now = MonotonicTime::ZERO;
-    let calm = request.engines_needed(now, &work(100.0, 100.0, 24.0, 1e5));
-    assert_eq!(calm, Some(3.0));
-    let burst = request.engines_needed(now, &work(600.0, 200.0, 400.0, 4e6));
+    let before = cost.engines_needed(now, &work(100.0, 100.0, 24.0, 1e5));
+    assert_eq!(before, Some(3.0));
+    let burst = cost.engines_needed(now, &work(600.0, 200.0, 400.0, 4e6));
     assert_eq!(
         burst,
         Some(20.0),
-        "both kinds of engines are full, 18 of six times as many"
+        "all slots and all prefill time are used; six times as many requests need 18"
     );
 }
 
 proptest! {
-    /// Whatever the figures, bounds hold; spot engines in use are not given up.
     #[test]
-    fn bounds_hold_for_any_figures(
+    fn bounds_hold_for_any_input(
         needs in proptest::collection::vec(prop_oneof![0.0..80.0_f64, Just(1e9), Just(f64::NAN), Just(-1.0)], 1..60),
         serving in proptest::collection::vec((0_u32..31, 0_u32..31), 3),
-        refused in proptest::collection::btree_set(0_usize..3, 0..3),
+        unavailable in proptest::collection::btree_set(0_usize..3, 0..3),
         price in prop_oneof![Just(0.0), Just(f64::NAN), Just(-2.0), 0.1..3.0_f64],
         spot_price in prop_oneof![Just(None), Just(Some(0.0)), Just(Some(f64::NAN)), (0.05..2.0_f64).prop_map(Some)],
         max in prop_oneof![Just(0_u32), 1..40_u32, Just(u32::MAX)],
@@ -335,13 +342,13 @@
         let mut fleet = Fleet::new();
         fleet.bounds = ScalingBounds { min: 1, max, spot_price };
         fleet.prices = ZonePrices::from([(zone(0), price)]);
-        fleet.spot_unavailable = refused.into_iter().map(zone).collect();
+        fleet.spot_unavailable = unavailable.into_iter().map(zone).collect();
         let engines = |(on_demand, spot): (u32, u32)| ZoneEngines { on_demand, spot };
         fleet.serving = serving.into_iter().enumerate().map(|(number, one)| (zone(number), engines(one))).collect();
         for need in needs {
-            fleet.at_ms += LOOK_MS;
+            fleet.at_ms += TICK_MS;
             let now = MonotonicTime::from_millis(fleet.at_ms);
-            fleet.scaling.need.observe(now, need, BOOT);
+            fleet.autoscaler.need.observe(now, need, BOOT);
             let account = fleet.decide();
             for target in account.targets.iter().flat_map(BTreeMap::values) {
                 prop_assert!(u64::from(target.on_demand) + u64::from(target.spot) <= u64::from(max));
