--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -355,7 +355,7 @@
             return Vec::new();
         };
         let now = self.context.now();
-        held.orders.due(now, &account.serving, targets)
+        held.orders.due(now, &account.standing, targets)
     }
 
     /// Gives an order; whether the lease still stands.
--- a/crates/planner/src/engine_scaling/autoscaler.rs
+++ b/crates/planner/src/engine_scaling/autoscaler.rs
@@ -74,7 +74,7 @@
                 record: *self.losses.record(),
                 ..LossAssessment::default()
             },
-            serving: inputs.serving.clone(),
+            standing: inputs.serving.clone(),
             targets: fixed_rule_targets(inputs),
             cost: 0.0,
         };
--- a/crates/planner/src/engine_scaling/decision.rs
+++ b/crates/planner/src/engine_scaling/decision.rs
@@ -64,8 +64,7 @@
     /// Reclamations of spot engines.
     pub losses: LossAssessment,
     /// Engines that accepted new requests at the time of the decision.
-    #[serde(rename = "standing")]
-    pub serving: BTreeMap<ZoneName, ZoneEngines>,
+    pub standing: BTreeMap<ZoneName, ZoneEngines>,
     /// Target engine counts; `None` to leave the counts as they are.
     pub targets: Option<EngineTargets>,
     /// Price of the targets, in on-demand engines.
@@ -75,7 +74,7 @@
 impl ScalingDecision {
     /// Target engines over all zones; the serving engines if the counts stay as they are.
     pub fn wanted(&self) -> ZoneEngines {
-        sum(self.targets.as_ref().unwrap_or(&self.serving))
+        sum(self.targets.as_ref().unwrap_or(&self.standing))
     }
 }
 
@@ -90,7 +89,7 @@
 
 impl Display for ScalingDecision {
     fn fmt(&self, formatter: &mut Formatter<'_>) -> fmt::Result {
-        let serving = sum(&self.serving);
+        let serving = sum(&self.standing);
         let wanted = self.wanted();
         let losses = &self.losses;
         write!(formatter, "{:?}: ", self.rule)?;
