--- a/crates/planner/src/change_duration.rs
+++ b/crates/planner/src/change_duration.rs
@@ -1,40 +1,41 @@
-//! How long an engine takes no work for a change of its role, learnt from the changes made.
+//! Learns how long an engine is out of service for a role change.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use dalestand_types::{EngineId, MonotonicTime, Role};
 
-/// Weight of a new change in the average.
+/// Weight of the latest change in the moving average.
 const NEW_CHANGE_WEIGHT: f64 = 0.4;
 
-/// A change that has been ordered and is not done.
+/// A role change in progress.
 #[derive(Clone, Copy, Debug)]
-struct Begun {
+struct RoleChange {
     from: Role,
     to: Role,
     at: MonotonicTime,
 }
 
-/// Time out of service by the role an engine leaves: output takes long to drain, prompts do not.
+/// Expected duration of a change, by the role an engine leaves: generation takes longer to drain than
+/// prefill.
 #[derive(Clone, Debug)]
-pub(crate) struct OutageEstimate {
+pub(crate) struct ChangeDurationEstimate {
     from_prefill: Duration,
     from_decode: Duration,
-    begun: BTreeMap<EngineId, Begun>,
+    in_progress: BTreeMap<EngineId, RoleChange>,
 }
 
-impl OutageEstimate {
-    /// An estimate that knows only what the configuration says.
+impl ChangeDurationEstimate {
+    /// Starts with the configured duration.
     pub(crate) fn new(configured: Duration) -> Self {
         Self {
             from_prefill: configured,
             from_decode: configured,
-            begun: BTreeMap::new(),
+            in_progress: BTreeMap::new(),
         }
     }
 
-    /// Time expected for an engine that leaves `role`.
+    /// Expected duration for an engine that leaves `role`.
     pub(crate) fn expected(&self, role: Role) -> Duration {
         if role.runs_decode() {
             self.from_decode
@@ -43,32 +44,35 @@
         }
     }
 
-    /// Notes that a change was ordered.
+    /// Records the start of a change.
     pub(crate) fn begin(&mut self, now: MonotonicTime, engine: &EngineId, from: Role, to: Role) {
-        let begun = Begun { from, to, at: now };
-        self.begun.insert(engine.clone(), begun);
+        let change = RoleChange { from, to, at: now };
+        self.in_progress.insert(engine.clone(), change);
     }
 
-    /// Notes the role an engine serves in; learns if that ends its change.
+    /// Records the role an engine serves in and learns from the change that this completes, if any.
     pub(crate) fn observe(&mut self, now: MonotonicTime, engine: &EngineId, role: Role) {
-        let done = self.begun.get(engine).is_some_and(|begun| begun.to == role);
+        let done = self
+            .in_progress
+            .get(engine)
+            .is_some_and(|change| change.to == role);
         if !done {
             return;
         }
-        let Some(begun) = self.begun.remove(engine) else {
+        let Some(change) = self.in_progress.remove(engine) else {
             return;
         };
-        let known = if begun.from.runs_decode() {
+        let estimate = if change.from.runs_decode() {
             &mut self.from_decode
         } else {
             &mut self.from_prefill
         };
-        let kept = known.mul_f64(1.0 - NEW_CHANGE_WEIGHT);
-        *known = kept + now.since(begun.at).mul_f64(NEW_CHANGE_WEIGHT);
+        let previous = estimate.mul_f64(1.0 - NEW_CHANGE_WEIGHT);
+        *estimate = previous + now.since(change.at).mul_f64(NEW_CHANGE_WEIGHT);
     }
 
-    /// Forgets the change of an engine that restarted.
+    /// Discards the change of an engine, for example after its restart.
     pub(crate) fn forget(&mut self, engine: &EngineId) {
-        self.begun.remove(engine);
+        self.in_progress.remove(engine);
     }
 }
--- a/crates/planner/src/composition.rs
+++ b/crates/planner/src/composition.rs
@@ -1,38 +1,38 @@
-//! How many engines of each role, and what share of a demand they can serve.
+//! Engine counts by role, and the fraction of a demand that they serve in time.
 
 use dalestand_types::Role;
 
 use crate::demand::Demand;
 use crate::speeds::EngineSpeeds;
 
-/// Utilization up to which requests hardly queue.
-const EASY_UTILIZATION: f64 = 0.6;
+/// Utilization up to which all requests are served in time.
+const LOW_UTILIZATION: f64 = 0.6;
 
-/// Utilization beyond which deadlines are missed for lack of capacity.
+/// Utilization above which requests miss their deadlines for lack of capacity.
 const FULL_UTILIZATION: f64 = 0.85;
 
-/// Share of requests in time at [`FULL_UTILIZATION`].
-const SHARE_WHEN_FULL: f64 = 0.98;
+/// Fraction of requests served in time at [`FULL_UTILIZATION`].
+const SHARE_AT_FULL_UTILIZATION: f64 = 0.98;
 
-/// Largest multiple of the demand that is looked at.
+/// Upper bound of the search for the servable multiple of a demand.
 const MAX_MULTIPLE: f64 = 8.0;
 
-/// Halvings in the search for the largest multiple that can be served.
-const SEARCH_STEPS: usize = 24;
+/// Bisection steps in the search for the servable multiple of a demand.
+const BISECTION_STEPS: usize = 24;
 
-/// Engine time a demand needs, in engines.
+/// Engine time that a demand requires, in fully busy engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Workload {
-    /// Engines kept busy by prompts.
+    /// Engines busy with prefill.
     pub prefill: f64,
-    /// Engines kept busy by output.
+    /// Engines busy with decode.
     pub decode: f64,
-    /// Time lost by an engine that does both, as a share of the time of its prompts.
+    /// Overhead of an engine that runs both phases, as a fraction of its prefill time.
     pub mixed_loss: f64,
 }
 
 impl Workload {
-    /// The engine time of `demand` at these speeds.
+    /// Workload of `demand` at the given engine speeds.
     pub fn of(demand: &Demand, speeds: &EngineSpeeds) -> Self {
         Self {
             prefill: demand.prefill_tokens_per_s * speeds.prefill_token_s,
@@ -42,53 +42,53 @@
     }
 }
 
-/// Engines by role.
+/// Engine counts by role.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Composition {
-    /// Engines that run prompts only.
+    /// Engines that only prefill.
     pub prefill: usize,
-    /// Engines that generate output only.
+    /// Engines that only decode.
     pub decode: usize,
-    /// Engines that do both.
+    /// Engines that run both phases.
     pub mixed: usize,
 }
 
 impl Composition {
     /// Counts the engines of each role.
     pub fn of(roles: impl IntoIterator<Item = Role>) -> Self {
-        let mut counted = Self::default();
+        let mut composition = Self::default();
         for role in roles {
-            *counted.count_mut(role) += 1;
+            *composition.count_mut(role) += 1;
         }
-        counted
+        composition
     }
 
-    /// Every composition of `engines` engines that covers both phases with the allowed roles.
+    /// All compositions of `engines` engines with the allowed roles that cover both phases.
     pub fn all(engines: usize, allowed: &[Role]) -> Vec<Self> {
-        let most = |role| if allowed.contains(&role) { engines } else { 0 };
-        let mut found = Vec::new();
-        for prefill in 0..=most(Role::Prefill) {
-            for decode in 0..=most(Role::Decode).min(engines - prefill) {
+        let max_of = |role| if allowed.contains(&role) { engines } else { 0 };
+        let mut compositions = Vec::new();
+        for prefill in 0..=max_of(Role::Prefill) {
+            for decode in 0..=max_of(Role::Decode).min(engines - prefill) {
                 let mixed = engines - prefill - decode;
-                let one = Self {
+                let composition = Self {
                     prefill,
                     decode,
                     mixed,
                 };
-                if mixed <= most(Role::Mixed) && one.covers() {
-                    found.push(one);
+                if mixed <= max_of(Role::Mixed) && composition.covers_both_phases() {
+                    compositions.push(composition);
                 }
             }
         }
-        found
+        compositions
     }
 
-    /// Whether both phases of a request can be run.
-    pub fn covers(&self) -> bool {
+    /// Whether there is an engine for each phase of a request.
+    pub fn covers_both_phases(&self) -> bool {
         self.prefill + self.mixed > 0 && self.decode + self.mixed > 0
     }
 
-    /// Engines of `role`.
+    /// Number of engines of `role`.
     pub fn count(&self, role: Role) -> usize {
         match role {
             Role::Prefill => self.prefill,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Engines of `role`, to be changed.
+    /// Mutable number of engines of `role`.
     pub fn count_mut(&mut self, role: Role) -> &mut usize {
         match role {
             Role::Prefill => &mut self.prefill,
@@ -113,7 +113,7 @@
         self
     }
 
-    /// Engines that must change their role to come from here to `other`.
+    /// Number of role changes needed to reach `other`.
     pub fn changes_to(&self, other: &Self) -> usize {
         Role::ALL
             .iter()
@@ -121,13 +121,13 @@
             .sum()
     }
 
-    /// Largest multiple of `workload` that can be served in the long run.
+    /// Largest multiple of `workload` that can be served at steady state, up to [`MAX_MULTIPLE`].
     pub fn servable_multiple(&self, workload: &Workload) -> f64 {
-        if !self.covers() {
+        if !self.covers_both_phases() {
             return 0.0;
         }
         let (mut low, mut high) = (0.0, MAX_MULTIPLE);
-        for _ in 0..SEARCH_STEPS {
+        for _ in 0..BISECTION_STEPS {
             let middle = (low + high) / 2.0;
             if self.can_serve(workload, middle) {
                 low = middle;
@@ -138,32 +138,32 @@
         low
     }
 
-    /// Expected share of the requests that are served in time.
+    /// Expected fraction of requests served in time.
     pub fn served_share(&self, workload: &Workload) -> f64 {
         let multiple = self.servable_multiple(workload);
         if multiple <= 0.0 {
             return 0.0;
         }
         let utilization = 1.0 / multiple;
-        if utilization <= EASY_UTILIZATION {
+        if utilization <= LOW_UTILIZATION {
             return 1.0;
         }
         if utilization <= FULL_UTILIZATION {
-            let place = (utilization - EASY_UTILIZATION) / (FULL_UTILIZATION - EASY_UTILIZATION);
-            return 1.0 - place * (1.0 - SHARE_WHEN_FULL);
+            let position = (utilization - LOW_UTILIZATION) / (FULL_UTILIZATION - LOW_UTILIZATION);
+            return 1.0 - position * (1.0 - SHARE_AT_FULL_UTILIZATION);
         }
-        SHARE_WHEN_FULL * FULL_UTILIZATION / utilization
+        SHARE_AT_FULL_UTILIZATION * FULL_UTILIZATION / utilization
     }
 
     fn can_serve(&self, workload: &Workload, multiple: f64) -> bool {
         let prefill = (multiple * workload.prefill - self.prefill as f64).max(0.0);
         let decode = (multiple * workload.decode - self.decode as f64).max(0.0);
-        // An engine that does both has output to run beside its prompts, whatever others do.
-        let lost = if workload.decode > 0.0 {
+        // Mixed engines always decode beside their prefill, even where decode engines have room.
+        let overhead = if workload.decode > 0.0 {
             workload.mixed_loss * prefill
         } else {
             0.0
         };
-        prefill + decode + lost <= self.mixed as f64
+        prefill + decode + overhead <= self.mixed as f64
     }
 }
--- a/crates/planner/src/config.rs
+++ b/crates/planner/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of the role planner.
+//! Role planner settings.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 /// Settings of the role planner of one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerConfig {
-    /// Weight of role changes against goodput: 0 counts only goodput, 1 only role changes.
+    /// Weight of avoiding role changes against goodput: 0 considers only goodput, 1 only changes.
     pub change_weight: f64,
-    /// Most engines out of service for a role change at once.
+    /// Maximum number of engines out of service for a role change at the same time.
     pub max_changes_at_once: usize,
-    /// Roles the planner may give.
+    /// Roles the planner may assign.
     pub allowed_roles: Vec<Role>,
-    /// Role of an engine before its first plan.
+    /// Role of an engine before the first plan.
     pub initial_role: Role,
-    /// Expected time an engine takes no work for a change: the drain and the change itself.
+    /// Initial estimate of the time an engine is out of service for a role change, drain included.
     pub change_duration: Duration,
-    /// An engine whose last report is older than this is left out of the plan.
-    pub report_limit: Duration,
-    /// Speeds assumed until they are learnt from the reports.
+    /// Maximum age of an engine's last report; engines with older reports are not planned.
+    pub max_report_age: Duration,
+    /// Engine speeds assumed until they are learned from reports.
     pub prior_speeds: EngineSpeeds,
 }
 
@@ -33,7 +33,7 @@
             allowed_roles: Role::ALL.to_vec(),
             initial_role: Role::Mixed,
             change_duration: Duration::from_secs(8),
-            report_limit: Duration::from_secs(10),
+            max_report_age: Duration::from_secs(10),
             prior_speeds: EngineSpeeds::default(),
         }
     }
--- a/crates/planner/src/demand.rs
+++ b/crates/planner/src/demand.rs
@@ -1,38 +1,38 @@
-//! Demand in tokens of both kinds, with its trend.
+//! Token demand with its trend.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use dalestand_types::MonotonicTime;
 
-/// Time constants of the demand in tokens, which is sampled once a second.
+/// Time constants for the token demand, which is sampled once per [`SAMPLE_INTERVAL`].
 const TOKEN_TIMES: SmoothingTimes = SmoothingTimes {
     level_s: 4.0,
     trend_s: 12.0,
 };
 
-/// Share of the trend that is believed in a forecast.
-const TREND_TRUST: f64 = 0.5;
+/// Fraction of the trend used in a forecast; below 1 to damp overshoot.
+const TREND_WEIGHT: f64 = 0.5;
 
-/// Largest change that is forecast, as a share of the level.
-const LARGEST_FORECAST_CHANGE: f64 = 0.5;
+/// Maximum change in a forecast, as a fraction of the level.
+const MAX_FORECAST_CHANGE: f64 = 0.5;
 
-/// Shortest time between two samples.
+/// Minimum time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Samples kept, one a [`SAMPLE_INTERVAL`].
+/// Number of samples kept.
 const HISTORY_SAMPLES: usize = 180;
 
-/// Tokens asked for in a second.
+/// Requested tokens per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Prompt tokens that no cache holds.
+    /// Prompt tokens not found in a cache.
     pub prefill_tokens_per_s: f64,
     /// Output tokens.
     pub decode_tokens_per_s: f64,
 }
 
-/// How quickly a level and its trend follow.
+/// Time constants of double exponential smoothing.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SmoothingTimes {
     /// Time constant of the level, in seconds.
@@ -41,7 +41,7 @@
     pub(crate) trend_s: f64,
 }
 
-/// Level and trend by double exponential smoothing.
+/// Double exponential smoothing (Holt's method) with a damped trend.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Smoothed {
     times: SmoothingTimes,
@@ -50,7 +50,7 @@
 }
 
 impl Smoothed {
-    /// A level that does not move yet.
+    /// Starts at `level` with no trend.
     pub(crate) fn at(level: f64, times: SmoothingTimes) -> Self {
         Self {
             times,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes in a value, `elapsed_s` after the one before.
+    /// Adds a value observed `elapsed_s` seconds after the previous one.
     pub(crate) fn update(&mut self, value: f64, elapsed_s: f64) {
         let level_gain = 1.0 - (-elapsed_s / self.times.level_s).exp();
         let trend_gain = 1.0 - (-elapsed_s / self.times.trend_s).exp();
@@ -70,15 +70,15 @@
         self.level = level;
     }
 
-    /// The value expected after so many seconds.
+    /// Forecast after `seconds`; 0 gives the current level.
     pub(crate) fn after(&self, seconds: f64) -> f64 {
-        let change = TREND_TRUST * self.trend * seconds;
-        let bound = LARGEST_FORECAST_CHANGE * self.level;
+        let change = TREND_WEIGHT * self.trend * seconds;
+        let bound = MAX_FORECAST_CHANGE * self.level;
         (self.level + change.clamp(-bound, bound)).max(0.0)
     }
 }
 
-/// Follows the demand of the engines under a plan.
+/// Smoothed demand of the planned engines, with a history.
 #[derive(Clone, Debug)]
 pub(crate) struct DemandEstimate {
     prefill: Smoothed,
@@ -89,10 +89,10 @@
 
 impl Default for DemandEstimate {
     fn default() -> Self {
-        let none = Smoothed::at(0.0, TOKEN_TIMES);
+        let zero = Smoothed::at(0.0, TOKEN_TIMES);
         Self {
-            prefill: none,
-            decode: none,
+            prefill: zero,
+            decode: zero,
             sampled_at: None,
             history: VecDeque::new(),
         }
@@ -100,7 +100,7 @@
 }
 
 impl DemandEstimate {
-    /// Takes in the demand as measured now; yields whether it was due.
+    /// Adds the measured demand if [`SAMPLE_INTERVAL`] has passed. Returns whether it was added.
     pub(crate) fn sample(&mut self, now: MonotonicTime, measured: Demand) -> bool {
         let Some(sampled_at) = self.sampled_at else {
             self.sampled_at = Some(now);
@@ -124,7 +124,7 @@
         true
     }
 
-    /// The demand expected after `ahead`.
+    /// Forecast of the demand after `ahead`.
     pub(crate) fn forecast(&self, ahead: Duration) -> Demand {
         let seconds = ahead.as_secs_f64();
         Demand {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Samples of the last minutes, oldest first.
+    /// Smoothed demand of the last [`HISTORY_SAMPLES`] samples, oldest first.
     pub(crate) fn history(&self) -> impl Iterator<Item = &Demand> {
         self.history.iter()
     }
--- a/crates/planner/src/lib.rs
+++ b/crates/planner/src/lib.rs
@@ -1,8 +1,10 @@
-//! Role plan of an engine group: demand measured in tokens, forecast over a change, and a change
-//! only where its gain outweighs its cost.
+//! Planning of engine roles, prefill and decode stages, and engine counts.
 //!
-//! Pure: the holder of the group's lease and the simulator call the same code. Time comes in as an
-//! argument and there is no randomness, so equal inputs give equal plans.
+//! [`RolePlanner`] assigns roles to the engines of a group, [`StageBalancer`] balances prefill and
+//! decode engines of a pool, and [`Autoscaler`] decides how many engines run.
+//!
+//! The code has no side effects: time is an argument and nothing is random, so equal inputs give
+//! equal plans on every node and in the simulator.
 
 mod change_duration;
 mod composition;
@@ -16,7 +18,7 @@
 mod plan;
 mod planner;
 mod speeds;
-mod stage_balance;
+mod stage_balancer;
 
 pub use composition::{Composition, Workload};
 pub use config::PlannerConfig;
@@ -31,7 +33,7 @@
 pub use plan::{PlanInputs, PlanReason, RolePlan};
 pub use planner::RolePlanner;
 pub use speeds::{EngineSpeeds, SpeedEstimate, SpeedSample};
-pub use stage_balance::{
+pub use stage_balancer::{
     StageBalancer, StageBalancerConfig, StageChange, StageCounts, StageDemand, StageQueueTimes,
     StageRebalance, StageUtilization,
 };
--- a/crates/planner/src/mix_duration.rs
+++ b/crates/planner/src/mix_duration.rs
@@ -1,68 +1,68 @@
-//! How long a mix of tokens is expected to last.
+//! Learns how long a mix of prompt and output tokens lasts.
 
 use std::time::Duration;
 
 use dalestand_types::MonotonicTime;
 
-/// Stay expected before any shift was seen.
-const FIRST_STAY: Duration = Duration::from_secs(90);
+/// Duration assumed before the first shift.
+const INITIAL_DURATION: Duration = Duration::from_secs(90);
 
-/// Weight of a new stay in the average.
-const NEW_STAY_WEIGHT: f64 = 0.4;
+/// Weight of the latest duration in the moving average.
+const NEW_DURATION_WEIGHT: f64 = 0.4;
 
-/// Which way the mix leans against its own long average.
+/// Direction in which the mix deviates from its recent average.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lean {
+pub(crate) enum MixBias {
     /// More prompt tokens than usual.
     Prefill,
     /// More output tokens than usual.
     Decode,
 }
 
-/// Learns how long the mix stays on one side.
+/// Moving average of the time between shifts of the mix.
 #[derive(Clone, Debug)]
-pub(crate) struct StayEstimate {
+pub(crate) struct MixDurationEstimate {
     average: Duration,
-    lean: Option<Lean>,
+    bias: Option<MixBias>,
     since: MonotonicTime,
     shifts: u32,
 }
 
-impl StayEstimate {
-    /// An estimate that has seen no shift.
+impl MixDurationEstimate {
+    /// An estimate without any shift so far.
     pub(crate) fn new() -> Self {
         Self {
-            average: FIRST_STAY,
-            lean: None,
+            average: INITIAL_DURATION,
+            bias: None,
             since: MonotonicTime::ZERO,
             shifts: 0,
         }
     }
 
-    /// Notes the lean of the mix now; no lean leaves the last one standing.
-    pub(crate) fn observe(&mut self, now: MonotonicTime, lean: Option<Lean>) {
-        let Some(lean) = lean else {
+    /// Records the current bias of the mix. `None` leaves the last bias in place.
+    pub(crate) fn observe(&mut self, now: MonotonicTime, bias: Option<MixBias>) {
+        let Some(bias) = bias else {
             return;
         };
-        match self.lean {
+        match self.bias {
             None => {}
-            Some(known) if known == lean => return,
+            Some(last) if last == bias => return,
             Some(_) => {
-                let stay = now.since(self.since);
+                let duration = now.since(self.since);
                 self.average = self
                     .average
-                    .mul_f64(1.0 - NEW_STAY_WEIGHT)
-                    .saturating_add(stay.mul_f64(NEW_STAY_WEIGHT));
+                    .mul_f64(1.0 - NEW_DURATION_WEIGHT)
+                    .saturating_add(duration.mul_f64(NEW_DURATION_WEIGHT));
                 self.shifts += 1;
             }
         }
-        self.lean = Some(lean);
+        self.bias = Some(bias);
         self.since = now;
     }
 
-    /// How much longer the present mix is expected to last: what is left of an average stay, and
-    /// once it has outlived that, as long again as it has lasted.
-    pub(crate) fn expected(&self, now: MonotonicTime) -> Duration {
+    /// Expected remaining duration of the current mix: the rest of the average duration, but at least
+    /// as long as the mix has lasted, up to the average.
+    pub(crate) fn remaining(&self, now: MonotonicTime) -> Duration {
         let lasted = now.since(self.since);
         let left = self.average.saturating_sub(lasted);
         left.max(lasted.min(self.average))
--- a/crates/planner/src/pending_changes.rs
+++ b/crates/planner/src/pending_changes.rs
@@ -1,7 +1,7 @@
-//! Changes of stages that were ordered and may not show in the list of engines yet.
+//! Stage changes that have been ordered but may not be visible in the engine list yet.
 //!
-//! The list lags an order by seconds. Whoever counts engines by it alone orders the same change again
-//! until the first one shows, and then has too many.
+//! The engine list lags an order by seconds. Without this record the balancer would count the engine
+//! in its old stage and order further changes.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -9,12 +9,13 @@
 
 use dalestand_types::MonotonicTime;
 
-use crate::stage_balance::StageChange;
+use crate::stage_balancer::StageChange;
 
-/// An order that was taken shows in the list within this time; one that does not was lost.
-const SHOWN_WITHIN: Duration = Duration::from_secs(4);
+/// Time within which an accepted order becomes visible in the engine list. An order that takes longer
+/// counts as lost.
+const VISIBILITY_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Changes by engine.
+/// Ordered changes by engine.
 #[derive(Clone, Debug)]
 pub struct PendingChanges<E> {
     changes: HashMap<E, (StageChange, MonotonicTime)>,
@@ -29,28 +30,28 @@
 }
 
 impl<E: Copy + Eq + Hash> PendingChanges<E> {
-    /// Notes an order.
+    /// Records an order.
     pub fn record_order(&mut self, now: MonotonicTime, engine: E, change: StageChange) {
-        self.changes.insert(engine, (change, now + SHOWN_WITHIN));
+        self.changes
+            .insert(engine, (change, now + VISIBILITY_TIMEOUT));
     }
 
-    /// Notes that the engine did not take the order.
+    /// Removes the order of an engine that did not accept it.
     pub fn remove(&mut self, engine: E) {
         self.changes.remove(&engine);
     }
 
-    /// The change that the engine makes at `now`, if any.
+    /// The pending change of an engine at `now`.
     pub fn get(&self, now: MonotonicTime, engine: E) -> Option<StageChange> {
         let (change, until) = self.changes.get(&engine)?;
         (now < *until).then_some(*change)
     }
 
-    /// Forgets what is over.
+    /// Removes orders whose time is over.
     pub fn remove_expired(&mut self, now: MonotonicTime) {
         self.changes.retain(|_, (_, until)| now < *until);
     }
 
-    /// Forgets all.
     pub fn clear(&mut self) {
         self.changes.clear();
     }
--- a/crates/planner/src/plan.rs
+++ b/crates/planner/src/plan.rs
@@ -1,4 +1,4 @@
-//! The plan with the typed reason and inputs that a decision record keeps.
+//! Role plan with its reason and inputs, which are kept in decision records.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,21 +10,20 @@
 use crate::demand::Demand;
 use crate::speeds::EngineSpeeds;
 
-/// Why a plan is as it is.
+/// Reason for a plan.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlanReason {
     /// No engine has reported yet.
     NoReports,
-    /// No other composition is worth its cost.
+    /// No change is worth its cost.
     Keep,
-    /// As many engines are out of service for a change as may be.
+    /// The limit on simultaneous changes is reached.
     ChangesInProgress { engines: usize },
-    /// Changing an engine would leave a phase without any engine.
+    /// A change would leave a phase without an engine.
     WouldLeavePhaseEmpty,
-    /// A group with an engine that has less to drain goes first.
+    /// A group whose engine has less to drain changes first.
     OtherGroupFirst,
-    /// Another composition serves more than the change costs; both in shares of the demand times
-    /// seconds.
+    /// The gain of a change exceeds its cost; both in seconds of full service.
     Gain { gain: f64, cost: f64 },
 }
 
@@ -53,22 +52,22 @@
     }
 }
 
-/// What a plan was made from.
+/// Inputs of a plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PlanInputs {
-    /// The demand as measured.
+    /// Measured demand.
     pub demand: Demand,
-    /// The demand expected when a change would be done.
+    /// Forecast demand at the time when a change would complete.
     pub forecast: Demand,
-    /// Speeds assumed, learnt or prior.
+    /// Engine speeds, learned or configured.
     pub speeds: EngineSpeeds,
-    /// Engines in service or changing, by role.
+    /// Engines by assigned role, including those that are changing.
     pub current: Composition,
-    /// The composition aimed at.
+    /// Target composition.
     pub target: Composition,
-    /// How long the present mix is expected to last.
-    pub expected_stay: Duration,
-    /// Age of the oldest report used.
+    /// Expected remaining duration of the current mix.
+    pub expected_mix_duration: Duration,
+    /// Age of the oldest report.
     pub information_age: Duration,
 }
 
@@ -82,7 +81,7 @@
             self.demand.decode_tokens_per_s,
             self.forecast.prefill_tokens_per_s,
             self.forecast.decode_tokens_per_s,
-            self.expected_stay.as_secs(),
+            self.expected_mix_duration.as_secs(),
             self.current.prefill,
             self.current.decode,
             self.current.mixed,
@@ -93,13 +92,13 @@
     }
 }
 
-/// The role each engine of a group is to have.
+/// Planned roles of the engines of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolePlan {
-    /// Roles by engine; an engine that has never reported is absent and is to be left as it is.
+    /// Roles by engine. An engine that has not reported is absent and keeps its role.
     pub roles: BTreeMap<EngineId, Role>,
-    /// Why.
+    /// Reason for the plan.
     pub reason: PlanReason,
-    /// On what information.
+    /// Inputs of the plan.
     pub inputs: PlanInputs,
 }
--- a/crates/planner/src/planner.rs
+++ b/crates/planner/src/planner.rs
@@ -5,86 +5,87 @@
 
 use dalestand_types::{EngineId, GroupDigest, GroupId, MonotonicTime, Role};
 
-use crate::change_duration::OutageEstimate;
+use crate::change_duration::ChangeDurationEstimate;
 use crate::composition::{Composition, Workload};
 use crate::config::PlannerConfig;
 use crate::demand::{Demand, DemandEstimate};
 use crate::engine_state::EngineState;
 use crate::evaluation::Evaluation;
-use crate::mix_duration::{Lean, StayEstimate};
+use crate::mix_duration::{MixBias, MixDurationEstimate};
 use crate::plan::{PlanInputs, PlanReason, RolePlan};
 use crate::speeds::SpeedEstimate;
 
-/// Ratio between the present and the usual mix from which the mix counts as leaning.
-const LEAN_RATIO: f64 = 1.15;
+/// Ratio of the current to the recent mix from which the mix counts as biased.
+const MIX_BIAS_RATIO: f64 = 1.15;
 
-/// Engines held by one step of the preference for engines with little to drain.
-const DRAIN_STEP: u32 = 16;
+/// Requests per step when engines are ranked by how much they have to drain.
+const DRAIN_RANK_REQUESTS: u32 = 16;
 
-/// Time given to each group that has a better engine to change, to change it.
-const TURN: Duration = Duration::from_secs(3);
+/// How long a group waits per group that has an engine with less to drain.
+const GROUP_WAIT: Duration = Duration::from_secs(3);
 
 /// Plans the roles of one group.
 ///
-/// It may be given the digests of other groups of the same pool whose engines can share requests
-/// with this one. All are then planned as one, and each plan names this group's engines only: the
-/// group that has the engine with the least to drain goes first, the others wait their turn.
+/// The planner may also observe digests of other groups of the pool whose engines can share requests
+/// with this group. All observed engines are then planned together, but a plan contains only the
+/// engines of this group. The group whose engine has the least to drain changes first; the others
+/// wait.
 #[derive(Clone, Debug)]
 pub struct RolePlanner {
     group: GroupId,
     config: PlannerConfig,
     engines: BTreeMap<EngineId, EngineState>,
-    own: BTreeSet<EngineId>,
+    own_engines: BTreeSet<EngineId>,
     assigned: BTreeMap<EngineId, Role>,
     speeds: SpeedEstimate,
     demand: DemandEstimate,
-    stay: StayEstimate,
-    outage: OutageEstimate,
-    /// Since when a change has been worth its cost.
-    worth_since: Option<MonotonicTime>,
+    mix_duration: MixDurationEstimate,
+    change_duration: ChangeDurationEstimate,
+    /// Time since which a change has been worth its cost.
+    beneficial_since: Option<MonotonicTime>,
 }
 
-/// An engine of this group that could change.
-struct Step {
+/// A role change of an engine of this group.
+struct ProposedChange {
     engine: EngineId,
     role: Role,
-    /// Groups that have an engine with less to drain.
+    /// Number of groups that have an engine with less to drain.
     groups_before: u32,
 }
 
 impl RolePlanner {
-    /// A planner that has seen no report.
+    /// A planner without any report so far.
     pub fn new(group: GroupId, config: PlannerConfig) -> Self {
         Self {
             group,
             speeds: SpeedEstimate::new(config.prior_speeds),
             engines: BTreeMap::new(),
-            own: BTreeSet::new(),
+            own_engines: BTreeSet::new(),
             assigned: BTreeMap::new(),
             demand: DemandEstimate::default(),
-            stay: StayEstimate::new(),
-            outage: OutageEstimate::new(config.change_duration),
-            worth_since: None,
+            mix_duration: MixDurationEstimate::new(),
+            change_duration: ChangeDurationEstimate::new(config.change_duration),
+            beneficial_since: None,
             config,
         }
     }
 
-    /// Takes a new configuration in without forgetting what was learnt.
+    /// Replaces the settings and keeps the learned estimates.
     pub fn set_config(&mut self, config: PlannerConfig) {
         self.config = config;
     }
 
-    /// Takes in a digest of this group, or of another group that is planned together with it.
+    /// Applies a digest of this group or of another group that is planned with it.
     pub fn observe(&mut self, now: MonotonicTime, digest: &GroupDigest) {
         for report in &digest.engines {
             let engine = &report.load.engine;
             if digest.group == self.group {
-                self.own.insert(engine.clone());
+                self.own_engines.insert(engine.clone());
             }
             let restarted = match self.engines.get_mut(engine) {
-                Some(known) => {
-                    let before = known.incarnation();
-                    if let Some(sample) = known.update(now, report) {
+                Some(state) => {
+                    let before = state.incarnation();
+                    if let Some(sample) = state.update(now, report) {
                         self.speeds.observe(&sample);
                     }
                     before != report.load.incarnation
@@ -95,40 +96,40 @@
                     true
                 }
             };
-            // A restarted engine is planned from the role it came back in.
+            // A restarted engine is planned from the role it reports.
             if restarted {
                 self.assigned.remove(engine);
-                self.outage.forget(engine);
+                self.change_duration.forget(engine);
             }
             let Some(role) = report.load.role else {
                 continue;
             };
-            if self.own.contains(engine) {
+            if self.own_engines.contains(engine) {
                 if report.accepting {
-                    self.outage.observe(now, engine, role);
+                    self.change_duration.observe(now, engine, role);
                 }
                 self.assigned.entry(engine.clone()).or_insert(role);
             } else {
-                // Another group's planner gives that engine its roles.
+                // Engines of other groups get their roles from the planner of their group.
                 self.assigned.insert(engine.clone(), role);
             }
         }
     }
 
-    /// The roles this group's engines are to have from now on.
+    /// Plans the roles of the group's engines at `now`.
     pub fn plan(&mut self, now: MonotonicTime) -> RolePlan {
-        self.forget_silent(now);
+        self.drop_stale_engines(now);
         let measured = self.measured_demand();
         if self.demand.sample(now, measured) {
-            let lean = self.lean();
-            self.stay.observe(now, lean);
+            let bias = self.mix_bias();
+            self.mix_duration.observe(now, bias);
         }
         let current = Composition::of(self.assigned.values().copied());
         let mut inputs = self.inputs(now, measured, current);
         let reason = self.decide(now, current, &mut inputs);
         let roles = self.assigned.iter();
         let roles = roles
-            .filter(|(engine, _)| self.own.contains(*engine))
+            .filter(|(engine, _)| self.own_engines.contains(*engine))
             .map(|(engine, role)| (engine.clone(), *role))
             .collect();
         RolePlan {
@@ -147,7 +148,7 @@
         if self.assigned.is_empty() {
             return PlanReason::NoReports;
         }
-        let changing = self.changing(now);
+        let changing = self.changes_in_progress(now);
         if changing >= self.config.max_changes_at_once.max(1) {
             return PlanReason::ChangesInProgress { engines: changing };
         }
@@ -155,25 +156,26 @@
             config: &self.config,
             speeds: self.speeds.speeds(),
             demand: &self.demand,
-            outage: &self.outage,
+            change_duration: &self.change_duration,
         };
-        let stay = self.stay.expected(now);
-        let Some(proposal) = evaluation.best_proposal(current, stay) else {
-            self.worth_since = None;
+        let mix_duration = self.mix_duration.remaining(now);
+        let Some(proposal) = evaluation.best_proposal(current, mix_duration) else {
+            self.beneficial_since = None;
             return PlanReason::Keep;
         };
         inputs.target = proposal.target;
-        let step = match self.first_step(&current, &proposal.target) {
-            Ok(step) => step,
+        let change = match self.next_change(&current, &proposal.target) {
+            Ok(change) => change,
             Err(reason) => return reason,
         };
-        let worth_since = *self.worth_since.get_or_insert(now);
-        if now.since(worth_since) < TURN * step.groups_before {
+        let beneficial_since = *self.beneficial_since.get_or_insert(now);
+        if now.since(beneficial_since) < GROUP_WAIT * change.groups_before {
             return PlanReason::OtherGroupFirst;
         }
-        self.worth_since = None;
-        if let Some(from) = self.assigned.insert(step.engine.clone(), step.role) {
-            self.outage.begin(now, &step.engine, from, step.role);
+        self.beneficial_since = None;
+        if let Some(from) = self.assigned.insert(change.engine.clone(), change.role) {
+            self.change_duration
+                .begin(now, &change.engine, from, change.role);
         }
         PlanReason::Gain {
             gain: proposal.gain,
@@ -181,49 +183,53 @@
         }
     }
 
-    /// The engine of this group to change first.
-    fn first_step(&self, current: &Composition, target: &Composition) -> Result<Step, PlanReason> {
+    /// The next role change towards `target`, if it is this group's to make.
+    fn next_change(
+        &self,
+        current: &Composition,
+        target: &Composition,
+    ) -> Result<ProposedChange, PlanReason> {
         let surplus = |role: Role| current.count(role) > target.count(role);
         let role = Role::ALL
             .into_iter()
             .filter(|role| current.count(*role) < target.count(*role))
             .max_by_key(|role| target.count(*role) - current.count(*role))
             .ok_or(PlanReason::Keep)?;
-        let candidates = self.assigned.iter().filter(|(_, held)| surplus(**held));
+        let candidates = self.assigned.iter().filter(|(_, role)| surplus(**role));
         let mut candidates: Vec<&EngineId> = candidates
             .map(|(engine, _)| engine)
-            .filter(|engine| self.may_leave(engine, role))
+            .filter(|engine| self.may_change_to(engine, role))
             .collect();
-        candidates.sort_by_key(|engine| (self.held(engine) / DRAIN_STEP, *engine));
+        candidates.sort_by_key(|engine| (self.requests(engine) / DRAIN_RANK_REQUESTS, *engine));
         if candidates.is_empty() {
             return Err(PlanReason::WouldLeavePhaseEmpty);
         }
-        let place = candidates
+        let position = candidates
             .iter()
-            .position(|engine| self.own.contains(*engine))
+            .position(|engine| self.own_engines.contains(*engine))
             .ok_or(PlanReason::OtherGroupFirst)?;
-        let before: BTreeSet<&GroupId> = candidates[..place]
+        let before: BTreeSet<&GroupId> = candidates[..position]
             .iter()
             .filter_map(|engine| Some(self.engines.get(*engine)?.group()))
             .collect();
-        Ok(Step {
-            engine: candidates[place].clone(),
+        Ok(ProposedChange {
+            engine: candidates[position].clone(),
             role,
             groups_before: before.len() as u32,
         })
     }
 
-    /// Whether an engine may leave its role for another.
+    /// Whether an engine may change to role `to`.
     ///
-    /// Of each phase that it would leave, an engine of a lower name must be in service. So the
-    /// lowest engine of a phase never leaves it, and no two groups that decide at the same time,
-    /// each on an old picture of the other, can leave a phase without any engine. A phase that
-    /// nobody runs may be filled by anyone.
-    fn may_leave(&self, engine: &EngineId, to: Role) -> bool {
+    /// An engine may leave a phase only while an engine with a lower name serves that phase. The engine
+    /// with the lowest name therefore never leaves, and groups that decide at the same time on
+    /// outdated reports cannot leave a phase without an engine. Any engine may join a phase that no
+    /// engine serves.
+    fn may_change_to(&self, engine: &EngineId, to: Role) -> bool {
         let Some(from) = self.assigned.get(engine).copied() else {
             return false;
         };
-        let kept_by_lower = |phase: fn(Role) -> bool| {
+        let has_lower = |phase: fn(Role) -> bool| {
             let lower = self.engines.range(..engine.clone());
             lower
                 .filter(|(_, state)| state.accepting())
@@ -233,16 +239,16 @@
                 })
         };
         let phases: [fn(Role) -> bool; 2] = [Role::runs_prefill, Role::runs_decode];
-        let fills = phases
+        let joins_unserved = phases
             .iter()
             .any(|phase| phase(to) && !self.is_served(*phase));
-        let leaves_none = phases
+        let keeps_served = phases
             .iter()
-            .all(|phase| !phase(from) || phase(to) || kept_by_lower(*phase));
-        fills || leaves_none
+            .all(|phase| !phase(from) || phase(to) || has_lower(*phase));
+        joins_unserved || keeps_served
     }
 
-    /// Whether an engine in service runs the phase.
+    /// Whether an engine in service runs `phase`.
     fn is_served(&self, phase: fn(Role) -> bool) -> bool {
         self.engines
             .values()
@@ -250,12 +256,12 @@
             .any(|state| state.role().is_some_and(phase))
     }
 
-    fn held(&self, engine: &EngineId) -> u32 {
-        self.engines.get(engine).map_or(0, EngineState::held)
+    fn requests(&self, engine: &EngineId) -> u32 {
+        self.engines.get(engine).map_or(0, EngineState::requests)
     }
 
-    /// Engines that do not serve in the role they were given.
-    fn changing(&self, now: MonotonicTime) -> usize {
+    /// Number of engines that do not serve in their assigned role.
+    fn changes_in_progress(&self, now: MonotonicTime) -> usize {
         self.assigned
             .iter()
             .filter(|(engine, role)| {
@@ -266,8 +272,8 @@
             .count()
     }
 
-    fn forget_silent(&mut self, now: MonotonicTime) {
-        let limit = self.config.report_limit;
+    fn drop_stale_engines(&mut self, now: MonotonicTime) {
+        let limit = self.config.max_report_age;
         self.engines.retain(|_, state| state.age(now) <= limit);
         let engines = &self.engines;
         self.assigned
@@ -284,23 +290,23 @@
         sum
     }
 
-    /// Whether the mix leans to one side of that of the last minutes.
-    fn lean(&self) -> Option<Lean> {
+    /// Bias of the current mix against the mix of the last minutes.
+    fn mix_bias(&self) -> Option<MixBias> {
         let speeds = self.speeds.speeds();
-        let mut usual = Demand::default();
+        let mut recent = Demand::default();
         for sample in self.demand.history() {
-            usual.prefill_tokens_per_s += sample.prefill_tokens_per_s;
-            usual.decode_tokens_per_s += sample.decode_tokens_per_s;
+            recent.prefill_tokens_per_s += sample.prefill_tokens_per_s;
+            recent.decode_tokens_per_s += sample.decode_tokens_per_s;
         }
         let ratio = |demand: &Demand| {
             let work = Workload::of(demand, &speeds);
             (work.prefill + f64::EPSILON) / (work.decode + f64::EPSILON)
         };
-        let now = ratio(&self.demand.forecast(Duration::ZERO)) / ratio(&usual);
-        if now > LEAN_RATIO {
-            Some(Lean::Prefill)
-        } else if now < 1.0 / LEAN_RATIO {
-            Some(Lean::Decode)
+        let bias = ratio(&self.demand.forecast(Duration::ZERO)) / ratio(&recent);
+        if bias > MIX_BIAS_RATIO {
+            Some(MixBias::Prefill)
+        } else if bias < 1.0 / MIX_BIAS_RATIO {
+            Some(MixBias::Decode)
         } else {
             None
         }
@@ -314,7 +320,7 @@
             speeds: self.speeds.speeds(),
             current,
             target: current,
-            expected_stay: self.stay.expected(now),
+            expected_mix_duration: self.mix_duration.remaining(now),
             information_age: ages.max().unwrap_or_default(),
         }
     }
--- a/crates/planner/src/speeds.rs
+++ b/crates/planner/src/speeds.rs
@@ -1,48 +1,47 @@
-//! What an engine needs for a token, learnt from its own counters.
+//! Learns the time an engine needs per token from its counters.
 
 use dalestand_types::Role;
 
-/// Decoding sequences an engine is expected to carry when it is well used.
+/// Assumed batch size of a well utilized decode engine, in sequences.
 const DECODE_BATCH: f64 = 48.0;
 
-/// Variance of one sample, relative to its square.
+/// Variance of a sample, relative to its square.
 const SAMPLE_VARIANCE: f64 = 0.02;
 
-/// Variance by which a parameter may drift between two samples, relative to its square.
+/// Variance added per sample for drift of a parameter, relative to its square.
 const DRIFT_VARIANCE: f64 = 2e-5;
 
-/// Confidence in the prior: variance of each parameter relative to its square.
+/// Variance of the prior, relative to the square of each parameter.
 const PRIOR_VARIANCE: f64 = 0.25;
 
-/// Parameters never fall below this share of the prior, nor rise above its inverse.
-const LEARNING_RANGE: f64 = 0.02;
+/// Smallest factor of a parameter relative to the prior; the largest is its inverse.
+const MIN_SCALE: f64 = 0.02;
 
-/// Time of engines over which speeds are held against it, in seconds.
-const TIME_JUDGED_S: f64 = 20.0;
+/// Engine time after which the learned speeds are checked against it, in seconds.
+const CHECK_INTERVAL_S: f64 = 20.0;
 
-/// Work beyond the time there was, from which speeds are corrected.
-const TIME_TOLERANCE: f64 = 1.1;
+/// Ratio of estimated work to engine time above which the speeds are corrected.
+const MAX_WORK_RATIO: f64 = 1.1;
 
-/// Share of its time that an engine must spend on prompts to teach the loss of doing both.
-const SMALLEST_PROMPT_SHARE: f64 = 0.1;
+/// Minimum fraction of time spent on prefill in a sample for the mixed loss.
+const MIN_PREFILL_SHARE: f64 = 0.1;
 
-/// Largest loss that is believed.
-const LARGEST_MIXED_LOSS: f64 = 3.0;
+/// Upper bound of the mixed loss.
+const MAX_MIXED_LOSS: f64 = 3.0;
 
-/// Weight of a new sample in the loss.
+/// Weight of a new sample in the moving average of the mixed loss.
 const MIXED_LOSS_WEIGHT: f64 = 0.03;
 
-/// Costs of an engine's steps, in seconds.
+/// Time costs of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpeeds {
-    /// Time of one prompt token.
+    /// Time per prompt token, in seconds.
     pub prefill_token_s: f64,
-    /// Time of a decode step, whatever its batch.
+    /// Fixed time of a decode step, in seconds.
     pub decode_step_s: f64,
-    /// Added time of each sequence in a decode step.
+    /// Additional time per sequence in a decode step, in seconds.
     pub decode_token_s: f64,
-    /// Time that an engine loses when it runs prompts beside output, as a share of the time of
-    /// those prompts.
+    /// Overhead of an engine that runs both phases, as a fraction of its prefill time.
     pub mixed_loss: f64,
 }
 
@@ -58,62 +57,61 @@
 }
 
 impl EngineSpeeds {
-    /// Engine time of one output token in a well used batch, in seconds.
+    /// Engine time per output token in a well utilized batch, in seconds.
     pub fn decode_work_s(&self) -> f64 {
         self.decode_step_s / DECODE_BATCH + self.decode_token_s
     }
 }
 
-/// What one busy engine did between two of its reports.
+/// Work of a busy engine between two reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpeedSample {
-    /// Its role.
+    /// Role of the engine.
     pub role: Role,
     /// Time between the reports, in seconds.
     pub elapsed_s: f64,
-    /// Prompt tokens run.
+    /// Prompt tokens processed.
     pub prefill_tokens: f64,
     /// Output tokens generated.
     pub decode_tokens: f64,
-    /// Sequences in the batch, on average.
+    /// Mean number of sequences in the batch.
     pub running: f64,
-    /// Whether prompts were queued all the time.
+    /// Whether prompts were queued during the whole interval.
     pub queued: bool,
 }
 
-/// Learns [`EngineSpeeds`] from the time that busy engines spent: the cost of prompts and output
-/// by a Kalman filter on the engines that do one of them, the loss of doing both from the
-/// engines that do both and are never short of prompts.
+/// Learns [`EngineSpeeds`] from busy engines: token costs by a Kalman filter over prefill and decode
+/// engines, and the mixed loss from mixed engines whose prompt queue is never empty.
 #[derive(Clone, Debug)]
 pub struct SpeedEstimate {
     prior: EngineSpeeds,
-    /// Parameters relative to the prior: prompt token, step, output token.
+    /// Parameters relative to the prior: time per prompt token, decode step and output token.
     scale: [f64; 3],
     covariance: [[f64; 3]; 3],
     mixed_loss: f64,
-    /// Work done and time passed since speeds were last held against time, in engine seconds.
-    worked_s: f64,
-    passed_s: f64,
+    /// Estimated work and elapsed time since the last check of the speeds, in engine seconds.
+    work_s: f64,
+    elapsed_s: f64,
 }
 
 impl SpeedEstimate {
-    /// An estimate that knows only the prior.
+    /// Starts with the prior.
     pub fn new(prior: EngineSpeeds) -> Self {
         let mut covariance = [[0.0; 3]; 3];
-        for (place, row) in covariance.iter_mut().enumerate() {
-            row[place] = PRIOR_VARIANCE;
+        for (index, row) in covariance.iter_mut().enumerate() {
+            row[index] = PRIOR_VARIANCE;
         }
         Self {
             prior,
             scale: [1.0; 3],
             covariance,
             mixed_loss: prior.mixed_loss,
-            worked_s: 0.0,
-            passed_s: 0.0,
+            work_s: 0.0,
+            elapsed_s: 0.0,
         }
     }
 
-    /// The speeds as known now.
+    /// Current estimate.
     pub fn speeds(&self) -> EngineSpeeds {
         EngineSpeeds {
             prefill_token_s: self.prior.prefill_token_s * self.scale[0],
@@ -123,42 +121,42 @@
         }
     }
 
-    /// Takes in what a busy engine did. A sample without any token teaches nothing.
+    /// Learns from a sample. Samples without tokens are ignored.
     pub fn observe(&mut self, sample: &SpeedSample) {
         if sample.elapsed_s <= 0.0 || sample.prefill_tokens + sample.decode_tokens <= 0.0 {
             return;
         }
-        self.bound_by_time(sample);
+        self.limit_by_elapsed_time(sample);
         match sample.role {
             Role::Mixed => self.observe_mixed(sample),
             Role::Prefill if !sample.queued => {}
-            Role::Prefill | Role::Decode => self.observe_pure(sample),
+            Role::Prefill | Role::Decode => self.observe_single_phase(sample),
         }
     }
 
-    /// No engine does more work than it had time for: speeds that say so are too slow. Judged
-    /// over many samples, as the times of single reports are uncertain.
-    fn bound_by_time(&mut self, sample: &SpeedSample) {
+    /// Lowers the time costs if the estimated work exceeds the elapsed time. Checked over many samples,
+    /// because the times of single reports are inexact.
+    fn limit_by_elapsed_time(&mut self, sample: &SpeedSample) {
         let speeds = self.speeds();
         let steps = sample.decode_tokens / sample.running.max(1.0);
-        self.worked_s += sample.prefill_tokens * speeds.prefill_token_s
+        self.work_s += sample.prefill_tokens * speeds.prefill_token_s
             + steps * speeds.decode_step_s
             + sample.decode_tokens * speeds.decode_token_s;
-        self.passed_s += sample.elapsed_s;
-        if self.passed_s < TIME_JUDGED_S {
+        self.elapsed_s += sample.elapsed_s;
+        if self.elapsed_s < CHECK_INTERVAL_S {
             return;
         }
-        if self.worked_s > self.passed_s * TIME_TOLERANCE {
-            let factor = self.passed_s / self.worked_s;
+        if self.work_s > self.elapsed_s * MAX_WORK_RATIO {
+            let factor = self.elapsed_s / self.work_s;
             for scale in &mut self.scale {
-                *scale = (*scale * factor).max(LEARNING_RANGE);
+                *scale = (*scale * factor).max(MIN_SCALE);
             }
         }
-        self.worked_s = 0.0;
-        self.passed_s = 0.0;
+        self.work_s = 0.0;
+        self.elapsed_s = 0.0;
     }
 
-    fn observe_pure(&mut self, sample: &SpeedSample) {
+    fn observe_single_phase(&mut self, sample: &SpeedSample) {
         let steps = sample.decode_tokens / sample.running.max(1.0);
         let inputs = [
             sample.prefill_tokens * self.prior.prefill_token_s / sample.elapsed_s,
@@ -170,32 +168,32 @@
 
     fn observe_mixed(&mut self, sample: &SpeedSample) {
         let speeds = self.speeds();
-        let prompts_s = sample.prefill_tokens * speeds.prefill_token_s;
-        if !sample.queued || prompts_s < SMALLEST_PROMPT_SHARE * sample.elapsed_s {
+        let prefill_s = sample.prefill_tokens * speeds.prefill_token_s;
+        if !sample.queued || prefill_s < MIN_PREFILL_SHARE * sample.elapsed_s {
             return;
         }
-        let output_s = sample.decode_tokens * speeds.decode_work_s();
-        let lost = (sample.elapsed_s - prompts_s - output_s) / prompts_s;
-        let lost = lost.clamp(0.0, LARGEST_MIXED_LOSS);
-        self.mixed_loss += MIXED_LOSS_WEIGHT * (lost - self.mixed_loss);
+        let decode_s = sample.decode_tokens * speeds.decode_work_s();
+        let loss = (sample.elapsed_s - prefill_s - decode_s) / prefill_s;
+        let loss = loss.clamp(0.0, MAX_MIXED_LOSS);
+        self.mixed_loss += MIXED_LOSS_WEIGHT * (loss - self.mixed_loss);
     }
 
     fn update(&mut self, inputs: &[f64; 3], target: f64) {
-        let spread = multiply(&self.covariance, inputs);
-        let denominator = SAMPLE_VARIANCE + dot(inputs, &spread);
+        let gain = multiply(&self.covariance, inputs);
+        let denominator = SAMPLE_VARIANCE + dot(inputs, &gain);
         let error = target - dot(inputs, &self.scale);
-        for (scale, spread) in self.scale.iter_mut().zip(spread) {
-            let learnt = *scale + spread / denominator * error;
-            *scale = learnt.clamp(LEARNING_RANGE, 1.0 / LEARNING_RANGE);
+        for (scale, gain) in self.scale.iter_mut().zip(gain) {
+            let updated = *scale + gain / denominator * error;
+            *scale = updated.clamp(MIN_SCALE, 1.0 / MIN_SCALE);
         }
-        for (row, row_spread) in self.covariance.iter_mut().zip(spread) {
-            for (value, column_spread) in row.iter_mut().zip(spread) {
-                *value -= row_spread * column_spread / denominator;
+        for (row, row_gain) in self.covariance.iter_mut().zip(gain) {
+            for (value, column_gain) in row.iter_mut().zip(gain) {
+                *value -= row_gain * column_gain / denominator;
             }
         }
-        // Speeds may drift; a parameter that no sample shows stays as uncertain as the prior.
-        for place in 0..self.covariance.len() {
-            let variance = &mut self.covariance[place][place];
+        // Adds drift, but keeps a parameter that no sample covers at the variance of the prior.
+        for index in 0..self.covariance.len() {
+            let variance = &mut self.covariance[index][index];
             if *variance < PRIOR_VARIANCE {
                 *variance += DRIFT_VARIANCE;
             }
--- a/crates/planner/tests/groups.rs
+++ b/crates/planner/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of one pool whose planners hear of each other late.
+//! Planning of several groups of one pool on delayed digests.
 
 mod support;
 
@@ -8,8 +8,8 @@
 
 use support::{REPORT_MS, cases, config, digest, idle_engine};
 
-/// Three groups of two engines under planners that hear of each other late.
-struct LatePool {
+/// Three groups of two engines whose planners receive the digests of other groups with a delay.
+struct DelayedPool {
     groups: Vec<GroupId>,
     planners: Vec<RolePlanner>,
     engines: Vec<EngineLoad>,
@@ -20,7 +20,7 @@
 
 const GROUP_SIZE: usize = 2;
 
-impl LatePool {
+impl DelayedPool {
     fn new(delay_seconds: usize, weight: f64) -> Self {
         let groups: Vec<GroupId> = ["one", "two", "three"]
             .iter()
@@ -41,7 +41,8 @@
         }
     }
 
-    fn second(&mut self, prefill: u64, decode: u64) {
+    /// Advances by one second in which the engines process the given tokens.
+    fn advance_second(&mut self, prefill: u64, decode: u64) {
         let second = self.digests.len() as u64 + 1;
         let now = MonotonicTime::from_millis(second * REPORT_MS);
         let size = self.engines.len() as u64;
@@ -58,8 +59,8 @@
         for (own, planner) in self.planners.iter_mut().enumerate() {
             for group in 0..self.groups.len() {
                 let delay = if group == own { 0 } else { self.delay_seconds };
-                if let Some(heard) = newest.checked_sub(delay) {
-                    planner.observe(now, &self.digests[heard][group]);
+                if let Some(received) = newest.checked_sub(delay) {
+                    planner.observe(now, &self.digests[received][group]);
                 }
             }
         }
@@ -75,16 +76,16 @@
         }
     }
 
-    fn covers(&self) -> bool {
-        Composition::of(self.engines.iter().filter_map(|load| load.role)).covers()
+    fn covers_both_phases(&self) -> bool {
+        Composition::of(self.engines.iter().filter_map(|load| load.role)).covers_both_phases()
     }
 }
 
 #[test]
-fn groups_of_a_pool_are_planned_together_and_each_changes_its_own_engines() {
-    let mut pool = LatePool::new(1, 0.0);
+fn groups_of_a_pool_are_planned_together_and_change_their_own_engines() {
+    let mut pool = DelayedPool::new(1, 0.0);
     for _ in 0..400 {
-        pool.second(96_000, 1_800);
+        pool.advance_second(96_000, 1_800);
     }
     let changed = pool.changes.iter().filter(|changes| **changes > 0).count();
     assert!(changed > 1, "changes by group: {:?}", pool.changes);
@@ -94,16 +95,16 @@
     #![proptest_config(cases(16))]
 
     #[test]
-    fn groups_that_hear_of_each_other_late_never_leave_a_phase_empty(
+    fn delayed_digests_never_leave_a_phase_without_an_engine(
         delay_seconds in 0_usize..9,
         weight in 0.0_f64..0.5,
         phases in prop::collection::vec((0_u64..150_000, 0_u64..20_000, 10_u32..90), 1..6),
     ) {
-        let mut pool = LatePool::new(delay_seconds, weight);
+        let mut pool = DelayedPool::new(delay_seconds, weight);
         for (prefill, decode, seconds) in phases {
             for _ in 0..seconds {
-                pool.second(prefill, decode);
-                prop_assert!(pool.covers());
+                pool.advance_second(prefill, decode);
+                prop_assert!(pool.covers_both_phases());
             }
         }
     }
--- a/crates/planner/tests/properties.rs
+++ b/crates/planner/tests/properties.rs
@@ -14,12 +14,12 @@
 
 const GROUP: &str = "pool@zone";
 
-/// A group of engines that obey a plan, each out of service for some seconds.
+/// A group of engines that carry out each planned change within `change_seconds`.
 struct Group {
     engines: Vec<EngineLoad>,
     out_seconds: Vec<u32>,
     change_seconds: u32,
-    /// Place of an engine that takes no new work.
+    /// Index of an engine that accepts no new work.
     drained: Option<usize>,
     last_plan: BTreeMap<EngineId, Role>,
     planner: RolePlanner,
@@ -42,8 +42,8 @@
         }
     }
 
-    /// One second in which each engine did its share of these tokens.
-    fn second(&mut self, prefill: u64, decode: u64) -> RolePlan {
+    /// Advances by one second in which the engines process the given tokens, and plans.
+    fn advance_second(&mut self, prefill: u64, decode: u64) -> RolePlan {
         self.now_ms += REPORT_MS;
         let size = self.engines.len() as u64;
         for load in &mut self.engines {
@@ -58,7 +58,8 @@
         self.planner.plan(now)
     }
 
-    fn follow(&mut self, plan: &RolePlan) {
+    /// Carries out the plan for one second.
+    fn apply(&mut self, plan: &RolePlan) {
         for (load, out) in self.engines.iter_mut().zip(&mut self.out_seconds) {
             let planned = plan.roles.get(&load.engine).copied();
             if load.role == planned {
@@ -80,7 +81,8 @@
         digest(&group, self.now_ms, &self.engines, self.drained)
     }
 
-    fn changing(&self, plan: &RolePlan) -> usize {
+    /// Number of engines that are not in their planned role.
+    fn changes_in_progress(&self, plan: &RolePlan) -> usize {
         let changed = |load: &&EngineLoad| plan.roles.get(&load.engine).copied() != load.role;
         self.engines.iter().filter(changed).count()
     }
@@ -111,15 +113,15 @@
         group.change_seconds = change_seconds;
         for (prefill, decode, seconds) in phases {
             for _ in 0..seconds {
-                let plan = group.second(prefill, decode);
-                prop_assert!(Composition::of(plan.roles.values().copied()).covers());
-                prop_assert!(group.changing(&plan) <= bound);
+                let plan = group.advance_second(prefill, decode);
+                prop_assert!(Composition::of(plan.roles.values().copied()).covers_both_phases());
+                prop_assert!(group.changes_in_progress(&plan) <= bound);
                 let serving = group.engines.iter().filter_map(|load| {
                     let planned = plan.roles.get(&load.engine).copied();
                     load.role.filter(|role| planned == Some(*role))
                 });
-                prop_assert!(Composition::of(serving).covers());
-                group.follow(&plan);
+                prop_assert!(Composition::of(serving).covers_both_phases());
+                group.apply(&plan);
             }
         }
     }
@@ -132,10 +134,10 @@
         let mut one = Group::new(size, config(0.2));
         let mut other = Group::new(size, config(0.2));
         for (prefill, decode) in seconds {
-            let plan = one.second(prefill, decode);
-            prop_assert_eq!(&plan, &other.second(prefill, decode));
-            one.follow(&plan);
-            other.follow(&plan);
+            let plan = one.advance_second(prefill, decode);
+            prop_assert_eq!(&plan, &other.advance_second(prefill, decode));
+            one.apply(&plan);
+            other.apply(&plan);
         }
     }
 }
@@ -143,22 +145,22 @@
 fn changes_over(group: &mut Group, seconds: u32, prefill: u64, decode: u64) -> usize {
     let mut changes = 0;
     for _ in 0..seconds {
-        let plan = group.second(prefill, decode);
-        changes += group.changing(&plan);
-        group.follow(&plan);
+        let plan = group.advance_second(prefill, decode);
+        changes += group.changes_in_progress(&plan);
+        group.apply(&plan);
     }
     changes
 }
 
-/// Seconds of prompts only, up to the first plan that changes a role.
-fn until_a_change(group: &mut Group) -> RolePlan {
+/// Applies a load of mostly prompts until a plan changes a role, and returns that plan.
+fn run_until_change(group: &mut Group) -> RolePlan {
     for _ in 0..240 {
-        let plan = group.second(190_000, 2_000);
-        if group.changing(&plan) > 0 {
+        let plan = group.advance_second(190_000, 2_000);
+        if group.changes_in_progress(&plan) > 0 {
             return plan;
         }
     }
-    panic!("no change of role in four minutes of prompts only");
+    panic!("no role change in four minutes of mostly prompts");
 }
 
 #[test]
@@ -169,7 +171,7 @@
 }
 
 #[test]
-fn a_lasting_shift_is_followed_by_roles() {
+fn roles_follow_a_lasting_shift_of_demand() {
     let mut group = Group::new(9, config(0.0));
     changes_over(&mut group, 60, 20_000, 30_000);
     let changes = changes_over(&mut group, 240, 190_000, 2_000);
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn the_weight_of_changes_bounds_their_number() {
+fn a_higher_change_weight_reduces_the_number_of_changes() {
     let run = |weight| {
         let mut group = Group::new(9, config(weight));
         let mut changes = 0;
@@ -194,42 +196,42 @@
 }
 
 #[test]
-fn an_engine_in_mid_change_holds_back_further_changes() {
+fn an_unfinished_change_blocks_further_changes() {
     let mut group = Group::new(9, config(0.0));
-    let plan = until_a_change(&mut group);
-    assert_eq!(group.changing(&plan), 1);
-    // The engine drains and never comes back: nothing else may be taken out.
+    let plan = run_until_change(&mut group);
+    assert_eq!(group.changes_in_progress(&plan), 1);
+    // The change never completes, so no other engine may be taken out of service.
     for _ in 0..60 {
-        let later = group.second(190_000, 2_000);
+        let later = group.advance_second(190_000, 2_000);
         assert_eq!(later.roles, plan.roles);
     }
 }
 
 #[test]
-fn an_engine_drained_by_an_operator_does_not_hold_back_changes_for_ever() {
+fn an_engine_drained_by_an_operator_does_not_block_changes_forever() {
     let mut group = Group::new(9, config(0.0));
     group.drained = Some(8);
     assert!(changes_over(&mut group, 600, 190_000, 2_000) > 0);
 }
 
 #[test]
-fn an_engine_that_crashed_in_mid_change_is_planned_from_the_role_it_came_back_in() {
+fn an_engine_that_restarts_during_a_change_is_planned_from_the_role_it_reports() {
     let mut group = Group::new(9, config(0.0));
-    let plan = until_a_change(&mut group);
-    let place = group
+    let plan = run_until_change(&mut group);
+    let index = group
         .engines
         .iter()
         .position(|load| plan.roles.get(&load.engine).copied() != load.role)
         .expect("one engine changes");
-    group.engines[place].incarnation = Incarnation(2);
-    group.engines[place].sequence = Sequence(0);
-    let next = group.second(190_000, 2_000);
-    assert!(group.changing(&next) <= 1);
-    assert!(Composition::of(next.roles.values().copied()).covers());
+    group.engines[index].incarnation = Incarnation(2);
+    group.engines[index].sequence = Sequence(0);
+    let next = group.advance_second(190_000, 2_000);
+    assert!(group.changes_in_progress(&next) <= 1);
+    assert!(Composition::of(next.roles.values().copied()).covers_both_phases());
 }
 
-/// Two prompt engines and two output engines whose changes never end; the demand turns round
-/// while the first change is under way.
+/// Two prefill and two decode engines whose changes never complete. The demand reverses during the
+/// first change.
 #[test]
 fn the_last_engine_in_service_for_a_phase_is_kept_while_another_is_changing() {
     let mut group = Group::new(
@@ -241,7 +243,7 @@
         },
     );
     group.change_seconds = u32::MAX;
-    // Engines that hold much are passed over, so that the one in mid change is not turned back.
+    // Engines with many requests are ranked last, so that the changing engine is not selected again.
     group.engines[0].waiting = 100;
     group.engines[2].waiting = 50;
     let mut changed = 0;
@@ -251,34 +253,35 @@
         } else {
             (80_000, 0)
         };
-        let plan = group.second(prefill, decode);
-        changed = changed.max(group.changing(&plan));
+        let plan = group.advance_second(prefill, decode);
+        changed = changed.max(group.changes_in_progress(&plan));
         if changed > 0 {
             group.engines[2].waiting = 200;
         }
-        group.follow(&plan);
+        group.apply(&plan);
         let serving = group.engines.iter().filter_map(|load| load.role);
         assert!(
-            Composition::of(serving).covers(),
-            "empty at second {second}"
+            Composition::of(serving).covers_both_phases(),
+            "a phase has no engine at second {second}"
         );
     }
     assert!(
         changed >= 2,
-        "the demand turned round without a second change"
+        "no second change followed the reversal of the demand"
     );
 }
 
 #[test]
-fn a_demand_of_prompts_only_leaves_an_engine_for_output() {
+fn every_composition_covers_both_phases() {
     let allowed = [Role::Prefill, Role::Decode];
     let all = Composition::all(5, &allowed);
-    assert!(all.iter().all(Composition::covers));
+    assert!(all.iter().all(Composition::covers_both_phases));
     assert_eq!(all.len(), 4);
 }
 
-/// Changes in ten minutes of a mix that swings with this period, after five minutes to learn it.
-fn changes_in_a_swing(period_seconds: u32) -> usize {
+/// Number of role changes in ten minutes of a mix that alternates with this period, after five minutes
+/// of learning.
+fn changes_with_alternating_mix(period_seconds: u32) -> usize {
     let mut group = Group::new(9, config(0.2));
     group.change_seconds = 9;
     let mut changes = 0;
@@ -290,7 +293,7 @@
             (20_000, 22_000)
         };
         let before = group.last_plan.clone();
-        let plan = group.second(prefill, decode);
+        let plan = group.advance_second(prefill, decode);
         if second >= 300 {
             changes += plan
                 .roles
@@ -298,14 +301,14 @@
                 .filter(|(engine, role)| before.get(*engine) != Some(*role))
                 .count();
         }
-        group.follow(&plan);
+        group.apply(&plan);
         group.last_plan = plan.roles;
     }
     changes
 }
 
 #[test]
-fn a_mix_that_swings_as_fast_as_a_change_lasts_is_not_followed() {
-    let changes = changes_in_a_swing(20);
-    assert!(changes <= 4, "{changes} changes in 30 swings");
+fn a_mix_that_alternates_as_fast_as_a_change_takes_is_not_followed() {
+    let changes = changes_with_alternating_mix(20);
+    assert!(changes <= 4, "{changes} changes in 30 periods");
 }
--- a/crates/planner/tests/speeds.rs
+++ b/crates/planner/tests/speeds.rs
@@ -1,4 +1,4 @@
-//! Speeds learnt from what engines did.
+//! Learning of engine speeds from samples.
 
 use dalestand_planner::{EngineSpeeds, SpeedEstimate, SpeedSample};
 use dalestand_types::Role;
@@ -15,10 +15,10 @@
 }
 
 #[test]
-fn speeds_of_engines_that_do_one_phase_are_learnt() {
+fn speeds_are_learned_from_engines_that_run_one_phase() {
     let mut estimate = SpeedEstimate::new(EngineSpeeds::default());
     for _ in 0..200 {
-        // 100 microseconds a prompt token; 20 ms and 100 microseconds a sequence for a step.
+        // 100 microseconds per prompt token; 20 ms per step plus 100 microseconds per sequence.
         estimate.observe(&sample(Role::Prefill, 1.0, 10_000.0, 0.0));
         estimate.observe(&sample(Role::Decode, 2.4, 0.0, 100.0 * 40.0));
     }
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_prior_that_is_too_slow_is_left_behind_without_any_engine_of_one_phase() {
+fn a_slow_prior_is_corrected_from_mixed_engines_alone() {
     let mut estimate = SpeedEstimate::new(EngineSpeeds::default());
     for _ in 0..400 {
         let mut busy = sample(Role::Mixed, 1.0, 100_000.0, 400.0);
@@ -41,9 +41,9 @@
 }
 
 #[test]
-fn uncertain_times_of_reports_do_not_make_engines_look_fast() {
+fn jitter_in_report_times_does_not_lower_the_time_costs() {
     let mut estimate = SpeedEstimate::new(EngineSpeeds::default());
-    // 90% busy, by reports that come half a second apart and look 0.2 or 0.8 s apart.
+    // Engines are 90% busy; reports are 0.5 s apart but appear to be 0.2 or 0.8 s apart.
     for number in 0..2_000 {
         let elapsed_s = if number % 2 == 0 { 0.2 } else { 0.8 };
         let mut report = sample(Role::Mixed, elapsed_s, 0.5 * 15_000.0, 0.5 * 1_200.0);
--- a/crates/planner/tests/stage_balance.rs
+++ b/crates/planner/tests/stage_balance.rs
@@ -1,4 +1,4 @@
-//! Balance of the stages of a pool's engines.
+//! Balancing of prefill and decode engines.
 
 use std::time::Duration;
 
@@ -15,43 +15,44 @@
     decode: 0.5,
 };
 
+/// Interval between decisions.
 const STEP: Duration = Duration::from_millis(500);
 
-const PROMPTS: StageDemand = StageDemand {
+const MOSTLY_DISAGGREGATED: StageDemand = StageDemand {
     disaggregated_tokens_per_s: 200_000.0,
     colocated_tokens_per_s: 10_000.0,
 };
-const TAGS: StageDemand = StageDemand {
+const MOSTLY_COLOCATED: StageDemand = StageDemand {
     disaggregated_tokens_per_s: 1_000.0,
     colocated_tokens_per_s: 90_000.0,
 };
 
-/// Lets the balance decide every half second; yields the changes with their times.
-fn play(
+/// Lets the balancer decide once per [`STEP`]. Returns the changes with their times.
+fn run(
     demand: impl Fn(MonotonicTime) -> StageDemand,
     counts: StageCounts,
     steps: usize,
 ) -> Vec<(MonotonicTime, StageChange)> {
-    play_queued(demand, |_| StageQueueTimes::default(), counts, steps)
+    run_with_queues(demand, |_| StageQueueTimes::default(), counts, steps)
 }
 
-/// The same with queues.
-fn play_queued(
+/// Like [`run`], with queue times.
+fn run_with_queues(
     demand: impl Fn(MonotonicTime) -> StageDemand,
     queues: impl Fn(MonotonicTime) -> StageQueueTimes,
     mut counts: StageCounts,
     steps: usize,
 ) -> Vec<(MonotonicTime, StageChange)> {
-    let mut balance = StageBalancer::new(StageBalancerConfig::default());
+    let mut balancer = StageBalancer::new(StageBalancerConfig::default());
     let mut now = MonotonicTime::ZERO;
     let mut changes = Vec::new();
     for _ in 0..steps {
         now = now + STEP;
-        let shift = balance.decide(now, &demand(now), counts, queues(now), BUSY);
-        let Some(StageRebalance { change, engines }) = shift else {
+        let rebalance = balancer.decide(now, &demand(now), counts, queues(now), BUSY);
+        let Some(StageRebalance { change, engines }) = rebalance else {
             continue;
         };
-        balance.record_order(now, change);
+        balancer.record_order(now, change);
         changes.push((now, change));
         match change {
             StageChange::ToPrefill => {
@@ -73,40 +74,43 @@
 };
 
 #[rstest]
-#[case::more_prompts(PROMPTS, StageChange::ToPrefill)]
-#[case::more_tags(TAGS, StageChange::ToDecode)]
-fn engines_follow_a_shift_that_lasts(#[case] demand: StageDemand, #[case] expected: StageChange) {
-    let changes = play(|_| demand, EVEN, 40);
+#[case::more_disaggregated(MOSTLY_DISAGGREGATED, StageChange::ToPrefill)]
+#[case::more_colocated(MOSTLY_COLOCATED, StageChange::ToDecode)]
+fn engines_follow_a_lasting_shift_of_demand(
+    #[case] demand: StageDemand,
+    #[case] expected: StageChange,
+) {
+    let changes = run(|_| demand, EVEN, 40);
     assert!(!changes.is_empty());
     assert!(changes.iter().all(|(_, change)| *change == expected));
 }
 
 #[rstest]
-fn a_short_wave_changes_nothing() {
-    let wave = |now: MonotonicTime| {
+fn short_oscillations_of_demand_change_nothing() {
+    let oscillation = |now: MonotonicTime| {
         let second = now.since(MonotonicTime::ZERO).as_secs();
         if second.is_multiple_of(2) {
-            PROMPTS
+            MOSTLY_DISAGGREGATED
         } else {
-            TAGS
+            MOSTLY_COLOCATED
         }
     };
-    assert_eq!(play(wave, EVEN, 60), []);
+    assert_eq!(run(oscillation, EVEN, 60), []);
 }
 
-/// Seen on a day of Seberang: a burst of short prompts had just ended, their mean still stood, and an
-/// engine that read was taken away as a burst of long prompts began.
+/// The averaged demand lags a burst of prompts: a stage whose queue is already growing must keep its
+/// engines.
 #[rstest]
-fn a_stage_with_a_queue_gives_no_engine_away() {
+fn a_stage_with_a_queue_keeps_its_engines() {
     let queues = |_| StageQueueTimes {
         prefill_s: 0.2,
         decode_s: 0.02,
     };
-    assert_eq!(play_queued(|_| TAGS, queues, EVEN, 40), []);
+    assert_eq!(run_with_queues(|_| MOSTLY_COLOCATED, queues, EVEN, 40), []);
 }
 
 #[rstest]
-fn an_ordered_change_counts_until_the_list_shows_it_or_it_is_lost() {
+fn an_ordered_change_is_pending_until_it_is_refused_or_times_out() {
     let now = MonotonicTime::from_millis(1_000);
     let mut changes = PendingChanges::default();
     changes.record_order(now, 1, StageChange::ToPrefill);
@@ -122,14 +126,13 @@
 
 #[rstest]
 fn nothing_is_decided_without_demand() {
-    assert_eq!(play(|_| StageDemand::default(), EVEN, 40), []);
+    assert_eq!(run(|_| StageDemand::default(), EVEN, 40), []);
 }
 
-/// The pattern of a shift of the demand in a fleet of 9,560 engines. Changed one by one each 1.5 s, a tenth
-/// of them would take 24 minutes.
+/// A shift of demand in a fleet of 9,560 engines must not be followed one engine at a time.
 #[rstest]
-fn a_large_fleet_follows_a_shift_in_seconds() {
-    let mut balance = StageBalancer::new(StageBalancerConfig::default());
+fn a_large_fleet_follows_a_shift_of_demand_within_seconds() {
+    let mut balancer = StageBalancer::new(StageBalancerConfig::default());
     let mut counts = StageCounts {
         prefill: 3_824,
         decode: 5_736,
@@ -142,25 +145,24 @@
     let mut now = MonotonicTime::ZERO;
     for _ in 0..80 {
         now = now + STEP;
-        let shift = balance.decide(now, &demand, counts, StageQueueTimes::default(), BUSY);
-        if let Some(StageRebalance { change, engines }) = shift {
+        let rebalance = balancer.decide(now, &demand, counts, StageQueueTimes::default(), BUSY);
+        if let Some(StageRebalance { change, engines }) = rebalance {
             assert_eq!(change, StageChange::ToPrefill);
-            balance.record_order(now, change);
+            balancer.record_order(now, change);
             counts.prefill += engines;
             counts.decode -= engines;
             orders += engines;
         }
     }
-    // Both weigh the same: half of the engines are wanted.
+    // Colocated prompts cost twice as much, so both demands are equal and half of the engines prefill.
     assert!(counts.prefill > 4_700, "{} after {orders}", counts.prefill);
     assert!(counts.prefill <= 4_780, "{} after {orders}", counts.prefill);
 }
 
-/// The pattern of a large fleet with few requests, whatever these are: each change has its price, and
-/// buys nothing.
+/// Changes at low utilization cost availability without reducing queueing.
 #[rstest]
-fn a_fleet_that_is_hardly_used_changes_nothing() {
-    let mut balance = StageBalancer::new(StageBalancerConfig::default());
+fn an_idle_fleet_changes_nothing() {
+    let mut balancer = StageBalancer::new(StageBalancerConfig::default());
     let counts = StageCounts {
         prefill: 3_824,
         decode: 5_736,
@@ -170,39 +172,38 @@
         decode: 0.005,
     };
     let mut now = MonotonicTime::ZERO;
-    for demand in [PROMPTS, TAGS] {
+    for demand in [MOSTLY_DISAGGREGATED, MOSTLY_COLOCATED] {
         for _ in 0..20 {
             now = now + STEP;
-            let shift = balance.decide(now, &demand, counts, StageQueueTimes::default(), idle);
-            assert_eq!(shift, None);
+            let rebalance = balancer.decide(now, &demand, counts, StageQueueTimes::default(), idle);
+            assert_eq!(rebalance, None);
         }
     }
 }
 
 proptest! {
-    /// One engine of each stage stays, and changes are spaced, whatever the demand does.
     #[test]
-    fn changes_are_spaced_and_leave_one_of_each(
+    fn changes_are_spaced_and_leave_an_engine_of_each_stage(
         demands in proptest::collection::vec((0.0..300_000.0_f64, 0.0..300_000.0_f64), 1..30),
         prefill in 1_usize..12,
         decode in 1_usize..12,
     ) {
         let counts = StageCounts { prefill, decode };
         let demand = |now: MonotonicTime| {
-            let place = now.since(MonotonicTime::ZERO).as_secs() as usize / 3;
-            let (disaggregated, colocated) = demands[place % demands.len()];
+            let index = now.since(MonotonicTime::ZERO).as_secs() as usize / 3;
+            let (disaggregated, colocated) = demands[index % demands.len()];
             StageDemand { disaggregated_tokens_per_s: disaggregated, colocated_tokens_per_s: colocated }
         };
-        let changes = play(demand, counts, 300);
+        let changes = run(demand, counts, 300);
         let config = StageBalancerConfig::default();
         let mut left = counts;
-        for (place, (at, change)) in changes.iter().enumerate() {
+        for (index, (at, change)) in changes.iter().enumerate() {
             match change {
                 StageChange::ToPrefill => { left.prefill += 1; left.decode -= 1; }
                 StageChange::ToDecode => { left.prefill -= 1; left.decode += 1; }
             }
             prop_assert!(left.prefill >= 1 && left.decode >= 1);
-            if let Some((before, last)) = place.checked_sub(1).map(|place| changes[place]) {
+            if let Some((before, last)) = index.checked_sub(1).map(|index| changes[index]) {
                 let pause = if last == *change { config.pause } else { config.pause_to_reverse };
                 prop_assert!(at.since(before) >= pause);
             }
--- a/crates/planner/tests/support/mod.rs
+++ b/crates/planner/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the planner's tests share.
+//! Shared helpers of the planner's tests.
 
 use dalestand_planner::PlannerConfig;
 use dalestand_types::{
@@ -8,10 +8,10 @@
 use proptest::prelude::ProptestConfig;
 use proptest::test_runner::{RngAlgorithm, RngSeed};
 
-/// Time between two reports, in milliseconds.
+/// Report interval, in milliseconds.
 pub const REPORT_MS: u64 = 1_000;
 
-/// An engine that has done nothing.
+/// An engine that has not served any request yet.
 pub fn idle_engine(number: usize, mixed: bool) -> EngineLoad {
     let role = match (mixed, number % 2) {
         (true, _) => Role::Mixed,
@@ -35,7 +35,7 @@
     }
 }
 
-/// Settings with a weight of role changes.
+/// Default settings with the given change weight.
 pub fn config(weight: f64) -> PlannerConfig {
     PlannerConfig {
         change_weight: weight,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Fixed seed, no files: the same cases each time.
+/// Deterministic property tests: fixed seed and no persisted failures.
 pub fn cases(count: u32) -> ProptestConfig {
     ProptestConfig {
         cases: count,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The digest of a group; one engine may take no new work.
+/// The digest of a group; the engine at index `drained` accepts no new work.
 pub fn digest(
     group: &GroupId,
     second: u64,
@@ -62,10 +62,10 @@
     drained: Option<usize>,
 ) -> GroupDigest {
     let engines = engines.iter().enumerate();
-    let engines = engines.map(|(place, load)| EngineDigest {
+    let engines = engines.map(|(index, load)| EngineDigest {
         load: load.clone(),
         age_ms: 0,
-        accepting: drained != Some(place),
+        accepting: drained != Some(index),
     });
     GroupDigest {
         group: group.clone(),
