--- a/crates/control/src/action.rs
+++ b/crates/control/src/action.rs
@@ -1,36 +1,35 @@
-//! What the driver is to do.
+//! Actions of a controller, carried out by its driver.
 
 use dalestand_types::{EngineId, Epoch, Order};
 
-/// Numbers the calls of one controller, so that an answer is matched to its call.
+/// Number of a call, unique within a controller, by which answers are matched to calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// One call to one engine.
+/// Identifies one call to one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCall {
-    /// The engine.
+    /// Engine to call.
     pub engine: EngineId,
-    /// The epoch it is made under.
+    /// Lease epoch under which the call is made.
     pub epoch: Epoch,
-    /// Its number.
+    /// Number of the call.
     pub id: CallId,
 }
 
-/// What the driver is to do. Each action's result is reported back, but for
-/// [`Action::ReleaseLease`].
+/// Action for the driver, which reports back the result of each except [`Action::ReleaseLease`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the key-value service for the group's lease.
+    /// Acquire the group's lease from the key-value service.
     AcquireLease,
     /// Renew the lease.
     RenewLease { lease: u64 },
-    /// Give a lease up that is of no use any more, so that it need not run out.
+    /// Release a lease that is no longer used, so that others need not wait for its expiry.
     ReleaseLease { lease: u64 },
-    /// Raise the epoch on an engine and read its order state back.
+    /// Raise the fencing epoch of an engine and read its order state.
     RaiseEpoch { call: EngineCall },
     /// Read an engine's order state.
     ReadOrders { call: EngineCall },
-    /// Give an engine an order.
+    /// Send an order to an engine.
     SendOrder { call: EngineCall, order: Order },
 }
--- a/crates/control/src/candidate.rs
+++ b/crates/control/src/candidate.rs
@@ -1,31 +1,30 @@
-//! Which nodes try to take a group's lease, so that the key-value service is asked by a few nodes
-//! only, however many there are.
+//! Selects the few nodes that try to acquire a group's lease, which keeps the load on the key-value
+//! service independent of the fleet size.
 
 use std::time::Duration;
 
 use dalestand_types::{GroupId, NodeId, ZoneName};
 
-/// Nodes of a zone that try.
-const CANDIDATES_PER_ZONE: usize = 3;
+/// Maximum candidates among the nodes of the group's zone, and again among those of all other zones.
+const MAX_CANDIDATES: usize = 3;
 
-/// Leases in which nothing is heard of a holder before a node of another zone steps in.
-const OTHER_ZONE_LEASES: u32 = 3;
+/// Delay before nodes of other zones try, in lease durations.
+const OTHER_ZONE_DELAY_LEASES: u32 = 3;
 
-/// Parts of a lease by which each candidate waits for the one before it.
+/// Delay between successive candidates, as a divisor of the lease duration.
 const STAGGER_DIVISOR: u32 = 3;
 
-/// A live node.
+/// A live node that may hold a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
 }
 
-/// How long after a group's holder went silent `me` tries to take its lease; `None` if it leaves
-/// that to others. The nodes of the group's zone come first; those of other zones are ranked
-/// among themselves.
+/// Time after the last sign of a group's holder at which `me` tries to acquire the lease; `None` if it
+/// is not a candidate. Nodes of the group's zone try first. Nodes of all other zones share one ranking.
 pub fn acquire_delay(
     group: &GroupId,
     group_zone: &ZoneName,
@@ -40,20 +39,20 @@
         .filter(|other| (other.zone == *group_zone) == in_zone && other.node != me.node)
         .filter(|other| weight(group, &other.node) > mine)
         .count();
-    if rank >= CANDIDATES_PER_ZONE {
+    if rank >= MAX_CANDIDATES {
         return None;
     }
     let stagger = lease / STAGGER_DIVISOR * rank as u32;
-    let step_in = if in_zone {
+    let zone_delay = if in_zone {
         Duration::ZERO
     } else {
-        lease * OTHER_ZONE_LEASES
+        lease * OTHER_ZONE_DELAY_LEASES
     };
-    Some(step_in + stagger)
+    Some(zone_delay + stagger)
 }
 
-/// The node that a planned stop hands a group over to: the first candidate of the group's zone,
-/// or of all nodes where its zone has none.
+/// The node that takes a group over when its holder shuts down: the first candidate of the group's
+/// zone, or of all nodes if that zone has none.
 pub fn successor<'a>(
     group: &GroupId,
     group_zone: &ZoneName,
@@ -63,7 +62,7 @@
     others.iter().max_by_key(preference)
 }
 
-/// Rendezvous weight of a node for a group; the same on every node.
+/// Weight of a node for a group by rendezvous hashing; equal on every node.
 fn weight(group: &GroupId, node: &NodeId) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(group.as_str().as_bytes());
--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,4 +1,4 @@
-//! The controller of one group.
+//! Controller of one engine group.
 
 use std::collections::BTreeMap;
 
@@ -13,27 +13,28 @@
 use crate::engine::EngineControl;
 use crate::lease::{Lease, LeaseGrant};
 
-/// An engine's state as operators see it.
+/// Status of an engine for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineStatus {
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineId,
-    /// Order state, where it was read under the current epoch.
+    /// Order state; `None` until it is read under the current epoch.
     pub orders: Option<EngineOrders>,
 }
 
-/// What a load report says that matters to a controller.
+/// The parts of a load report that a controller uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineObservation {
-    /// The engine's run.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// The role it serves in; `None` while it is out of service.
+    /// Role in which the engine serves; `None` while out of service.
     pub role: Option<Role>,
-    /// Requests it holds, running and waiting.
+    /// Running and waiting requests.
     pub requests: u32,
 }
 
-/// Holds a group's lease and brings its engines to what is desired, one order an engine at a time.
+/// Holds the lease of a group and moves its engines to their desired state, with at most one order in
+/// progress per engine.
 pub struct GroupController {
     group: GroupId,
     revision: Revision,
@@ -45,7 +46,7 @@
 }
 
 impl GroupController {
-    /// A controller without authority.
+    /// A controller without a lease.
     pub fn new(group: GroupId, acquire_not_before: MonotonicTime) -> Self {
         Self {
             group,
@@ -58,12 +59,12 @@
         }
     }
 
-    /// The group.
+    /// Id of the group.
     pub fn group(&self) -> &GroupId {
         &self.group
     }
 
-    /// Sets what the engines are to be.
+    /// Sets the desired state of the engines.
     pub fn set_desired(
         &mut self,
         now: MonotonicTime,
@@ -82,33 +83,34 @@
         self.desired = desired;
     }
 
-    /// The grant, if it is valid at `now`.
+    /// The lease grant, if valid at `now`.
     pub fn grant(&self, now: MonotonicTime) -> Option<&LeaseGrant> {
         self.lease.grant(now)
     }
 
-    /// Whether an attempt to acquire the lease would be made at `now`.
+    /// Whether an attempt to acquire the lease is due at `now`.
     pub fn acquire_due(&self, now: MonotonicTime) -> bool {
         self.lease.acquire_due(now)
     }
 
-    /// No attempt to acquire the lease before `until`: another holder was heard of, or other
-    /// nodes come first.
+    /// Postpones the next attempt to acquire the lease to `until` or later, because another node holds it
+    /// or is to try first.
     pub fn postpone_acquire(&mut self, until: MonotonicTime) {
         self.lease.postpone_acquire(until);
     }
 
-    /// A holder that gives the lease up asks this node to take it at once.
+    /// Makes an attempt to acquire the lease due at once, at the request of its previous holder.
     pub fn acquire_immediately(&mut self) {
         self.lease.acquire_immediately();
     }
 
-    /// Gives authority up in a planned hand-over; not asked for again before `retry_at`.
+    /// Gives up the lease for a planned hand-over and returns its grant. The lease is not acquired again
+    /// before `retry_at`.
     pub fn hand_over(&mut self, retry_at: MonotonicTime) -> Option<LeaseGrant> {
-        self.lease.take(retry_at)
+        self.lease.hand_over(retry_at)
     }
 
-    /// What is known of each engine.
+    /// Status of each engine.
     pub fn statuses(&self) -> Vec<EngineStatus> {
         self.engines
             .iter()
@@ -119,11 +121,11 @@
             .collect()
     }
 
-    /// Yields what is to be done at `now`.
+    /// Returns the actions due at `now`.
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<Action> {
-        if self.unwanted_order_in_doubt() {
-            // Only a higher epoch keeps the engine from taking it later.
-            self.lease.lose(now);
+        if self.has_unwanted_order_in_doubt() {
+            // The engine may still accept the order; only a higher epoch prevents that.
+            self.lease.give_up(now);
         }
         let mut actions = self.lease.tick(now);
         if let Some(grant) = self.lease.grant(now) {
@@ -133,7 +135,7 @@
         actions
     }
 
-    /// The lease was granted. Nothing read under an earlier epoch counts any more.
+    /// Records the grant of the lease. State read under an earlier epoch is discarded.
     pub fn lease_acquired(&mut self, now: MonotonicTime, grant: LeaseGrant) {
         self.lease.acquired(grant);
         for control in self.engines.values_mut() {
@@ -141,27 +143,27 @@
         }
     }
 
-    /// The lease was not granted, or it is unknown whether it was.
+    /// Records that the lease was not granted, or that the outcome is unknown.
     pub fn lease_not_acquired(&mut self, retry_at: MonotonicTime) {
         self.lease.not_acquired(retry_at);
     }
 
-    /// The lease was renewed by a request sent at `sent_at`.
+    /// Records a renewal by a request sent at `sent_at`.
     pub fn lease_renewed(&mut self, lease: u64, sent_at: MonotonicTime) {
         self.lease.renewed(lease, sent_at);
     }
 
-    /// A renewal failed without proof that the lease is gone.
+    /// Records a failed renewal; the lease may still exist.
     pub fn lease_renewal_failed(&mut self, now: MonotonicTime, lease: u64) {
         self.lease.renewal_failed(now, lease);
     }
 
-    /// The service says that a lease is gone.
+    /// Records that a lease no longer exists at the key-value service.
     pub fn lease_gone(&mut self, now: MonotonicTime, lease: u64) {
         self.lease.gone(now, lease);
     }
 
-    /// An engine answered an order or a raised epoch.
+    /// Applies the answer of an engine to an order or a raised epoch.
     pub fn engine_answered(
         &mut self,
         now: MonotonicTime,
@@ -172,55 +174,56 @@
             return;
         }
         if outcome.state().highest_epoch > call.epoch {
-            // Another holder has taken over; only a new, higher epoch can be of use here.
-            self.lease.lose(now);
+            // Another holder has taken over. This node needs a new, higher epoch to continue.
+            self.lease.give_up(now);
             return;
         }
         if let Some(control) = self.engines.get_mut(&call.engine) {
-            control.answered(now, call.id, call.epoch, outcome);
+            control.apply_outcome(now, call.id, call.epoch, outcome);
         }
     }
 
-    /// An engine's order state was read.
+    /// Applies the order state of an engine.
     pub fn engine_read(&mut self, now: MonotonicTime, call: &EngineCall, state: &EngineOrders) {
         if !self.lease.holds_epoch(call.epoch) {
             return;
         }
         if state.highest_epoch > call.epoch {
-            self.lease.lose(now);
+            self.lease.give_up(now);
             return;
         }
         if let Some(control) = self.engines.get_mut(&call.engine) {
-            control.read(now, call.id, call.epoch, state);
+            control.apply_state(now, call.id, call.epoch, state);
         }
     }
 
-    /// An engine gave no answer: whether it took the order is unknown until it is read again.
+    /// Records that an engine did not answer. Whether it accepted an order is unknown until its state is
+    /// read again.
     pub fn engine_failed(&mut self, now: MonotonicTime, call: &EngineCall) {
         if !self.lease.holds_epoch(call.epoch) {
             return;
         }
         if let Some(control) = self.engines.get_mut(&call.engine) {
-            control.failed(now, call.id);
+            control.record_failure(now, call.id);
         }
     }
 
-    /// An engine reported its run and how many requests it holds. A restarted engine is fenced
-    /// and read again; one that drains is watched until it is empty.
+    /// Applies a load report. A restarted engine is fenced and read again; a draining engine is checked
+    /// for remaining requests.
     pub fn engine_reported(
         &mut self,
         now: MonotonicTime,
         engine: &EngineId,
-        seen: &EngineObservation,
+        report: &EngineObservation,
     ) {
         if let Some(control) = self.engines.get_mut(engine) {
-            control.seen_in_run(seen.incarnation);
-            control.reported(now, seen);
+            control.observe_incarnation(report.incarnation);
+            control.apply_report(now, report);
         }
     }
 
-    /// Whether an engine is to take no new work, since an order that interrupts its service is to
-    /// follow or is under way.
+    /// Whether an engine should get no new requests, because an order that interrupts its service is in
+    /// preparation or in progress.
     pub fn is_draining(&self, engine: &EngineId) -> bool {
         self.engines
             .get(engine)
@@ -237,15 +240,15 @@
         actions
     }
 
-    /// Whether `engine` may go out of service: few enough others are, or may be.
+    /// Whether `engine` may go out of service, given how many others are or may be.
     fn may_interrupt(&self, now: MonotonicTime, engine: &EngineId) -> bool {
         let others = self.engines.iter().filter(|(other, _)| *other != engine);
         let changing = others.filter(|(_, control)| control.may_be_changing(now));
         changing.count() < self.max_changes_at_once
     }
 
-    /// Whether an engine may still take an order that is not wanted any more.
-    fn unwanted_order_in_doubt(&self) -> bool {
+    /// Whether an engine may still accept an order that is no longer wanted.
+    fn has_unwanted_order_in_doubt(&self) -> bool {
         self.engines.iter().any(|(engine, control)| {
             let (Some(state), Some(desired)) = (control.state(), self.desired.get(engine)) else {
                 return false;
@@ -270,7 +273,7 @@
         let call = EngineCall { engine, epoch, id };
         let action = match control.state() {
             None => Action::RaiseEpoch { call },
-            Some(_) if control.is_busy() => Action::ReadOrders { call },
+            Some(_) if control.is_executing() => Action::ReadOrders { call },
             Some(state) => {
                 let desired = self.desired.get(&call.engine)?;
                 let Some(command) = next_command(state, desired) else {
@@ -282,15 +285,15 @@
                 } else if !may_interrupt {
                     control.stop_drain();
                     return None;
-                } else if !control.drained_for(&command) {
+                } else if !control.continue_drain(&command) {
                     return None;
                 }
-                let order = control.order(epoch, self.revision, command)?;
+                let order = control.next_order(epoch, self.revision, command)?;
                 Action::SendOrder { call, order }
             }
         };
         self.last_call = id;
-        control.called(id);
+        control.record_call(id);
         Some(action)
     }
 }
--- a/crates/control/src/desired.rs
+++ b/crates/control/src/desired.rs
@@ -1,21 +1,21 @@
-//! What an engine is to be, and the next order towards it.
+//! Desired state of an engine, and the next order towards it.
 
 use dalestand_types::{
     AdapterName, EngineOrders, LoadedModel, ModelName, OrderCommand, Role, Version,
 };
 
-/// A model an engine is to serve.
+/// A model that an engine should serve.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DesiredModel {
-    /// The model.
+    /// Name of the model.
     pub model: ModelName,
     /// Version of its weights.
     pub version: Version,
-    /// Its adapters with their versions.
+    /// Adapters with their versions.
     pub adapters: Vec<(AdapterName, Version)>,
 }
 
-/// What an engine is to be.
+/// Desired state of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DesiredEngine {
     /// Role to serve in.
@@ -24,14 +24,14 @@
     pub models: Vec<DesiredModel>,
 }
 
-/// The next order that brings an engine closer to what is desired.
+/// The next command towards the desired state; `None` if the engine is in that state.
 pub(crate) fn next_command(state: &EngineOrders, desired: &DesiredEngine) -> Option<OrderCommand> {
-    let missing = desired
+    let load = desired
         .models
         .iter()
-        .find_map(|wanted| missing_part(state, wanted));
-    if missing.is_some() {
-        return missing;
+        .find_map(|wanted| load_command(state, wanted));
+    if load.is_some() {
+        return load;
     }
     let unwanted = state.models.iter().find(|loaded| {
         let mut wanted = desired.models.iter();
@@ -44,13 +44,13 @@
     (state.role != Some(desired.role)).then_some(OrderCommand::AssumeRole { role: desired.role })
 }
 
-fn missing_part(state: &EngineOrders, wanted: &DesiredModel) -> Option<OrderCommand> {
+fn load_command(state: &EngineOrders, wanted: &DesiredModel) -> Option<OrderCommand> {
     let loaded = state
         .models
         .iter()
         .find(|loaded| loaded.model == wanted.model);
     match loaded {
-        Some(loaded) if loaded.version == wanted.version => missing_adapter(loaded, wanted),
+        Some(loaded) if loaded.version == wanted.version => load_adapter_command(loaded, wanted),
         _ => Some(OrderCommand::LoadModel {
             model: wanted.model.clone(),
             version: wanted.version.clone(),
@@ -58,7 +58,7 @@
     }
 }
 
-fn missing_adapter(loaded: &LoadedModel, wanted: &DesiredModel) -> Option<OrderCommand> {
+fn load_adapter_command(loaded: &LoadedModel, wanted: &DesiredModel) -> Option<OrderCommand> {
     let (adapter, version) = wanted
         .adapters
         .iter()
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -1,18 +1,18 @@
 //! Draining of an engine before an order that takes it out of service.
 //!
-//! The holder first lets the engine take no new work, which its digests tell the other nodes, and
-//! gives the order only once the engine has reported for a while that it holds no request. Nodes
-//! that have not heard yet still reach an engine that serves. A request that arrives between the
-//! last report and the order is the engine's to finish or to refuse.
+//! The holder first marks the engine as draining in its digests, so that nodes send it no new
+//! requests. It sends the order once the engine has reported for a while that it has no requests.
+//! Until a node receives the digest, its requests still reach a serving engine. The engine itself
+//! finishes or rejects a request that arrives between its last report and the order.
 
 use std::time::Duration;
 
 use dalestand_types::{EngineOrders, MonotonicTime, OrderCommand};
 
-/// For how long an engine must have reported that it holds nothing.
-const QUIET_TIME: Duration = Duration::from_millis(1_000);
+/// How long an engine must report no requests before it counts as drained.
+const MIN_EMPTY_DURATION: Duration = Duration::from_millis(1_000);
 
-/// A drain under way.
+/// A drain in progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Drain {
     empty_since: Option<MonotonicTime>,
@@ -20,27 +20,27 @@
 }
 
 impl Drain {
-    /// Takes a load report in: how many requests the engine held at `now`.
-    pub(crate) fn reported(&mut self, now: MonotonicTime, held: u32) {
+    /// Applies a load report.
+    pub(crate) fn apply_report(&mut self, now: MonotonicTime, requests: u32) {
         self.last_report = Some(now);
-        if held > 0 {
+        if requests > 0 {
             self.empty_since = None;
         } else {
             self.empty_since.get_or_insert(now);
         }
     }
 
-    /// Whether the engine has held nothing for long enough.
+    /// Whether the engine has been empty for [`MIN_EMPTY_DURATION`] according to its reports.
     pub(crate) fn is_done(&self) -> bool {
         let (Some(since), Some(last)) = (self.empty_since, self.last_report) else {
             return false;
         };
-        last.since(since) >= QUIET_TIME
+        last.since(since) >= MIN_EMPTY_DURATION
     }
 }
 
-/// Whether a command stops an engine from serving what it serves now: a change of role, a model
-/// that goes, or a model that is replaced by another version of it.
+/// Whether a command interrupts requests that the engine serves now: a role change, the unloading of a
+/// model or adapter, or the replacement of a model by another version.
 pub(crate) fn interrupts_service(state: &EngineOrders, command: &OrderCommand) -> bool {
     match command {
         OrderCommand::AssumeRole { .. }
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -6,31 +6,31 @@
 
 use crate::action::Action;
 
-/// Share of the time to live that is not counted on, for clocks that run at different speeds.
+/// Safety margin at the end of a lease for clock drift, as a divisor of the time to live.
 const MARGIN_DIVISOR: u32 = 5;
 
-/// Renewals within one time to live.
+/// Renewals per time to live.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Renewals tried again within one time to live after a failure.
+/// Retries of a failed renewal per time to live.
 const RENEWAL_RETRIES_PER_LEASE: u32 = 12;
 
-/// A lease as it was granted.
+/// A granted lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// The platform's number of the lease.
+    /// Lease id at the key-value service.
     pub lease: u64,
-    /// The fencing epoch.
+    /// Fencing epoch.
     pub epoch: Epoch,
-    /// When the request that granted or last renewed it was sent.
+    /// Send time of the request that granted or last renewed the lease.
     pub sent_at: MonotonicTime,
-    /// Its time to live.
+    /// Time to live.
     pub time_to_live: Duration,
 }
 
 impl LeaseGrant {
-    /// Until when the holder may count on the lease. Counted from before the request was sent, so
-    /// that it ends no later than the service's own count.
+    /// End of the time in which the holder may act on the lease. Counted from the sending of the request,
+    /// so that it ends before the lease expires at the service.
     pub fn valid_until(&self) -> MonotonicTime {
         self.sent_at + (self.time_to_live - self.time_to_live / MARGIN_DIVISOR)
     }
@@ -40,44 +40,44 @@
     }
 }
 
-/// Whether the lease is held.
+/// State of the lease at this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Authority {
     /// Not held.
     None,
-    /// Asked for; the answer is awaited.
+    /// Requested; the answer is pending.
     Acquiring,
     /// Held.
     Held(LeaseGrant),
 }
 
-/// The state of one group's lease at one node.
+/// Lease of one group as seen by one node.
 pub(crate) struct Lease {
     authority: Authority,
-    /// Not to be asked for before this time.
+    /// Earliest time of the next attempt to acquire.
     acquire_not_before: MonotonicTime,
-    /// A holder that gives the lease up asked this node to take it.
-    invited: bool,
+    /// Whether the previous holder has asked this node to take over.
+    takeover_requested: bool,
     renewing: bool,
     renew_not_before: MonotonicTime,
-    /// A lease that was lost and is to be given up.
+    /// Id of a lost lease that is still to be released.
     to_release: Option<u64>,
 }
 
 impl Lease {
-    /// Not held, and not to be asked for before a time.
+    /// A lease that is not held, with the earliest time of an attempt to acquire it.
     pub(crate) fn new(acquire_not_before: MonotonicTime) -> Self {
         Self {
             authority: Authority::None,
             acquire_not_before,
-            invited: false,
+            takeover_requested: false,
             renewing: false,
             renew_not_before: MonotonicTime::ZERO,
             to_release: None,
         }
     }
 
-    /// The grant, if it is valid at `now`.
+    /// The grant, if valid at `now`.
     pub(crate) fn grant(&self, now: MonotonicTime) -> Option<&LeaseGrant> {
         match &self.authority {
             Authority::Held(grant) if now < grant.valid_until() => Some(grant),
@@ -85,32 +85,33 @@
         }
     }
 
-    /// Whether the lease is held under `epoch`, valid or not.
+    /// Whether the lease is held under `epoch`, even if its validity has ended.
     pub(crate) fn holds_epoch(&self, epoch: Epoch) -> bool {
         matches!(self.authority, Authority::Held(grant) if grant.epoch == epoch)
     }
 
-    /// Whether an attempt to acquire it would be made at `now`.
+    /// Whether an attempt to acquire the lease is due at `now`.
     pub(crate) fn acquire_due(&self, now: MonotonicTime) -> bool {
-        self.authority == Authority::None && (self.invited || now >= self.acquire_not_before)
+        self.authority == Authority::None
+            && (self.takeover_requested || now >= self.acquire_not_before)
     }
 
-    /// Postpones the next attempt to acquire.
+    /// Postpones the next attempt to acquire to `until` or later.
     pub(crate) fn postpone_acquire(&mut self, until: MonotonicTime) {
         self.acquire_not_before = self.acquire_not_before.max(until);
     }
 
     /// Makes the next attempt due at once.
     pub(crate) fn acquire_immediately(&mut self) {
-        self.invited = true;
+        self.takeover_requested = true;
     }
 
-    /// Yields what is to be done at `now`.
+    /// Returns the actions due at `now`.
     pub(crate) fn tick(&mut self, now: MonotonicTime) -> Vec<Action> {
         if let Authority::Held(grant) = self.authority
             && now >= grant.valid_until()
         {
-            self.lose(now);
+            self.give_up(now);
         }
         let mut actions: Vec<Action> = self
             .to_release
@@ -125,7 +126,7 @@
     fn next_step(&mut self, now: MonotonicTime) -> Option<Action> {
         if self.acquire_due(now) {
             self.authority = Authority::Acquiring;
-            self.invited = false;
+            self.takeover_requested = false;
             return Some(Action::AcquireLease);
         }
         let Authority::Held(grant) = self.authority else {
@@ -139,14 +140,14 @@
         Some(Action::RenewLease { lease: grant.lease })
     }
 
-    /// The lease was granted.
+    /// Records the grant.
     pub(crate) fn acquired(&mut self, grant: LeaseGrant) {
         self.authority = Authority::Held(grant);
         self.renewing = false;
         self.renew_not_before = MonotonicTime::ZERO;
     }
 
-    /// The lease was not granted, or it is unknown whether it was.
+    /// Records that the lease was not granted, or that the outcome is unknown.
     pub(crate) fn not_acquired(&mut self, retry_at: MonotonicTime) {
         if self.authority == Authority::Acquiring {
             self.authority = Authority::None;
@@ -154,7 +155,7 @@
         self.postpone_acquire(retry_at);
     }
 
-    /// The lease was renewed by a request sent at `sent_at`.
+    /// Records a renewal by a request sent at `sent_at`.
     pub(crate) fn renewed(&mut self, lease: u64, sent_at: MonotonicTime) {
         if let Authority::Held(grant) = &mut self.authority
             && grant.lease == lease
@@ -164,7 +165,7 @@
         }
     }
 
-    /// A renewal failed without proof that the lease is gone.
+    /// Records a failed renewal; the lease may still exist.
     pub(crate) fn renewal_failed(&mut self, now: MonotonicTime, lease: u64) {
         if let Authority::Held(grant) = &self.authority
             && grant.lease == lease
@@ -174,16 +175,16 @@
         }
     }
 
-    /// The service says that a lease is gone. An answer about another lease changes nothing.
+    /// Records that a lease no longer exists at the service. Answers about other leases are ignored.
     pub(crate) fn gone(&mut self, now: MonotonicTime, lease: u64) {
         if matches!(self.authority, Authority::Held(grant) if grant.lease == lease) {
-            self.lose(now);
+            self.give_up(now);
             self.to_release = None;
         }
     }
 
-    /// The lease is of no use any more.
-    pub(crate) fn lose(&mut self, now: MonotonicTime) {
+    /// Gives the lease up and schedules its release.
+    pub(crate) fn give_up(&mut self, now: MonotonicTime) {
         if let Authority::Held(grant) = self.authority {
             self.to_release = Some(grant.lease);
             self.authority = Authority::None;
@@ -192,8 +193,8 @@
         self.renewing = false;
     }
 
-    /// Takes the grant out, for a planned hand-over.
-    pub(crate) fn take(&mut self, retry_at: MonotonicTime) -> Option<LeaseGrant> {
+    /// Ends the holding of the lease for a planned hand-over and returns its grant.
+    pub(crate) fn hand_over(&mut self, retry_at: MonotonicTime) -> Option<LeaseGrant> {
         let Authority::Held(grant) = self.authority else {
             return None;
         };
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,8 +1,8 @@
-//! Lease and order state of an engine group's controller.
+//! Controller of an engine group: holds the group's lease and orders roles and models.
 //!
-//! Pure: inputs are method calls with the time they happened at, outputs are [`Action`]s that a
-//! driver carries out. The driver reports each action's result back, with the [`EngineCall`] it
-//! belongs to, so that a late or repeated answer is told from the awaited one.
+//! The controller does no I/O. Inputs are method calls with a time, and outputs are [`Action`]s for a
+//! driver. The driver passes the result of each action back with its [`EngineCall`], so that late or
+//! duplicate answers can be recognized.
 
 mod action;
 mod candidate;
--- a/crates/control/tests/candidates.rs
+++ b/crates/control/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! Which nodes try to take a group's lease.
+//! Selection of the nodes that try to acquire a group's lease.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_silent_group_is_tried_by_a_few_nodes_at_any_fleet_size() {
+fn few_nodes_try_to_acquire_a_lease_at_any_fleet_size() {
     let fleet = fleet();
     let group = GroupId::from("p@z1");
     let zone = ZoneName::from("z1");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_stopping_holder_hands_over_to_the_first_candidate_of_the_zone() {
+fn a_holder_that_shuts_down_hands_over_to_the_first_candidate_of_the_zone() {
     let fleet = fleet();
     let group = GroupId::from("p@z1");
     let zone = ZoneName::from("z1");
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -1,5 +1,5 @@
-//! An order that interrupts an engine's service is given only once the engine has been empty for a
-//! while, and while it drains it is marked as taking no new work.
+//! An order that interrupts service is sent only after the engine has been empty for a while, and the
+//! engine is marked as draining until then.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,9 +13,9 @@
 };
 
 const EPOCH: Epoch = Epoch(7);
-const RUN: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
-/// One holder with engines that were read under its epoch.
+/// A holder that has read the state of its engines under its epoch.
 struct Holder {
     now: MonotonicTime,
     controller: GroupController,
@@ -51,7 +51,7 @@
             })
             .collect();
         for call in calls {
-            let state = served(Role::Mixed, "1");
+            let state = serving_state(Role::Mixed, "1");
             let outcome = OrderOutcome::Accepted { state };
             holder.controller.engine_answered(now, &call, &outcome);
         }
@@ -76,17 +76,17 @@
         self.controller.set_desired(self.now, revision, desired, 1);
     }
 
-    /// Passes time, then takes a report of `requests` requests from each engine; yields the orders
-    /// that follow.
+    /// Advances the clock and applies a report of `requests` requests from each engine. Returns the
+    /// resulting orders.
     fn report(&mut self, after_ms: u64, requests: u32) -> Vec<OrderCommand> {
         self.now = self.now + Duration::from_millis(after_ms);
         for engine in &self.engines {
-            let seen = EngineObservation {
-                incarnation: RUN,
+            let report = EngineObservation {
+                incarnation: INCARNATION,
                 role: Some(Role::Mixed),
                 requests,
             };
-            self.controller.engine_reported(self.now, engine, &seen);
+            self.controller.engine_reported(self.now, engine, &report);
         }
         self.orders()
     }
@@ -108,9 +108,9 @@
     }
 }
 
-fn served(role: Role, version: &str) -> EngineOrders {
+fn serving_state(role: Role, version: &str) -> EngineOrders {
     EngineOrders {
-        incarnation: RUN,
+        incarnation: INCARNATION,
         highest_epoch: EPOCH,
         role: Some(role),
         last: None,
@@ -133,7 +133,7 @@
     assert_eq!(
         holder.report(500, 1),
         [],
-        "a late request starts the wait again"
+        "a late request restarts the wait"
     );
     assert_eq!(holder.report(500, 0), []);
     assert_eq!(holder.report(900, 0), []);
@@ -142,12 +142,12 @@
     assert_eq!(
         holder.draining(),
         1,
-        "it takes no work until the order is done"
+        "no new requests until the order is complete"
     );
 }
 
 #[test]
-fn silence_is_not_emptiness() {
+fn an_engine_without_reports_does_not_count_as_empty() {
     let mut holder = Holder::new(&["e"]);
     holder.desire(Role::Decode, "1");
     assert_eq!(holder.orders(), []);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_drain_ends_when_the_change_is_not_wanted_any_more() {
+fn a_drain_ends_when_the_change_is_no_longer_wanted() {
     let mut holder = Holder::new(&["e"]);
     holder.desire(Role::Decode, "1");
     holder.report(100, 2);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn another_version_of_a_served_model_is_loaded_engine_by_engine() {
+fn a_new_version_of_a_served_model_is_loaded_on_one_engine_at_a_time() {
     let mut holder = Holder::new(&["e1", "e2"]);
     holder.desire(Role::Mixed, "2");
     assert_eq!(holder.orders(), []);
--- a/crates/control/tests/interleavings.rs
+++ b/crates/control/tests/interleavings.rs
@@ -6,24 +6,24 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Steps of one run.
+/// Maximum steps per run.
 const STEPS: usize = 300;
 
-/// Longest pause of the clock in one step, in milliseconds; longer than a lease.
-const MAX_PASS_MS: u16 = 8_000;
+/// Longest advance of the clock in one step, in milliseconds; longer than a lease.
+const MAX_ADVANCE_MS: u16 = 8_000;
 
 fn step() -> impl Strategy<Value = Step> {
-    let place = any::<usize>;
+    let index = any::<usize>;
     prop_oneof![
-        3 => (1..300_u16).prop_map(Step::Pass),
-        2 => (300..MAX_PASS_MS).prop_map(Step::Pass),
+        3 => (1..300_u16).prop_map(Step::Advance),
+        2 => (300..MAX_ADVANCE_MS).prop_map(Step::Advance),
         8 => Just(Step::Round),
         6 => (0..HOLDERS).prop_map(Step::Tick),
-        16 => place().prop_map(Step::Deliver),
-        1 => place().prop_map(Step::Lose),
-        4 => place().prop_map(Step::Delay),
-        1 => place().prop_map(Step::Repeat),
-        4 => place().prop_map(Step::Arrive),
+        16 => index().prop_map(Step::Deliver),
+        1 => index().prop_map(Step::Lose),
+        4 => index().prop_map(Step::Delay),
+        1 => index().prop_map(Step::Duplicate),
+        4 => index().prop_map(Step::ArriveLate),
         1 => (0..HOLDERS).prop_map(Step::Pause),
         2 => (0..HOLDERS).prop_map(Step::Resume),
         5 => (0..ENGINES).prop_map(Step::Finish),
@@ -33,8 +33,8 @@
     ]
 }
 
-/// Fixed cases, or a longer search: `DALESTAND_SEARCH_CASES` and `DALESTAND_SEARCH_SEED` set the
-/// number of cases and the seed.
+/// Fixed cases by default. `DALESTAND_SEARCH_CASES` and `DALESTAND_SEARCH_SEED` set the number of cases
+/// and the seed for a longer search.
 fn config() -> ProptestConfig {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     ProptestConfig {
--- a/crates/control/tests/late_answers.rs
+++ b/crates/control/tests/late_answers.rs
@@ -1,4 +1,4 @@
-//! An answer to an earlier call is told from the awaited one.
+//! A late answer to an earlier call is not taken for the pending one.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 const EPOCH: Epoch = Epoch(5);
 
-/// Longer than the pause after a call that failed, shorter than the lease.
+/// Longer than the retry delay after a failed call, shorter than the lease.
 const LATER: MonotonicTime = MonotonicTime::from_millis(1_000);
 
 fn controller() -> GroupController {
@@ -48,12 +48,12 @@
             | Action::ReadOrders { call }
             | Action::SendOrder { call, .. },
         ] => call.clone(),
-        other => panic!("one call is due: {other:?}"),
+        other => panic!("expected one call: {other:?}"),
     }
 }
 
 #[test]
-fn a_late_answer_does_not_end_the_wait_for_an_order() {
+fn a_late_answer_does_not_complete_a_pending_order() {
     let mut controller = controller();
     let mut engine = OrderBook::new(Incarnation(1), Role::Mixed);
     let first = only_call(&controller.tick(MonotonicTime::ZERO));
@@ -67,5 +67,9 @@
     controller.engine_answered(LATER, &first, &answer);
     controller.engine_failed(LATER, &first);
     let much_later = LATER + Duration::from_secs(1);
-    assert_eq!(controller.tick(much_later), vec![], "still awaited");
+    assert_eq!(
+        controller.tick(much_later),
+        vec![],
+        "the answer is still pending"
+    );
 }
--- a/crates/control/tests/model/faults.rs
+++ b/crates/control/tests/model/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong: messages lost, late or repeated, restarts, and hand-overs.
+//! Faults and hand-overs: lost, delayed and duplicate messages, restarts of engines.
 
 use dalestand_standin::engine::OrderBook;
 use dalestand_types::Role;
@@ -8,8 +8,8 @@
 use super::world::{HOLDERS, World};
 
 impl World {
-    /// What the waiting holder makes of a call that it gives up.
-    pub(super) fn given_up(packet: &Packet) -> Option<Packet> {
+    /// The message that replaces `packet` when its holder stops waiting for the answer.
+    pub(super) fn after_timeout(packet: &Packet) -> Option<Packet> {
         let answer = match packet {
             Packet::Engine(call, _)
             | Packet::Holder(Answer::Engine(call, _) | Answer::Read(call, _)) => {
@@ -34,31 +34,31 @@
         Some(Packet::Holder(answer))
     }
 
-    pub(super) fn lose(&mut self, place: usize) {
+    pub(super) fn lose(&mut self, index: usize) {
         if self.network.is_empty() {
             return;
         }
-        let place = place % self.network.len();
-        let holder = self.network[place].holder;
-        match Self::given_up(&self.network[place].packet) {
-            Some(packet) => self.network[place] = Sent { holder, packet },
-            // A failure that a holder noticed by itself cannot be lost.
-            None if matches!(self.network[place].packet, Packet::Holder(_)) => {}
-            None => drop(self.network.remove(place)),
+        let index = index % self.network.len();
+        let holder = self.network[index].holder;
+        match Self::after_timeout(&self.network[index].packet) {
+            Some(packet) => self.network[index] = Sent { holder, packet },
+            // A failure detected by the holder itself cannot be lost.
+            None if matches!(self.network[index].packet, Packet::Holder(_)) => {}
+            None => drop(self.network.remove(index)),
         }
     }
 
-    pub(super) fn delay(&mut self, place: usize) {
+    pub(super) fn delay(&mut self, index: usize) {
         if self.network.is_empty() {
             return;
         }
-        let place = place % self.network.len();
-        let holder = self.network[place].holder;
-        if matches!(self.network[place].packet, Packet::Holder(_)) {
+        let index = index % self.network.len();
+        let holder = self.network[index].holder;
+        if matches!(self.network[index].packet, Packet::Holder(_)) {
             return;
         }
-        if let Some(packet) = Self::given_up(&self.network[place].packet) {
-            let mut late = self.network.remove(place);
+        if let Some(packet) = Self::after_timeout(&self.network[index].packet) {
+            let mut late = self.network.remove(index);
             if let Packet::KeyValue { abandoned, .. } = &mut late.packet {
                 *abandoned = true;
             }
@@ -67,20 +67,20 @@
         }
     }
 
-    pub(super) fn arrive(&mut self, place: usize) {
+    pub(super) fn arrive_late(&mut self, index: usize) {
         if self.late.is_empty() {
             return;
         }
-        let sent = self.late.remove(place % self.late.len());
+        let sent = self.late.remove(index % self.late.len());
         self.network.push(sent);
         self.deliver(self.network.len() - 1);
     }
 
-    pub(super) fn repeat(&mut self, place: usize) {
+    pub(super) fn duplicate(&mut self, index: usize) {
         if self.network.is_empty() {
             return;
         }
-        let sent = self.network[place % self.network.len()].clone();
+        let sent = self.network[index % self.network.len()].clone();
         if matches!(
             sent.packet,
             Packet::Engine(..) | Packet::Holder(Answer::Engine(..) | Answer::Read(..))
--- a/crates/control/tests/model/key_value.rs
+++ b/crates/control/tests/model/key_value.rs
@@ -1,28 +1,28 @@
-//! The group's record in the key-value service, with its lease.
+//! Model of the key-value service: the group's record and its lease.
 
 use std::time::Duration;
 
 use dalestand_types::{Epoch, MonotonicTime};
 
-/// Time to live of a lease, as holders count it.
+/// Time to live of a lease by the clock of the holders.
 pub const LEASE: Duration = Duration::from_secs(6);
 
-/// The same by the service's clock, which runs a tenth faster.
-const LEASE_AT_SERVICE: Duration = Duration::from_millis(5_400);
+/// Time to live at the service, whose clock runs 10% faster.
+const SERVICE_LEASE: Duration = Duration::from_millis(5_400);
 
 /// The record that names the holder.
 #[derive(Clone, Copy, Debug)]
 pub struct HolderRecord {
-    /// Unique to the write.
+    /// Unique id of the write.
     pub writer: u64,
-    /// The lease it hangs on.
+    /// Lease to which the record is bound.
     pub lease: u64,
-    /// Revision of the write.
+    /// Epoch: the revision of the write.
     pub epoch: Epoch,
     expires: MonotonicTime,
 }
 
-/// The service.
+/// The key-value service.
 #[derive(Default)]
 pub struct KeyValueModel {
     record: Option<HolderRecord>,
@@ -31,7 +31,7 @@
 }
 
 impl KeyValueModel {
-    /// The record, unless its lease has run out.
+    /// The record, unless its lease has expired.
     pub fn record(&self, now: MonotonicTime) -> Option<HolderRecord> {
         self.record.filter(|record| now < record.expires)
     }
@@ -47,21 +47,21 @@
             writer,
             lease: self.next_lease,
             epoch: Epoch(self.revision),
-            expires: now + LEASE_AT_SERVICE,
+            expires: now + SERVICE_LEASE,
         });
         self.record
     }
 
-    /// Renews a lease; `false` if it is gone.
+    /// Renews a lease. Returns `false` if it no longer exists.
     pub fn renew(&mut self, now: MonotonicTime, lease: u64) -> bool {
         let alive = self.record(now).is_some_and(|record| record.lease == lease);
         if let Some(record) = self.record.as_mut().filter(|_| alive) {
-            record.expires = now + LEASE_AT_SERVICE;
+            record.expires = now + SERVICE_LEASE;
         }
         alive
     }
 
-    /// Gives a lease up.
+    /// Deletes a lease and the record bound to it.
     pub fn revoke(&mut self, lease: u64) {
         self.record = self.record.filter(|record| record.lease != lease);
     }
--- a/crates/control/tests/model/mod.rs
+++ b/crates/control/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A model of two or three controllers of one group, their engines, the key-value service and a
-//! network that loses, delays, repeats and reorders.
+//! Model of several controllers of one group, their engines, the key-value service, and a network that
+//! loses, delays, duplicates and reorders messages.
 
 mod faults;
 mod key_value;
--- a/crates/control/tests/model/network.rs
+++ b/crates/control/tests/model/network.rs
@@ -1,4 +1,4 @@
-//! What is under way between holders, engines and the key-value service.
+//! Messages between holders, engines and the key-value service.
 
 use dalestand_control::{EngineCall, LeaseGrant};
 use dalestand_types::{EngineOrders, MonotonicTime, Order, OrderOutcome};
@@ -20,7 +20,7 @@
     Release { lease: u64 },
 }
 
-/// What comes back to a holder.
+/// An answer or failure that reaches a holder.
 #[derive(Clone, Debug)]
 pub enum Answer {
     Engine(EngineCall, OrderOutcome),
@@ -32,11 +32,11 @@
     RenewalFailed { lease: u64 },
 }
 
-/// A message under way, from or to a holder.
+/// A message in transit, from or to a holder.
 #[derive(Clone, Debug)]
 pub enum Packet {
     Engine(EngineCall, EngineRequest),
-    /// With `abandoned` the holder no longer waits for the answer.
+    /// If `abandoned`, the holder no longer waits for the answer.
     KeyValue {
         request: KeyValueRequest,
         abandoned: bool,
@@ -44,7 +44,7 @@
     Holder(Answer),
 }
 
-/// A packet with the holder it is of.
+/// A packet and the holder that sent it or will receive it.
 #[derive(Clone, Debug)]
 pub struct Sent {
     pub holder: usize,
--- a/crates/control/tests/model/services.rs
+++ b/crates/control/tests/model/services.rs
@@ -1,4 +1,4 @@
-//! What engines and the key-value service do with a call, and a holder with an answer.
+//! Delivery of calls to engines and the key-value service, and of answers to holders.
 
 use dalestand_control::{EngineCall, LeaseGrant};
 use dalestand_history::{Event, OrderLogEntry};
@@ -23,7 +23,7 @@
         {
             assert_eq!(
                 before.highest_epoch, order.id.epoch,
-                "an order to an engine that was not read under its epoch"
+                "an engine accepted an order whose epoch was not raised first"
             );
             let order = order.clone();
             self.log(
--- a/crates/control/tests/model/world.rs
+++ b/crates/control/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The world: applies steps and checks after each what must always hold.
+//! State of the model; applies steps and checks invariants after each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,39 +22,40 @@
 /// Engines of the group.
 pub const ENGINES: usize = 3;
 
-/// Most engines out for a role change at once.
+/// Maximum simultaneous role changes.
 const MAX_CHANGES: usize = 1;
 
-/// Rounds without faults after which everything must be as desired.
-const FAIR_ROUNDS: usize = 80;
+/// Fault-free rounds within which all engines must reach their desired state.
+const RECOVERY_ROUNDS: usize = 80;
 
-/// Time that passes in such a round.
-const FAIR_ROUND: Duration = Duration::from_millis(250);
+/// Duration of a round.
+const ROUND_DURATION: Duration = Duration::from_millis(250);
 
-/// An engine that reports for this long that it holds nothing is drained.
+/// Time after which an engine that reports no requests counts as drained.
 const DRAIN_TIME: Duration = Duration::from_secs(1);
 
-/// One step; numbers are taken modulo what there is.
+/// One step of a run. Indices wrap around the number of items.
 #[derive(Clone, Debug)]
 pub enum Step {
-    Pass(u16),
+    /// Advances the clock, in milliseconds.
+    Advance(u16),
     Tick(usize),
     Deliver(usize),
-    /// The message is lost; who waits for its answer gives up.
+    /// A message is lost; the holder that waits for its answer times out.
     Lose(usize),
-    /// Who waits gives up, and the message arrives much later all the same.
+    /// The holder that waits for the answer times out, and the message arrives later.
     Delay(usize),
-    /// A copy of the message arrives much later.
-    Repeat(usize),
+    /// A copy of a message arrives later.
+    Duplicate(usize),
     /// A delayed message or copy arrives.
-    Arrive(usize),
+    ArriveLate(usize),
     Pause(usize),
     Resume(usize),
     Finish(usize),
     Restart(usize),
     Desire(usize),
     HandOver(usize),
-    /// Time passes, every holder that is not paused ticks, and all that is under way arrives.
+    /// A round without faults: time advances, all running holders tick, and all messages are delivered.
     Round,
 }
 
@@ -63,7 +64,7 @@
     pub(super) paused: bool,
 }
 
-/// Everything there is.
+/// Complete state of the model.
 pub struct World {
     pub(super) now: MonotonicTime,
     pub(super) key_value: KeyValueModel,
@@ -87,7 +88,7 @@
 }
 
 impl World {
-    /// Nothing held, every engine fresh.
+    /// No holder, and engines in their initial state.
     pub fn new() -> Self {
         let holder = |_| Holder {
             controller: GroupController::new(GroupId::from("g"), MonotonicTime::ZERO),
@@ -111,18 +112,18 @@
         world
     }
 
-    /// Applies one step and checks the rules.
+    /// Applies one step and checks the invariants.
     pub fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Pass(milliseconds) => {
+            Step::Advance(milliseconds) => {
                 self.now = self.now + Duration::from_millis(u64::from(milliseconds));
             }
             Step::Tick(holder) => self.tick(holder % HOLDERS),
-            Step::Deliver(place) => self.deliver(place),
-            Step::Lose(place) => self.lose(place),
-            Step::Delay(place) => self.delay(place),
-            Step::Repeat(place) => self.repeat(place),
-            Step::Arrive(place) => self.arrive(place),
+            Step::Deliver(index) => self.deliver(index),
+            Step::Lose(index) => self.lose(index),
+            Step::Delay(index) => self.delay(index),
+            Step::Duplicate(index) => self.duplicate(index),
+            Step::ArriveLate(index) => self.arrive_late(index),
             Step::Pause(holder) => self.holders[holder % HOLDERS].paused = true,
             Step::Resume(holder) => self.holders[holder % HOLDERS].paused = false,
             Step::Finish(engine) => self.finish(engine % ENGINES),
@@ -140,7 +141,7 @@
         assert_eq!(fenced(&self.history), Ok(()));
     }
 
-    /// Runs on without faults and checks that every engine becomes what is desired.
+    /// Runs without faults and checks that every engine reaches its desired state.
     pub fn check_recovery(&mut self) {
         for holder in &mut self.holders {
             holder.paused = false;
@@ -151,17 +152,21 @@
         }
         self.converge();
         while !self.late.is_empty() {
-            self.arrive(0);
+            self.arrive_late(0);
             self.check_changes_at_once();
         }
         self.converge();
         let now = self.now;
         let held = self.holders.iter().map(|one| one.controller.grant(now));
-        assert_eq!(held.flatten().count(), 1, "one node holds the group");
+        assert_eq!(
+            held.flatten().count(),
+            1,
+            "one node holds the lease of the group"
+        );
     }
 
     pub(super) fn converge(&mut self) {
-        for _ in 0..FAIR_ROUNDS {
+        for _ in 0..RECOVERY_ROUNDS {
             self.round();
             for engine in 0..ENGINES {
                 self.finish(engine);
@@ -172,12 +177,12 @@
         assert_eq!(
             roles,
             vec![Some(self.role); ENGINES],
-            "every engine as desired"
+            "every engine in its desired role"
         );
     }
 
     pub(super) fn round(&mut self) {
-        self.now = self.now + FAIR_ROUND;
+        self.now = self.now + ROUND_DURATION;
         for holder in 0..HOLDERS {
             self.tick(holder);
         }
@@ -207,13 +212,13 @@
     pub(super) fn report(&mut self, holder: usize, at: MonotonicTime) {
         for (index, book) in self.engines.iter().enumerate() {
             let state = book.state();
-            let seen = EngineObservation {
+            let report = EngineObservation {
                 incarnation: state.incarnation,
                 role: state.role.filter(|_| !book.changes_role()),
                 requests: 0,
             };
             let controller = &mut self.holders[holder].controller;
-            controller.engine_reported(at, &engine_id(index), &seen);
+            controller.engine_reported(at, &engine_id(index), &report);
         }
     }
 
@@ -223,8 +228,8 @@
         }
         self.report(holder, self.now);
         let mut actions = self.holders[holder].controller.tick(self.now);
-        // The engines of this model hold no requests: a drain that has begun is over at once, so
-        // that orders are as frequent as without it.
+        // Engines of this model have no requests. Reports complete each drain at once, so that orders
+        // are frequent.
         self.report(holder, self.now);
         self.report(holder, self.now + DRAIN_TIME);
         actions.extend(self.holders[holder].controller.tick(self.now));
@@ -251,25 +256,29 @@
             Action::RaiseEpoch { call } => Packet::Engine(call, EngineRequest::RaiseEpoch),
             Action::ReadOrders { call } => Packet::Engine(call, EngineRequest::ReadOrders),
             Action::SendOrder { call, order } => {
-                self.check_lease_lives(&order);
+                self.check_lease_valid(&order);
                 Packet::Engine(call, EngineRequest::SendOrder(order))
             }
         }
     }
 
-    /// An order is given only while the service, too, counts the lease as alive.
-    pub(super) fn check_lease_lives(&self, order: &Order) {
+    /// An order may be sent only while the lease is also valid at the service.
+    pub(super) fn check_lease_valid(&self, order: &Order) {
         let record = self.key_value.record(self.now);
         let epoch = record.map(|record| record.epoch);
-        assert_eq!(epoch, Some(order.id.epoch), "an order without a lease");
+        assert_eq!(
+            epoch,
+            Some(order.id.epoch),
+            "an order was sent without a valid lease"
+        );
     }
 
-    pub(super) fn deliver(&mut self, place: usize) {
+    pub(super) fn deliver(&mut self, index: usize) {
         if self.network.is_empty() {
             return;
         }
-        let place = place % self.network.len();
-        let Sent { holder, packet } = self.network.remove(place);
+        let index = index % self.network.len();
+        let Sent { holder, packet } = self.network.remove(index);
         if matches!(packet, Packet::Holder(_)) && self.holders[holder].paused {
             self.network.push(Sent { holder, packet });
             return;
--- a/crates/control/tests/orders_in_doubt.rs
+++ b/crates/control/tests/orders_in_doubt.rs
@@ -1,5 +1,5 @@
-//! An order that was given up for lost may still be taken: it counts as a role change, and is fenced
-//! off by a higher epoch once it is not wanted any more.
+//! An order without an answer may still be accepted by the engine. It counts as a role change, and it
+//! is fenced off by a higher epoch once it is no longer wanted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,15 +15,15 @@
 
 const EPOCH: Epoch = Epoch(5);
 const LEASE: u64 = 1;
-const RUN: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
-/// Time between two looks; longer than the pause after a failed call.
+/// Time per step; longer than the retry delay after a failed call.
 const STEP: Duration = Duration::from_millis(600);
 
-/// Looks after which a drain of an empty engine is over.
+/// Steps within which the drain of an empty engine completes.
 const DRAIN_STEPS: usize = 4;
 
-/// One holder of two empty engines, which answer everything but orders.
+/// A holder of two empty engines that answer all calls except orders.
 struct Holder {
     now: MonotonicTime,
     controller: GroupController,
@@ -33,7 +33,7 @@
 impl Holder {
     fn new() -> Self {
         let now = MonotonicTime::ZERO;
-        let book = || OrderBook::new(RUN, Role::Mixed);
+        let book = || OrderBook::new(INCARNATION, Role::Mixed);
         let engines = ["e1", "e2"].map(|name| (EngineId::from(name), book()));
         let mut holder = Self {
             now,
@@ -53,7 +53,7 @@
         holder
     }
 
-    /// What each engine is to be: its role, and whether it is to serve a model.
+    /// Sets the desired state of each engine: its role, and whether it serves a model.
     fn desire(&mut self, desired: &[(&str, Role, bool)]) {
         let desired = desired.iter().map(|(engine, role, serves)| {
             let model = DesiredModel {
@@ -70,17 +70,17 @@
             .set_desired(self.now, Revision(1), desired, 1);
     }
 
-    /// Passes time, takes a report of each engine, and answers every call but orders. Yields the
-    /// orders and the other actions.
+    /// Advances the clock, applies a report of each engine and answers all calls except orders. Returns
+    /// the orders and the other actions.
     fn step(&mut self) -> (Vec<(EngineCall, Order)>, Vec<Action>) {
         self.now = self.now + STEP;
         for engine in self.engines.keys() {
-            let seen = EngineObservation {
-                incarnation: RUN,
+            let report = EngineObservation {
+                incarnation: INCARNATION,
                 role: Some(Role::Mixed),
                 requests: 0,
             };
-            self.controller.engine_reported(self.now, engine, &seen);
+            self.controller.engine_reported(self.now, engine, &report);
         }
         let (mut orders, mut others) = (Vec::new(), Vec::new());
         for action in self.controller.tick(self.now) {
@@ -97,17 +97,17 @@
         (orders, others)
     }
 
-    /// Goes on until an order is given.
+    /// Runs until an order is sent.
     fn next_order(&mut self) -> (EngineCall, Order) {
         for _ in 0..DRAIN_STEPS {
             if let Some(order) = self.step().0.pop() {
                 return order;
             }
         }
-        panic!("no order was given")
+        panic!("no order was sent")
     }
 
-    /// Gives the last order to `e1` up for lost, and reads the engine again.
+    /// Records the next order, a role change of `e1`, as failed, and returns it.
     fn lose_role_order(&mut self) -> Order {
         let (call, order) = self.next_order();
         assert_eq!(call.engine, EngineId::from("e1"));
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn an_order_in_doubt_is_given_again_under_its_own_id() {
+fn an_order_in_doubt_is_resent_with_the_same_id() {
     let mut holder = Holder::new();
     holder.desire(&[("e1", Role::Decode, false), ("e2", Role::Mixed, false)]);
     let lost = holder.lose_role_order();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn an_order_in_doubt_that_is_not_wanted_any_more_is_fenced_off() {
+fn an_unwanted_order_in_doubt_is_fenced_off() {
     let mut holder = Holder::new();
     holder.desire(&[("e1", Role::Decode, false), ("e2", Role::Mixed, false)]);
     holder.lose_role_order();
@@ -142,8 +142,8 @@
     let mut holder = Holder::new();
     holder.desire(&[("e1", Role::Decode, false), ("e2", Role::Mixed, false)]);
     holder.lose_role_order();
-    // The engine is now to load a model first, which interrupts nothing, while the lost order may
-    // still be taken before that.
+    // The engine should now load a model first, which does not interrupt service, but it may still
+    // accept the lost order before that.
     holder.desire(&[("e1", Role::Decode, true), ("e2", Role::Decode, false)]);
     let other = EngineId::from("e2");
     for _ in 0..DRAIN_STEPS {
