--- a/crates/decision/src/explanation.rs
+++ b/crates/decision/src/explanation.rs
@@ -1,4 +1,4 @@
-//! Plain accounts of decisions, for people.
+//! Explanations of decisions, as text for operators.
 
 use std::fmt::Write as _;
 
@@ -8,7 +8,7 @@
     AttemptOutcome, AttemptRecord, Candidate, Exclusion, RequestRecord, RequestTerms, RoleRecord,
 };
 
-/// A plain account of what was decided about a request.
+/// Explains the decisions about a request.
 pub fn request_explanation(record: &RequestRecord) -> String {
     let mut text = format!(
         "request {} for model {} under configuration {}",
@@ -17,10 +17,10 @@
     if let Some(tenant) = &record.tenant {
         let _ = write!(text, ", tenant {tenant}");
     }
-    text.push_str(&account_of_terms(&record.terms));
+    text.push_str(&terms_text(&record.terms));
     text.push('\n');
     for (number, attempt) in record.attempts.iter().enumerate() {
-        text.push_str(&account_of_attempt(number + 1, attempt));
+        text.push_str(&attempt_text(number + 1, attempt));
     }
     if let Some(decision) = &record.no_engine {
         let _ = writeln!(
@@ -28,7 +28,7 @@
             "  no engine after {} ms: {}; to come back in {} ms",
             decision.after_ms, decision.reason, decision.retry_after_ms
         );
-        text.push_str(&account_of_candidates(&decision.candidates));
+        text.push_str(&candidates_text(&decision.candidates));
     }
     if let Some(refusal) = &record.refusal {
         let _ = writeln!(text, "  refused: {refusal}");
@@ -42,7 +42,7 @@
     text
 }
 
-fn account_of_terms(terms: &RequestTerms) -> String {
+fn terms_text(terms: &RequestTerms) -> String {
     let mut text = String::new();
     if let Some(class) = &terms.class {
         let _ = write!(text, ", class {class}");
@@ -54,23 +54,23 @@
     text
 }
 
-fn account_of_attempt(number: usize, attempt: &AttemptRecord) -> String {
+fn attempt_text(number: usize, attempt: &AttemptRecord) -> String {
     let mut text = format!(
         "  attempt {number} after {} ms: {}engine {} ({})\n",
         attempt.after_ms,
-        placement_words(attempt.placement),
+        placement_text(attempt.placement),
         attempt.engine,
-        outcome_words(&attempt.outcome)
+        outcome_text(&attempt.outcome)
     );
-    text.push_str(&account_of_candidates(&attempt.candidates));
+    text.push_str(&candidates_text(&attempt.candidates));
     text
 }
 
-fn account_of_candidates(candidates: &[Candidate]) -> String {
+fn candidates_text(candidates: &[Candidate]) -> String {
     let mut text = String::new();
     for candidate in candidates {
         let verdict = match (candidate.score, candidate.exclusion) {
-            (_, Some(exclusion)) => format!("left out: {}", exclusion_words(exclusion)),
+            (_, Some(exclusion)) => format!("left out: {}", exclusion_text(exclusion)),
             (Some(score), None) => format!("score {score:.1} ms"),
             (None, None) => "not scored".to_owned(),
         };
@@ -83,7 +83,7 @@
     text
 }
 
-fn exclusion_words(exclusion: Exclusion) -> &'static str {
+fn exclusion_text(exclusion: Exclusion) -> &'static str {
     match exclusion {
         Exclusion::Leaving => "leaving or drained",
         Exclusion::OutOfService => "out of service for a role change",
@@ -95,7 +95,7 @@
     }
 }
 
-fn placement_words(placement: Placement) -> &'static str {
+fn placement_text(placement: Placement) -> &'static str {
     match placement {
         Placement::Whole => "",
         Placement::PrefillOnly => "prompt on ",
@@ -103,7 +103,7 @@
     }
 }
 
-fn outcome_words(outcome: &AttemptOutcome) -> String {
+fn outcome_text(outcome: &AttemptOutcome) -> String {
     match outcome {
         AttemptOutcome::Running => "running".to_owned(),
         AttemptOutcome::Prefilled => "prompt run, cache held for export".to_owned(),
@@ -114,7 +114,7 @@
     }
 }
 
-/// A plain account of a role decision.
+/// Explains a role decision.
 pub fn role_change_explanation(record: &RoleRecord) -> String {
     let from = record
         .from
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decision records and their plain account.
+//! Records of routing and role decisions, and explanations of them for operators.
 //!
-//! Every decision leaves a typed record: what, when, on what information and how old that was,
-//! the candidates and their scores, the configuration it was made under, and what came of it.
+//! A record holds the decision, its time and outcome, the configuration revision, the age of the
+//! information used, and, for routing decisions, the candidates with their scores.
 
 mod explanation;
 mod record;
--- a/crates/decision/src/record.rs
+++ b/crates/decision/src/record.rs
@@ -1,4 +1,4 @@
-//! Typed records of decisions.
+//! Types of decision records.
 
 use dalestand_types::{
     AttemptId, EngineId, Epoch, GroupId, ModelName, OrderId, Placement, Priority, RequestId,
@@ -6,146 +6,146 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Why an engine was no candidate.
+/// Why an engine was excluded from a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Exclusion {
-    /// The machine list or the holder says that it is leaving or drained.
+    /// Leaving or drained, according to the engine list or the group's holder.
     Leaving,
     /// Out of service for a role change.
     OutOfService,
-    /// Its role does not run the phase asked for.
+    /// The role does not run the requested phase.
     WrongRole,
     /// The model or adapter is not loaded.
     NotLoaded,
-    /// No room, as far as is known.
+    /// No free capacity, as far as known.
     Full,
-    /// Tried before for this request.
+    /// Already tried for this request.
     AlreadyTried,
-    /// Nothing was heard of it for too long.
+    /// The last report is too old.
     Silent,
 }
 
-/// One engine that was looked at.
+/// An engine considered in a decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Candidate {
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineId,
-    /// Its score, lower is better; in milliseconds of expected delay.
+    /// Expected delay in milliseconds; lower is better. `None` if the engine was not scored.
     pub score: Option<f64>,
-    /// Why it was left out.
+    /// Why the engine was excluded, if it was.
     pub exclusion: Option<Exclusion>,
-    /// Age of what was known of it, in milliseconds.
+    /// Age of the information about the engine, in milliseconds.
     pub information_age_ms: u64,
 }
 
-/// What came of one attempt.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum AttemptOutcome {
     /// Still running.
     Running,
-    /// The prompt ran and its KV cache is held for another engine.
+    /// Prefill is complete and the KV cache is kept for transfer to another engine.
     Prefilled,
-    /// The whole answer was delivered.
+    /// The full answer was delivered.
     Complete { tokens: u32 },
-    /// It did not run there.
+    /// The engine did not run the request.
     NotRun { reason: String },
-    /// It may have run.
+    /// The engine may have run the request.
     Unknown { reason: String },
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled { tokens: u32 },
 }
 
 /// One attempt to serve a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRecord {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// When it was decided, in milliseconds after the request came in.
+    /// Time of the decision, in milliseconds after the request arrived.
     pub after_ms: u64,
-    /// The engine chosen.
+    /// Selected engine.
     pub engine: EngineId,
-    /// What the engine was to do.
+    /// Phases assigned to the engine.
     pub placement: Placement,
-    /// The engines looked at.
+    /// Engines considered.
     pub candidates: Vec<Candidate>,
-    /// What came of it.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
 }
 
-/// Terms under which a request is served.
+/// Class, priority and deadlines of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestTerms {
-    /// Its class, where it has one.
+    /// Class of the request, if any.
     pub class: Option<String>,
-    /// Its importance.
+    /// Priority of the request.
     pub priority: Priority,
-    /// Time it had to the first token when it came in, in milliseconds.
+    /// Time to the first token allowed on arrival, in milliseconds.
     pub first_token_ms: Option<u64>,
-    /// Time it had to the end of the answer when it came in, in milliseconds.
+    /// Time to the end of the answer allowed on arrival, in milliseconds.
     pub deadline_ms: Option<u64>,
 }
 
-/// A decision that no engine takes a request.
+/// A decision that no engine can serve a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NoEngineRecord {
-    /// When it was decided, in milliseconds after the request came in.
+    /// Time of the decision, in milliseconds after the request arrived.
     pub after_ms: u64,
-    /// Why.
+    /// Reason for the decision.
     pub reason: String,
-    /// When the caller was told to come back, in milliseconds.
+    /// Retry delay given to the caller, in milliseconds.
     pub retry_after_ms: u64,
-    /// The engines looked at.
+    /// Engines considered.
     pub candidates: Vec<Candidate>,
 }
 
-/// The decisions about one request.
+/// Decisions about one request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRecord {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// When it came in, in milliseconds since 1970, for people to read.
+    /// Arrival time, in milliseconds since the Unix epoch; for display only.
     pub unix_ms: u64,
-    /// Configuration it was decided under.
+    /// Configuration revision in effect.
     pub revision: Revision,
-    /// The model asked for.
+    /// Requested model.
     pub model: ModelName,
-    /// On whose behalf.
+    /// Tenant of the request, if any.
     pub tenant: Option<TenantName>,
-    /// On what terms.
+    /// Class, priority and deadlines.
     pub terms: RequestTerms,
-    /// The attempts, oldest first.
+    /// Attempts, oldest first.
     pub attempts: Vec<AttemptRecord>,
-    /// The decision that no engine takes it, if that was its end.
+    /// The final decision that no engine can serve the request, if it was made.
     pub no_engine: Option<NoEngineRecord>,
-    /// Why it was refused, if it was.
+    /// Reason for the rejection, if it was rejected.
     pub refusal: Option<String>,
-    /// What is known of whether it ran; `None` while it runs.
+    /// Whether the request ran, as far as known; `None` while it is running.
     pub run_state: Option<RunState>,
 }
 
 /// A decision to change an engine's role.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoleRecord {
-    /// The engine.
+    /// Name of the engine.
     pub engine: EngineId,
-    /// Its group.
+    /// Group of the engine.
     pub group: GroupId,
-    /// The order given.
+    /// Id of the order.
     pub order: OrderId,
-    /// When, in milliseconds since 1970, for people to read.
+    /// Time of the decision, in milliseconds since the Unix epoch; for display only.
     pub unix_ms: u64,
-    /// Epoch of the lease.
+    /// Lease epoch of the order.
     pub epoch: Epoch,
-    /// Configuration it was decided under.
+    /// Configuration revision in effect.
     pub revision: Revision,
-    /// Role before.
+    /// Previous role; `None` if out of service.
     pub from: Option<Role>,
-    /// Role ordered.
+    /// Ordered role.
     pub to: Role,
     /// Age of the oldest load report used, in milliseconds.
     pub information_age_ms: u64,
-    /// Why, in words.
+    /// Reason, as text.
     pub reason: String,
 }
--- a/crates/decision/src/ring.rs
+++ b/crates/decision/src/ring.rs
@@ -1,4 +1,4 @@
-//! A bounded memory of records.
+//! Bounded in-memory store of decision records.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -6,7 +6,7 @@
 
 use crate::{RequestRecord, RoleRecord};
 
-/// Keeps the newest records and drops the oldest.
+/// Ring buffer of the newest request and role records.
 #[derive(Debug)]
 pub struct DecisionRing {
     capacity: usize,
@@ -16,7 +16,7 @@
 }
 
 impl DecisionRing {
-    /// A ring that keeps `capacity` records of each kind.
+    /// A ring that keeps up to `capacity` records of each kind.
     pub fn new(capacity: usize) -> Self {
         let order = VecDeque::new();
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Adds a request's record, or replaces the one it had.
+    /// Adds or replaces the record of a request.
     pub fn put_request(&mut self, record: RequestRecord) {
         let request = record.request;
         if self.requests.insert(request, record).is_some() {
@@ -41,19 +41,19 @@
         }
     }
 
-    /// Changes a request's record if it is still kept.
+    /// Updates the record of a request if it is still kept.
     pub fn update_request(&mut self, request: RequestId, change: impl FnOnce(&mut RequestRecord)) {
         if let Some(record) = self.requests.get_mut(&request) {
             change(record);
         }
     }
 
-    /// The record of a request.
+    /// The record of a request, if it is still kept.
     pub fn request(&self, request: RequestId) -> Option<&RequestRecord> {
         self.requests.get(&request)
     }
 
-    /// Adds a role decision.
+    /// Adds a role record.
     pub fn put_role(&mut self, record: RoleRecord) {
         self.roles.push_back(record);
         if self.roles.len() > self.capacity {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Role decisions about one engine, oldest first.
+    /// Role records of an engine, oldest first.
     pub fn roles_of(&self, engine: &EngineId) -> Vec<RoleRecord> {
         self.roles
             .iter()
--- a/crates/decision/tests/account.rs
+++ b/crates/decision/tests/account.rs
@@ -1,4 +1,4 @@
-//! What the accounts tell.
+//! Explanations of decisions contain the figures that operators need.
 
 use dalestand_decision::{
     AttemptOutcome, AttemptRecord, Candidate, Exclusion, NoEngineRecord, RequestRecord,
@@ -18,7 +18,7 @@
     }
 }
 
-fn left_out(engine: &str, exclusion: Exclusion) -> Candidate {
+fn excluded(engine: &str, exclusion: Exclusion) -> Candidate {
     Candidate {
         engine: EngineId::from(engine),
         score: None,
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_account_names_the_candidates_their_scores_and_the_age_of_what_was_known() {
+fn an_explanation_names_the_candidates_their_scores_and_the_age_of_information() {
     let mut record = record();
     record.attempts.push(AttemptRecord {
         attempt: AttemptId(1),
@@ -51,7 +51,7 @@
         engine: EngineId::from("engine-2"),
         placement: Placement::PrefillOnly,
         candidates: vec![
-            left_out("engine-1", Exclusion::Leaving),
+            excluded("engine-1", Exclusion::Leaving),
             scored("engine-2", 812.25),
         ],
         outcome: AttemptOutcome::Prefilled,
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_account_of_a_refusal_tells_why_and_when_to_come_back() {
+fn an_explanation_of_a_rejection_names_the_reason_and_the_retry_delay() {
     let mut record = record();
     record.no_engine = Some(NoEngineRecord {
         after_ms: 1,
@@ -78,7 +78,7 @@
         retry_after_ms: 6_500,
         candidates: vec![
             scored("engine-2", 9_300.0),
-            left_out("engine-3", Exclusion::Full),
+            excluded("engine-3", Exclusion::Full),
         ],
     });
     record.run_state = Some(RunState::NotRun);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn an_account_of_a_role_change_names_order_epoch_configuration_and_reason() {
+fn an_explanation_of_a_role_change_names_order_epoch_configuration_and_reason() {
     let text = role_change_explanation(&RoleRecord {
         engine: EngineId::from("engine-2"),
         group: GroupId::from("caption-llm@duluth-vault"),
--- a/crates/planner/src/evaluation.rs
+++ b/crates/planner/src/evaluation.rs
@@ -69,14 +69,10 @@
 }
 
 impl Evaluation<'_> {
-    /// The composition with the highest net gain; `None` if no change is worth its cost. `remaining` is how
+    /// The composition with the highest net gain; `None` if no change is worth its cost. `period` is how
     /// long the current mix is expected to last.
-    pub(crate) fn best_proposal(
-        &self,
-        current: Composition,
-        remaining: Duration,
-    ) -> Option<Proposal> {
-        let mix_s = remaining.as_secs_f64().min(HORIZON_S);
+    pub(crate) fn best_proposal(&self, current: Composition, period: Duration) -> Option<Proposal> {
+        let mix_s = period.as_secs_f64().min(HORIZON_S);
         let before = self.served_shares(&current);
         let mut best: Option<Proposal> = None;
         for target in self.compositions(&current) {
