--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -20,7 +20,6 @@
 }
 
 impl Drain {
-    /// Applies a load report.
     pub(crate) fn apply_report(&mut self, now: MonotonicTime, requests: u32) {
         self.last_report = Some(now);
         if requests > 0 {
--- a/crates/control/src/engine.rs
+++ b/crates/control/src/engine.rs
@@ -93,12 +93,10 @@
         self.state.as_ref()
     }
 
-    /// Whether a call may be made at `now`.
     pub(crate) fn may_call(&self, now: MonotonicTime) -> bool {
         self.pending_call.is_none() && now >= self.not_before
     }
 
-    /// Records a call.
     pub(crate) fn record_call(&mut self, call: CallId) {
         self.pending_call = Some(call);
     }
@@ -186,7 +184,6 @@
         }
     }
 
-    /// Applies an order state.
     pub(crate) fn apply_state(
         &mut self,
         now: MonotonicTime,
@@ -229,7 +226,6 @@
         self.not_before = now + CALL_RETRY_DELAY;
     }
 
-    /// Applies a load report.
     pub(crate) fn apply_report(&mut self, now: MonotonicTime, report: &EngineObservation) {
         if let Some(drain) = &mut self.drain {
             drain.apply_report(now, report.requests);
--- a/crates/control/tests/model/key_value.rs
+++ b/crates/control/tests/model/key_value.rs
@@ -22,7 +22,6 @@
     expires: MonotonicTime,
 }
 
-/// The key-value service.
 #[derive(Default)]
 pub struct KeyValueModel {
     record: Option<HolderRecord>,
--- a/crates/planner/src/engine_scaling/decision.rs
+++ b/crates/planner/src/engine_scaling/decision.rs
@@ -67,7 +67,7 @@
     pub standing: BTreeMap<ZoneName, ZoneEngines>,
     /// Target engine counts; `None` to leave the counts as they are.
     pub targets: Option<EngineTargets>,
-    /// Price of the targets, in on-demand engines.
+    /// Price of the targets, as a number of on-demand engines at the usual price.
     pub cost: f64,
 }
 
--- a/crates/planner/src/engine_scaling/losses.rs
+++ b/crates/planner/src/engine_scaling/losses.rs
@@ -1,4 +1,5 @@
-//! Tracks reclamations of spot engines: how often they happen, how many zones at once, and how long they last.
+//! Tracks losses of spot engines: how often they happen, how many zones at once, and how long they last. A loss is the
+//! reclamation of most spot engines of a zone by the platform.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 /// Fewest engines that count as a loss.
 const MIN_LOST_ENGINES: u32 = 2;
 
-/// Longest interval between two observations that is counted as observed.
+/// Longer gaps between two observations do not count as observation time.
 const MAX_OBSERVATION_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Spot engines of one zone.
--- a/crates/planner/src/engine_scaling/plan.rs
+++ b/crates/planner/src/engine_scaling/plan.rs
@@ -29,7 +29,7 @@
 /// Engines by zone.
 type Counts = BTreeMap<ZoneName, u32>;
 
-/// Planner of engine counts for one decision.
+/// Plans the engine counts for one decision.
 pub(super) struct DemandPlan<'a> {
     pub(super) inputs: &'a ScalingInputs<'a>,
     pub(super) need: NeedEstimate,
--- a/crates/planner/src/engine_state.rs
+++ b/crates/planner/src/engine_state.rs
@@ -129,7 +129,6 @@
         self.load.role
     }
 
-    /// Whether the engine accepts new work.
     pub(crate) fn accepting(&self) -> bool {
         self.accepting
     }
@@ -146,7 +145,6 @@
         self.load.running + self.load.waiting
     }
 
-    /// Age of the last report.
     pub(crate) fn age(&self, now: MonotonicTime) -> Duration {
         now.since(self.reported_at)
     }
--- a/crates/planner/src/speeds.rs
+++ b/crates/planner/src/speeds.rs
@@ -191,7 +191,7 @@
                 *value -= row_gain * column_gain / denominator;
             }
         }
-        // Adds drift, but keeps a parameter that no sample covers at the variance of the prior.
+        // Speeds drift over time, so the variance grows again, up to that of the prior.
         for index in 0..self.covariance.len() {
             let variance = &mut self.covariance[index][index];
             if *variance < PRIOR_VARIANCE {
--- a/crates/planner/src/stage_balancer.rs
+++ b/crates/planner/src/stage_balancer.rs
@@ -11,7 +11,7 @@
 use dalestand_types::MonotonicTime;
 
 /// Cost of prefilling a prompt on a decode engine, relative to a prefill engine.
-const COLOCATED_FACTOR: f64 = 2.0;
+const COLOCATED_PREFILL_COST: f64 = 2.0;
 
 /// Maximum fraction of prefill engines. The rest is reserved for decoding, which is not part of the
 /// demand in prompt tokens.
@@ -210,7 +210,7 @@
 /// Target number of prefill engines; `None` without demand.
 fn target_prefill(demand: &StageDemand, counts: StageCounts) -> Option<f64> {
     let prefill = demand.disaggregated_tokens_per_s.sqrt();
-    let decode = (demand.colocated_tokens_per_s * COLOCATED_FACTOR).sqrt();
+    let decode = (demand.colocated_tokens_per_s * COLOCATED_PREFILL_COST).sqrt();
     let all = (counts.prefill + counts.decode) as f64;
     let weight = prefill + decode;
     let share = (prefill / weight).min(MAX_PREFILL_SHARE);
--- a/crates/planner/tests/engines_by_demand.rs
+++ b/crates/planner/tests/engines_by_demand.rs
@@ -24,7 +24,7 @@
 };
 const BOOT: Duration = Duration::from_secs(4);
 /// Retention time of idle spot engines with these settings: boot time divided by price.
-const SPOT_KEPT_S: f64 = 16.0;
+const SPOT_RETENTION_S: f64 = 16.0;
 /// Interval between decisions.
 const TICK_MS: u64 = 250;
 
@@ -116,7 +116,7 @@
     fleet.run(20.0, |_| 30.0);
     let under_load = fleet.total();
     assert!(under_load >= 60, "utilization of one half: {under_load}");
-    fleet.run(SPOT_KEPT_S - 2.0, |_| 5.0);
+    fleet.run(SPOT_RETENTION_S - 2.0, |_| 5.0);
     assert_eq!(fleet.total(), under_load, "the load may return");
     fleet.run(6.0, |_| 5.0);
     assert!((10..=15).contains(&fleet.total()), "{:?}", fleet.serving);
@@ -125,11 +125,11 @@
 #[rstest]
 fn engines_are_kept_between_periodic_peaks() {
     let mut fleet = Fleet::new();
-    let wave = |at_ms: u64| if at_ms % 10_000 < 3_000 { 25.0 } else { 5.0 };
+    let load = |at_ms: u64| if at_ms % 10_000 < 3_000 { 25.0 } else { 5.0 };
     let mut totals = BTreeSet::new();
     for _ in 0..400 {
         let at_ms = fleet.at_ms;
-        fleet.run(0.25, |_| wave(at_ms));
+        fleet.run(0.25, |_| load(at_ms));
         if fleet.at_ms > 40_000 {
             totals.insert(fleet.total());
         }
