--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -17,7 +17,7 @@
 
 use crate::context::Context;
 use crate::roles::authority::{Authority, while_held};
-use crate::serve::engine_call::call;
+use crate::serve::engine_call::call_engine;
 
 /// How often the demand is looked at.
 const LOOK_INTERVAL: Duration = Duration::from_millis(500);
@@ -158,7 +158,7 @@
 ) -> StageUtilization {
     let router = context.router.borrow();
     let token_s = |stage| {
-        let speeds = &router.speeds;
+        let speeds = &router.prefill_speeds;
         speeds.usual_s(stage, 1.0) - speeds.usual_s(stage, 0.0)
     };
     let decode = || {
@@ -188,7 +188,8 @@
         let queued: Vec<f64> = of_stage
             .map(|engine| {
                 let unread = router.work.total(engine.key).unread_tokens as f64;
-                let prefill_s = |tokens| router.speeds.expected_s(engine.key, wanted, tokens);
+                let prefill_s =
+                    |tokens| router.prefill_speeds.expected_s(engine.key, wanted, tokens);
                 prefill_s(unread) - prefill_s(0.0)
             })
             .collect();
@@ -227,7 +228,7 @@
         },
     };
     let (head, body) = context.dialect.stage_order(&order);
-    let sent = call(context, pool, engine, head, body);
+    let sent = call_engine(context, pool, engine, head, body);
     let answered = while_held(authority, mandate.token, || context.now(), sent).await;
     let answered = answered.flatten();
     // An order without an answer may come true at any later time, or never.
@@ -259,6 +260,6 @@
     engine: &StagedEngine,
 ) -> Option<u64> {
     let head = context.dialect.report_request();
-    let (_, body) = call(context, pool, engine, head, Bytes::new()).await?;
+    let (_, body) = call_engine(context, pool, engine, head, Bytes::new()).await?;
     context.dialect.read_report_sequence(&body)
 }
--- a/crates/forwarding/src/serve/account.rs
+++ b/crates/forwarding/src/serve/account.rs
@@ -6,8 +6,8 @@
 
 use crate::context::Context;
 use crate::serve::answer::Failure;
+use crate::serve::pool_admissions::AdmissionRecord;
 use crate::serve::progress::Progress;
-use crate::serve::rooms::AdmissionRecord;
 
 /// Notes a request that was not taken in.
 pub(crate) fn log_unadmitted(context: &Context, request: &Request, failure: Failure) {
@@ -32,7 +32,7 @@
         "configuration" => progress.table.revision().0,
         "took_ms" => progress.started.elapsed().as_millis() as u64,
         "engines" => context.fleet().len(),
-        "expected_ms" => progress.expected.map(|expected| milliseconds(expected.whole_s)),
+        "expected_ms" => progress.expected.map(|expected| milliseconds(expected.total_s)),
         "queue_ms" => progress.expected.map(|expected| milliseconds(expected.queue_s)),
         "tenant" => progress.caller.tenant().map(|tenant| tenant.name.as_str()),
         "tenant_share" => share.map(|share| share.share_per_s),
