--- a/crates/forwarding/src/node/room.rs
+++ b/crates/forwarding/src/node/room.rs
@@ -61,7 +61,7 @@
 
 fn sources(sums: &FleetSums, now: MonotonicTime) -> ReportSources {
     let mut sources = ReportSources::default();
-    for (source, _) in sums.classes.borrow().heard(now) {
+    for (source, _) in sums.classes.borrow().active_sources(now) {
         match source {
             LoadSource::Member(_) => sources.members += 1,
             LoadSource::Relay(_) => sources.relays += 1,
@@ -75,9 +75,27 @@
 pub(crate) fn figure_ages(sums: &FleetSums, now: MonotonicTime) -> FigureAges {
     let newest = |age: Option<Duration>| age.map(|age| age.as_millis() as u64);
     FigureAges {
-        demand_ms: newest(sums.classes.borrow().heard(now).map(|(_, age)| age).min()),
-        tenants_ms: newest(sums.tenants.borrow().heard(now).map(|(_, age)| age).min()),
-        speeds_ms: newest(sums.slowness.borrow().heard(now).map(|(_, age)| age).min()),
+        demand_ms: newest(
+            sums.classes
+                .borrow()
+                .active_sources(now)
+                .map(|(_, age)| age)
+                .min(),
+        ),
+        tenants_ms: newest(
+            sums.tenants
+                .borrow()
+                .active_sources(now)
+                .map(|(_, age)| age)
+                .min(),
+        ),
+        speeds_ms: newest(
+            sums.slowness
+                .borrow()
+                .active_sources(now)
+                .map(|(_, age)| age)
+                .min(),
+        ),
     }
 }
 
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -167,7 +167,7 @@
     let sums = context.sums.classes.borrow();
     let all = sums.totals().iter().filter(|((of, _), _)| of == pool);
     load.all = sum(all.map(|(_, figures)| figures));
-    load.figures_age = sums.heard(now).map(|(_, age)| age).min();
+    load.figures_age = sums.active_sources(now).map(|(_, age)| age).min();
     (load, asked)
 }
 
--- a/crates/forwarding/src/serve/tenant_shares.rs
+++ b/crates/forwarding/src/serve/tenant_shares.rs
@@ -72,10 +72,10 @@
     ) -> ShareAccount {
         let mut classes = self.classes.borrow_mut();
         let tenants = of_class(&mut classes, class);
-        tenants.meters.asked(now, *tenant, tokens);
+        tenants.meters.record_request(now, *tenant, tokens);
         let share = tenants.shares.share(now, *tenant);
         let totals = sums.tenants.borrow();
-        let age = totals.heard(now).map(|(_, age)| age).min();
+        let age = totals.active_sources(now).map(|(_, age)| age).min();
         ShareAccount {
             standing: tenants.shares.classify(now, *tenant, rand::random()),
             share,
@@ -98,14 +98,14 @@
         let mut classes = self.classes.borrow_mut();
         of_class(&mut classes, class)
             .meters
-            .begun(now, *tenant, tokens);
+            .record_started(now, *tenant, tokens);
     }
 
     /// Notes for how long a request that was answered held a slot.
     pub(crate) fn held_slot(&self, (class, tenant): &TenantKey, held: Duration) {
         let mut classes = self.classes.borrow_mut();
         let meters = &mut of_class(&mut classes, class).meters;
-        meters.held_slot(*tenant, held.as_secs_f64());
+        meters.record_slot_time(*tenant, held.as_secs_f64());
     }
 
     /// This node's rows.
--- a/crates/gateway/src/attempt/guard.rs
+++ b/crates/gateway/src/attempt/guard.rs
@@ -23,7 +23,7 @@
         placement: Placement,
     ) -> Self {
         let now = shared.clock.now();
-        let ticket = shared.router().sent(now, engine, route, placement);
+        let ticket = shared.router().record_sent(now, engine, route, placement);
         Self {
             shared: Arc::clone(shared),
             ticket,
@@ -34,7 +34,9 @@
     /// Notes that the first token came in.
     pub(crate) fn first_token(&mut self) {
         let now = self.shared.clock.now();
-        self.shared.router().first_token(now, &mut self.ticket);
+        self.shared
+            .router()
+            .record_first_token(now, &mut self.ticket);
     }
 
     /// Notes that the attempt ran to its end.
@@ -50,6 +52,6 @@
     fn drop(&mut self) {
         let now = self.shared.clock.now();
         let mut router = self.shared.router();
-        router.finished(now, &self.ticket, self.completion);
+        router.record_finished(now, &self.ticket, self.completion);
     }
 }
--- a/crates/lab/src/simulate/node.rs
+++ b/crates/lab/src/simulate/node.rs
@@ -179,7 +179,7 @@
         placement: Placement,
     ) -> Ticket {
         let view = &self.view.engines[engine];
-        self.router.sent(now, view, request, placement)
+        self.router.record_sent(now, view, request, placement)
     }
 
     /// Notes a request's first attempt.
@@ -202,12 +202,12 @@
 
     /// Notes a first token.
     pub(crate) fn first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
-        self.router.first_token(now, ticket);
+        self.router.record_first_token(now, ticket);
     }
 
     /// Notes that a request is over.
     pub(crate) fn finished(&mut self, now: MonotonicTime, ticket: &Ticket, completion: Completion) {
-        self.router.finished(now, ticket, completion);
+        self.router.record_finished(now, ticket, completion);
     }
 }
 
--- a/crates/routing/benches/decide.rs
+++ b/crates/routing/benches/decide.rs
@@ -70,7 +70,7 @@
         let request = request();
         let mut router = Router::new(RouterConfig::default());
         for sent_to in view.engines.iter().step_by(3).take(64) {
-            router.sent(NOW, sent_to, &request, Placement::Whole);
+            router.record_sent(NOW, sent_to, &request, Placement::Whole);
         }
         let mut random = ChaCha8Rng::seed_from_u64(1);
         let name = BenchmarkId::from_parameter(count);
--- a/crates/routing/src/overload/tenant_meters.rs
+++ b/crates/routing/src/overload/tenant_meters.rs
@@ -35,7 +35,7 @@
 }
 
 impl TenantMeter {
-    fn held_slot(&mut self, held_s: f64) {
+    fn record_slot_time(&mut self, held_s: f64) {
         let average_s = self.slot_s.unwrap_or(held_s);
         self.slot_s = Some(average_s + (held_s - average_s) * SLOT_TIME_WEIGHT);
     }
@@ -74,24 +74,24 @@
 
 impl TenantMeters {
     /// Counts a request that needs `tokens` prompt tokens prefilled.
-    pub fn asked(&mut self, now: MonotonicTime, tenant: TenantCode, tokens: u32) {
+    pub fn record_request(&mut self, now: MonotonicTime, tenant: TenantCode, tokens: u32) {
         let meter = self.meter(tenant);
         meter.asked.count(now, 1.0);
         meter.asked_tokens.count(now, f64::from(tokens));
     }
 
     /// Counts a request that an engine began to serve, with `tokens` prompt tokens to prefill.
-    pub fn begun(&mut self, now: MonotonicTime, tenant: TenantCode, tokens: u32) {
+    pub fn record_started(&mut self, now: MonotonicTime, tenant: TenantCode, tokens: u32) {
         let meter = self.meter(tenant);
         meter.begun.count(now, 1.0);
         meter.begun_tokens.count(now, f64::from(tokens));
     }
 
     /// Records for how many seconds an answered request held a slot.
-    pub fn held_slot(&mut self, tenant: TenantCode, held_s: f64) {
-        self.others.held_slot(held_s);
+    pub fn record_slot_time(&mut self, tenant: TenantCode, held_s: f64) {
+        self.others.record_slot_time(held_s);
         if let Some(meter) = self.tenants.get_mut(&tenant) {
-            meter.held_slot(held_s);
+            meter.record_slot_time(held_s);
         }
     }
 
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -147,8 +147,8 @@
         slot.delay().min(longest)
     }
 
-    /// Records that a request was sent. The ticket is to be passed to [`Self::finished`] when the request has ended.
-    pub fn sent(
+    /// Records that a request was sent. The ticket is to be passed to [`Self::record_finished`] when the request has ended.
+    pub fn record_sent(
         &mut self,
         now: MonotonicTime,
         engine: &EngineView,
@@ -198,7 +198,7 @@
     }
 
     /// Records the first token of a request (for a prefill only, its end).
-    pub fn first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
+    pub fn record_first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
         if ticket.first_token_at.is_some() {
             return;
         }
@@ -222,7 +222,7 @@
     }
 
     /// Records the end of a request.
-    pub fn finished(&mut self, now: MonotonicTime, ticket: &Ticket, completion: Completion) {
+    pub fn record_finished(&mut self, now: MonotonicTime, ticket: &Ticket, completion: Completion) {
         self.sent_requests.remove(ticket);
         if let Some(found) = completion.cached_tokens {
             let speeds = self.learned.role_mut(&ticket.pool, ticket.role);
--- a/crates/routing/src/source_sums.rs
+++ b/crates/routing/src/source_sums.rs
@@ -103,7 +103,10 @@
     }
 
     /// Sources with rows that are valid at `now`, each with the age of its newest row.
-    pub fn heard(&self, now: MonotonicTime) -> impl Iterator<Item = (LoadSource, Duration)> + '_ {
+    pub fn active_sources(
+        &self,
+        now: MonotonicTime,
+    ) -> impl Iterator<Item = (LoadSource, Duration)> + '_ {
         self.reported.iter().filter_map(move |(source, rows)| {
             let newest = rows.values().map(|(_, reported_at)| *reported_at).max()?;
             let age = now.since(newest);
--- a/crates/routing/tests/router_properties.rs
+++ b/crates/routing/tests/router_properties.rs
@@ -167,7 +167,7 @@
             request.may_split = true;
             for number in &sent {
                 if let Some(engine) = view.engines.get(*number) {
-                    router.sent(NOW, engine, &request, Placement::Whole);
+                    router.record_sent(NOW, engine, &request, Placement::Whole);
                 }
             }
             let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -213,7 +213,7 @@
         };
         let index = view.engines.iter().position(|one| *one == engine);
         counts[index.expect("an engine of the fleet")] += 1;
-        router.sent(NOW, &engine, &request(), placement);
+        router.record_sent(NOW, &engine, &request(), placement);
     }
     assert_eq!(counts, [10; 4]);
 }
@@ -223,7 +223,7 @@
     let mut view = fleet(vec![engine(0), engine(1)]);
     let mut router = Router::new(RouterConfig::default());
     for _ in 0..8 {
-        router.sent(NOW, &view.engines[0], &request(), Placement::Whole);
+        router.record_sent(NOW, &view.engines[0], &request(), Placement::Whole);
     }
     let choose = |router: &mut Router, view: &FleetView, now| {
         let mut random = ChaCha8Rng::seed_from_u64(5);
@@ -258,7 +258,7 @@
         let mut router = Router::new(RouterConfig::default());
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         // The first request with the prefix may go anywhere; the second, with that engine busy, goes to the home.
-        router.sent(
+        router.record_sent(
             NOW,
             &view.engines[seed as usize],
             &request,
@@ -307,14 +307,14 @@
     let mut now = NOW;
     let serve = |router: &mut Router, index: usize, gap_ms: u64, now: MonotonicTime| {
         let engine = &view.engines[index];
-        let mut ticket = router.sent(now, engine, &request(), Placement::Whole);
-        router.first_token(now + Duration::from_millis(100), &mut ticket);
+        let mut ticket = router.record_sent(now, engine, &request(), Placement::Whole);
+        router.record_first_token(now + Duration::from_millis(100), &mut ticket);
         let end = now + Duration::from_millis(100 + 100 * gap_ms);
         let completion = Completion {
             output_tokens: Some(101),
             cached_tokens: None,
         };
-        router.finished(end, &ticket, completion);
+        router.record_finished(end, &ticket, completion);
     };
     for _ in 0..100 {
         serve(&mut router, 0, 40, now);
--- a/crates/routing/tests/tenant_shares.rs
+++ b/crates/routing/tests/tenant_shares.rs
@@ -292,9 +292,9 @@
     let many = 20_000_u64;
     for request in 0..many {
         let now = at(request / 10);
-        meters.asked(now, TenantCode(1_000 + request), 10);
-        meters.asked(now, BIG, 10);
-        meters.asked(now, BIG, 10);
+        meters.record_request(now, TenantCode(1_000 + request), 10);
+        meters.record_request(now, BIG, 10);
+        meters.record_request(now, BIG, 10);
     }
     assert!(meters.len() <= 4 * MAX_NAMED_TENANTS);
     let rows = meters.figures(at(2_000));
