--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -7,19 +7,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
     /// Retries added to the budget by each first attempt.
-    pub per_attempt: f64,
+    pub retries_per_attempt: f64,
     /// Largest budget, which is also the initial one.
     pub max_budget: f64,
     /// Most retries per request.
-    pub per_request: u32,
+    pub max_per_request: u32,
 }
 
 impl Default for RetryBudgetConfig {
     fn default() -> Self {
         Self {
-            per_attempt: 0.1,
+            retries_per_attempt: 0.1,
             max_budget: 20.0,
-            per_request: 2,
+            max_per_request: 2,
         }
     }
 }
@@ -77,7 +77,8 @@
 
     /// Records the first attempt of a request.
     pub fn record_first_attempt(&mut self) {
-        self.available = (self.available + self.config.per_attempt).min(self.config.max_budget);
+        self.available =
+            (self.available + self.config.retries_per_attempt).min(self.config.max_budget);
     }
 
     /// Decides about a retry and takes it from the budget if it is allowed.
@@ -85,7 +86,7 @@
         if attempt.kind == FailureKind::MayHaveRun && !attempt.repeatable {
             return RetryDecision::MayHaveRun;
         }
-        if attempt.retries >= self.config.per_request {
+        if attempt.retries >= self.config.max_per_request {
             return RetryDecision::RequestLimitReached;
         }
         if self.available < 1.0 {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -21,7 +21,7 @@
 use crate::view::{EngineView, FleetView};
 
 /// Time constant of the admission rate, in seconds: long enough to measure rarely requested models.
-const ADMISSION_RATE_TIME_S: f64 = 10.0;
+const ADMISSION_RATE_TIME_CONSTANT_S: f64 = 10.0;
 
 /// Converts a priority, where a higher number is more important, to the order of retry slots, where 0 comes first.
 fn urgency(priority: Priority) -> u8 {
@@ -124,7 +124,7 @@
     }
 
     fn count_admitted(&mut self, now: MonotonicTime, model: &ModelName) {
-        let new_rate = || DecayingRate::with_time_constant(ADMISSION_RATE_TIME_S);
+        let new_rate = || DecayingRate::with_time_constant(ADMISSION_RATE_TIME_CONSTANT_S);
         let rate = self.admitted.entry(model.clone()).or_insert_with(new_rate);
         rate.count(now, 1.0);
     }
--- a/crates/routing/src/tenant_limits.rs
+++ b/crates/routing/src/tenant_limits.rs
@@ -14,7 +14,7 @@
 use crate::prefix::{rendezvous_weight, text_hash};
 
 /// Time constant of the measured demand of a tenant at a node, in seconds.
-const DEMAND_TIME_S: f64 = 5.0;
+const DEMAND_TIME_CONSTANT_S: f64 = 5.0;
 
 /// Totals and reports older than this are ignored.
 const MAX_REPORT_AGE: Duration = Duration::from_secs(15);
@@ -178,13 +178,13 @@
 
 impl TenantState {
     fn record_demand(&mut self, now: MonotonicTime, tokens: f64) {
-        self.asked_per_s = self.demand(now) + tokens / DEMAND_TIME_S;
+        self.asked_per_s = self.demand(now) + tokens / DEMAND_TIME_CONSTANT_S;
         self.asked_at = now;
     }
 
     fn demand(&self, now: MonotonicTime) -> f64 {
         let passed_s = now.since(self.asked_at).as_secs_f64();
-        self.asked_per_s * (-passed_s / DEMAND_TIME_S).exp()
+        self.asked_per_s * (-passed_s / DEMAND_TIME_CONSTANT_S).exp()
     }
 
     /// This node's fraction of the tenant's demand, if a recent total is known.
--- a/crates/routing/tests/router_properties.rs
+++ b/crates/routing/tests/router_properties.rs
@@ -150,7 +150,7 @@
         let mut router = Router::new(RouterConfig::default());
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let decision = router.decide(NOW, &view, &request(), &mut random);
-        let is_eligible = view.engines.iter().any(|one| may_take(one, Placement::Whole, false));
+        let is_eligible = view.engines.iter().any(|engine| may_take(engine, Placement::Whole, false));
         prop_assert_eq!(decision.engine().is_some(), is_eligible);
     }
 
@@ -211,7 +211,7 @@
         else {
             panic!("refused: {decision:?}");
         };
-        let index = view.engines.iter().position(|one| *one == engine);
+        let index = view.engines.iter().position(|other| *other == engine);
         counts[index.expect("an engine of the fleet")] += 1;
         router.record_sent(NOW, &engine, &request(), placement);
     }
@@ -238,8 +238,8 @@
     );
     // The next reports show that the first engine has processed its queue and the second has not.
     let later = NOW + Duration::from_secs(2);
-    for one in &mut view.engines {
-        one.reported_at = NOW + Duration::from_secs(1);
+    for engine in &mut view.engines {
+        engine.reported_at = NOW + Duration::from_secs(1);
     }
     view.engines[1].queued_prefill_tokens = 40_000;
     assert_eq!(
--- a/crates/routing/tests/shared_retry_budget.rs
+++ b/crates/routing/tests/shared_retry_budget.rs
@@ -86,15 +86,15 @@
         for second in 0..60 {
             let now = MonotonicTime::from_millis(second * 1_000);
             for (number, node) in nodes.iter_mut().enumerate() {
-                let counted = wrong.iter().find(|one| {
-                    one.node == number
-                        && (one.from_s..one.from_s + one.for_s).contains(&second)
+                let counted = wrong.iter().find(|count| {
+                    count.node == number
+                        && (count.from_s..count.from_s + count.for_s).contains(&second)
                 });
                 // All nodes see the right count at first.
                 let counted = counted.filter(|_| second > 0);
-                node.set_nodes(now, counted.map_or(NODES, |one| one.counted));
-                for place in 0..10 {
-                    let at = (second as usize * 10 + place * 7 + number) % is_repeat.len();
+                node.set_nodes(now, counted.map_or(NODES, |count| count.counted));
+                for step in 0..10 {
+                    let at = (second as usize * 10 + step * 7 + number) % is_repeat.len();
                     if !is_repeat[at] {
                         node.record_request(now, &pool);
                         requests.push(now);
@@ -133,24 +133,24 @@
 #[rstest]
 fn a_restarted_node_uses_its_part_of_the_slack_once() {
     let pool = PoolName::from("pool");
-    let spend = |budget: &mut SharedRetryBudget, now| {
-        let mut spent = 0;
+    let take_all = |budget: &mut SharedRetryBudget, now| {
+        let mut taken = 0;
         while budget.take(now, &pool).is_some() {
-            spent += 1;
+            taken += 1;
         }
-        spent
+        taken
     };
     let start = MonotonicTime::from_millis(5_000);
-    let mut former = SharedRetryBudget::new(LIMITS);
-    former.set_nodes(MonotonicTime::ZERO, 1);
-    let spent_before = spend(&mut former, start);
-    assert!(spent_before > 0);
+    let mut before_restart = SharedRetryBudget::new(LIMITS);
+    before_restart.set_nodes(MonotonicTime::ZERO, 1);
+    let taken_before = take_all(&mut before_restart, start);
+    assert!(taken_before > 0);
     let mut budget = SharedRetryBudget::new(LIMITS);
     budget.set_nodes(MonotonicTime::ZERO, 1);
     budget.note_restart(start);
-    assert_eq!(spend(&mut budget, start + Duration::from_secs(9)), 0);
+    assert_eq!(take_all(&mut budget, start + Duration::from_secs(9)), 0);
     let later = start + Duration::from_secs(10);
-    assert_eq!(spend(&mut budget, later), spent_before);
+    assert_eq!(take_all(&mut budget, later), taken_before);
 }
 
 fn purpose() -> impl Strategy<Value = CallPurpose> {
--- a/crates/routing/tests/source_sums.rs
+++ b/crates/routing/tests/source_sums.rs
@@ -131,8 +131,8 @@
     let mut sums = sums();
     sums.set_reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
     sums.set_reported(at(400), LoadSource::Member(1), [("other", asked(2.0))]);
-    let heard = |milliseconds| sums.active_sources(at(milliseconds)).collect::<Vec<_>>();
+    let sources = |milliseconds| sums.active_sources(at(milliseconds)).collect::<Vec<_>>();
     let age = Duration::from_millis(100);
-    assert_eq!(heard(500), [(LoadSource::Member(1), age)]);
-    assert_eq!(heard(3_400), []);
+    assert_eq!(sources(500), [(LoadSource::Member(1), age)]);
+    assert_eq!(sources(3_400), []);
 }
--- a/crates/routing/tests/tenant_shares.rs
+++ b/crates/routing/tests/tenant_shares.rs
@@ -89,25 +89,25 @@
 
     #[test]
     fn a_larger_weight_never_reduces_the_share(
-        demands in demands(), capacity in 0.0..1e5_f64, place in 0_usize..80, more in 1.0..10.0_f64,
+        demands in demands(), capacity in 0.0..1e5_f64, index in 0_usize..80, more in 1.0..10.0_f64,
     ) {
-        let place = place % demands.len();
-        let before = served(&demands, capacity)[place];
+        let index = index % demands.len();
+        let before = served(&demands, capacity)[index];
         let mut raised = demands;
-        raised[place].weight *= more;
-        prop_assert!(served(&raised, capacity)[place] >= before * (1.0 - 1e-9));
+        raised[index].weight *= more;
+        prop_assert!(served(&raised, capacity)[index] >= before * (1.0 - 1e-9));
     }
 
     /// Retries raise a tenant's demand and must not cost the other tenants anything.
     #[test]
     fn more_demand_above_the_share_costs_nobody(
-        demands in demands(), capacity in 1.0..1e4_f64, place in 0_usize..80, more in 1.0..100.0_f64,
+        demands in demands(), capacity in 1.0..1e4_f64, index in 0_usize..80, more in 1.0..100.0_f64,
     ) {
-        let place = place % demands.len();
+        let index = index % demands.len();
         let before = served(&demands, capacity);
-        prop_assume!(before[place] < demands[place].per_s);
+        prop_assume!(before[index] < demands[index].per_s);
         let mut raised = demands;
-        raised[place].per_s *= more;
+        raised[index].per_s *= more;
         for (before, after) in before.iter().zip(served(&raised, capacity)) {
             prop_assert!((before - after).abs() <= 1e-6 * capacity);
         }
@@ -124,8 +124,8 @@
         let mut nodes: Vec<_> = (0..nodes).map(|_| shares.clone()).collect();
         let (requests, mut passed) = (2_000, 0_usize);
         for request in 0..requests {
-            let place = request % nodes.len();
-            let standing = nodes[place].classify(at(0), BIG, draws[place]);
+            let index = request % nodes.len();
+            let standing = nodes[index].classify(at(0), BIG, draws[index]);
             passed += usize::from(standing == ShareStanding::Within);
         }
         let expected = part * requests as f64;
@@ -331,8 +331,8 @@
 fn fifteen_thousand_tenants_at_986_nodes_are_65_rows() {
     let (nodes, tenants) = (986_u64, 15_000_u64);
     let rows_of = |node: u64| {
-        let rows = (0..100).map(|place| {
-            let tenant = (node * 100 + place) % tenants;
+        let rows = (0..100).map(|index| {
+            let tenant = (node * 100 + index) % tenants;
             // Every hundredth tenant has a large demand.
             let asked = if tenant.is_multiple_of(100) {
                 5.0
