--- a/crates/forwarding/src/spread/sums.rs
+++ b/crates/forwarding/src/spread/sums.rs
@@ -214,7 +214,7 @@
     match rows {
         SummedRows::Classes(rows) => {
             let told = rows.len();
-            let rows = rows.into_iter().filter(|row| row.figures.is_sound());
+            let rows = rows.into_iter().filter(|row| row.figures.is_valid());
             let rows: Vec<_> = rows
                 .map(|row| ((row.pool, row.priority), row.figures))
                 .collect();
@@ -228,7 +228,7 @@
             rows,
         }) => {
             let told = rows.len();
-            let rows = rows.into_iter().filter(|row| row.figures.is_sound());
+            let rows = rows.into_iter().filter(|row| row.figures.is_valid());
             let rows: Vec<_> = rows
                 .map(|row| (((pool.clone(), priority), row.tenant), row.figures))
                 .collect();
@@ -238,7 +238,7 @@
         }
         SummedRows::Slowness(rows) => {
             let told = rows.len();
-            let rows = rows.into_iter().filter(|row| row.figures.is_sound());
+            let rows = rows.into_iter().filter(|row| row.figures.is_valid());
             let rows: Vec<_> = rows
                 .map(|row| ((row.engine, row.kind), row.figures))
                 .collect();
--- a/crates/routing/src/figures.rs
+++ b/crates/routing/src/figures.rs
@@ -44,7 +44,7 @@
 
 impl ClassFigures {
     /// Whether all figures are plausible: not negative, not too large, and numbers.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let rates = [
             self.asked_per_s,
             self.returned_per_s,
@@ -87,7 +87,7 @@
 }
 
 impl WorkRate {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         is_plausible(self.slots, MAX_PER_S)
             && is_plausible(self.prompt_tokens_per_s, MAX_TOKENS_PER_S)
     }
@@ -111,8 +111,8 @@
 
 impl TenantFigures {
     /// Whether all figures are plausible: not negative, not too large, and numbers.
-    pub fn is_sound(&self) -> bool {
-        self.asked.is_sound() && self.begun.is_sound()
+    pub fn is_valid(&self) -> bool {
+        self.asked.is_valid() && self.begun.is_valid()
     }
 }
 
@@ -158,7 +158,7 @@
 
 impl SlownessFigures {
     /// Whether the figures are plausible.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         is_plausible(self.weight, MAX_WEIGHT * 1e3)
             && self.log_slowness.abs() <= self.weight * MAX_LOG_SLOWNESS
     }
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -147,7 +147,7 @@
         slot.delay().min(longest)
     }
 
-    /// Records that a request was sent. The ticket is to be passed to [`Self::record_finished`] when the request has ended.
+    /// Records that a request was sent. The ticket is to be passed to [`Self::record_finished`] when it has ended.
     pub fn record_sent(
         &mut self,
         now: MonotonicTime,
--- a/crates/routing/tests/source_sums.rs
+++ b/crates/routing/tests/source_sums.rs
@@ -80,17 +80,17 @@
 #[case::negative(-1.0, false)]
 #[case::not_a_number(f32::NAN, false)]
 #[case::infinite(f32::INFINITY, false)]
-fn implausible_rates_are_rejected(#[case] rate: f32, #[case] is_sound: bool) {
+fn implausible_rates_are_rejected(#[case] rate: f32, #[case] is_valid: bool) {
     let figures = ClassFigures {
         asked_per_s: rate,
         ..ClassFigures::default()
     };
-    assert_eq!(figures.is_sound(), is_sound);
+    assert_eq!(figures.is_valid(), is_valid);
     let weighted = SlownessFigures {
         weight: rate,
         log_slowness: 0.0,
     };
-    assert!(is_sound || !weighted.is_sound() || rate > 0.0);
+    assert!(is_valid || !weighted.is_valid() || rate > 0.0);
 }
 
 #[rstest]
--- a/crates/routing/tests/tenant_shares.rs
+++ b/crates/routing/tests/tenant_shares.rs
@@ -205,8 +205,8 @@
 #[case::negative(slots(1.0, -1.0))]
 #[case::not_a_number(slots(f32::NAN, 0.0))]
 fn implausible_figures_are_rejected(#[case] figures: TenantFigures) {
-    assert!(slots(400.0, 200.0).is_sound());
-    assert!(!figures.is_sound());
+    assert!(slots(400.0, 200.0).is_valid());
+    assert!(!figures.is_valid());
 }
 
 #[rstest]
