--- a/crates/routing/tests/source_sums.rs
+++ b/crates/routing/tests/source_sums.rs
@@ -80,17 +80,17 @@
 #[case::negative(-1.0, false)]
 #[case::not_a_number(f32::NAN, false)]
 #[case::infinite(f32::INFINITY, false)]
-fn implausible_rates_are_rejected(#[case] rate: f32, #[case] is_sound: bool) {
+fn implausible_rates_are_rejected(#[case] rate: f32, #[case] is_valid: bool) {
     let figures = ClassFigures {
         asked_per_s: rate,
         ..ClassFigures::default()
     };
-    assert_eq!(figures.is_sound(), is_sound);
+    assert_eq!(figures.is_valid(), is_valid);
     let weighted = SlownessFigures {
         weight: rate,
         log_slowness: 0.0,
     };
-    assert!(is_sound || !weighted.is_sound() || rate > 0.0);
+    assert!(is_valid || !weighted.is_valid() || rate > 0.0);
 }
 
 #[rstest]
@@ -131,8 +131,8 @@
     let mut sums = sums();
     sums.set_reported(at(0), LoadSource::Member(1), [("pool", asked(2.0))]);
     sums.set_reported(at(400), LoadSource::Member(1), [("other", asked(2.0))]);
-    let heard = |milliseconds| sums.heard(at(milliseconds)).collect::<Vec<_>>();
+    let sources = |milliseconds| sums.active_sources(at(milliseconds)).collect::<Vec<_>>();
     let age = Duration::from_millis(100);
-    assert_eq!(heard(500), [(LoadSource::Member(1), age)]);
-    assert_eq!(heard(3_400), []);
+    assert_eq!(sources(500), [(LoadSource::Member(1), age)]);
+    assert_eq!(sources(3_400), []);
 }
