--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -233,7 +233,7 @@
     pub(crate) fn engine_restarted(&self, engine: EngineKey) {
         self.router.borrow_mut().forget_engine(engine);
         let born = self.born(engine);
-        self.fleet.borrow_mut().set_born(engine, born);
+        self.fleet.borrow_mut().set_started_at_ms(engine, born);
         if !self.fleet().draining().any(|draining| draining == engine) {
             return;
         }
--- a/crates/forwarding/src/dissemination/mod.rs
+++ b/crates/forwarding/src/dissemination/mod.rs
@@ -205,14 +205,14 @@
     }
 
     /// `records` without those withheld since a restore of the key-value service.
-    pub(crate) fn without_withheld(
+    pub(crate) fn drop_withheld(
         &self,
         now: MonotonicTime,
         records: Vec<EntryRecord>,
     ) -> Vec<EntryRecord> {
         let entries = self.entries.borrow();
         let mut withheld = self.withheld_entries.borrow_mut();
-        withheld.without_withheld(&entries, now, records)
+        withheld.drop_withheld(&entries, now, records)
     }
 
     /// The lease holder, if known.
--- a/crates/forwarding/src/dissemination/receive/entries.rs
+++ b/crates/forwarding/src/dissemination/receive/entries.rs
@@ -88,7 +88,7 @@
     }
     let records = context
         .dissemination
-        .without_withheld(context.now(), page.records);
+        .drop_withheld(context.now(), page.records);
     let changes = {
         let mut entries = context.dissemination.entries.borrow_mut();
         entries.apply_range(page.revision, page.first..=page.last, records)
--- a/crates/forwarding/src/dissemination/sums.rs
+++ b/crates/forwarding/src/dissemination/sums.rs
@@ -45,7 +45,7 @@
         let is_relay = context.dissemination.role(now).is_relay;
         if was_relay.replace(is_relay) == Some(false) && is_relay {
             // Replaced by the statistics of its members and of the other relays.
-            context.sums.forget(LoadSource::Fleet);
+            context.sums.forget_source(LoadSource::Fleet);
         }
         update_own_figures(&context, now);
         context.sums.refresh(now);
--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -1,4 +1,4 @@
-//! The declaration in force, from the key-value service or from a relay.
+//! Applies declarations from the key-value service or from a relay.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use crate::fleet::declaration_text::DeclarationText;
 use crate::fleet::follow::Follower;
 
-/// Brings a declaration into force, unless a newer one is.
+/// Applies a declaration unless it is unusable or not newer than the active one.
 pub(crate) fn apply(context: &Context, text: &str) {
     let read = context.form.read_configuration(text);
     let table = read.and_then(|file| {
@@ -40,15 +40,15 @@
     }
 }
 
-/// Brings declarations into force as the key-value service tells of them.
+/// Applies declarations from the key-value service.
 pub(crate) struct DeclarationFollower(pub(crate) Rc<Context>);
 
 impl Follower for DeclarationFollower {
-    fn confirmed(&self, called_at: BootInstant) {
+    fn confirm(&self, called_at: BootInstant) {
         self.0.declaration_confirmed(called_at);
     }
 
-    fn listed(&self, listing: Listing, _after_outage: bool) {
+    fn apply_listing(&self, listing: Listing, _after_outage: bool) {
         let key = self.0.form.configuration_key();
         let entries = listing.entries.iter();
         for entry in entries.filter(|entry| entry.key == key) {
@@ -56,7 +56,7 @@
         }
     }
 
-    fn changed(&self, events: Vec<WatchEvent>) {
+    fn apply_events(&self, events: Vec<WatchEvent>) {
         let key = self.0.form.configuration_key();
         for event in events.iter().filter(|event| event.key == key) {
             if let Some(value) = &event.value {
--- a/crates/forwarding/src/fleet/declaration_text.rs
+++ b/crates/forwarding/src/fleet/declaration_text.rs
@@ -1,12 +1,11 @@
-//! The declaration as it is passed on to other nodes.
+//! The declaration in the form sent to other nodes.
 
 use std::rc::Rc;
 
-/// The text of the declaration in force, for other nodes.
+/// The text of the active declaration.
 #[derive(Clone, Debug)]
 pub(crate) struct DeclarationText {
-    /// Its revision.
     pub(crate) revision: u64,
-    /// The text, as it stands in the key-value service.
+    /// The text as stored in the key-value service.
     pub(crate) text: Rc<str>,
 }
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -1,4 +1,4 @@
-//! Engines' own entries, from the key-value service or from a relay.
+//! Engine entries from the key-value service or from a relay.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,46 +17,44 @@
 use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::entry_text;
 use crate::fleet::follow::Follower;
-use crate::fleet::restored_entries::RESTORED_ENTRIES_LAPSE;
+use crate::fleet::restored_entries::RESTORED_ENTRY_HOLD_TIME;
 use crate::fleet::signals::apply_start;
 use crate::quarantine::engine_end::{EndProof, record_engine_end};
 
-/// Relays ask for changes of engines' entries again after up to this time for each relay, at random.
-/// Whichever asks first tells the others within 25 ms, so that the fleet hears of a change after a few
-/// tens of milliseconds, however many relays there are, and a change costs few calls: a quarter fewer
-/// in a fleet of 63 nodes with 12 relays than when all asked again after 48 ms.
-const ENGINES_GATHERED_PER_RELAY: Duration = Duration::from_millis(32);
+/// Upper bound per relay of the random delay before a relay watches for further changes of engine
+/// entries. The relay that watches first informs the others within 25 ms, so the delay may grow with
+/// the number of relays, and a change costs few calls.
+const BATCH_DELAY_PER_RELAY: Duration = Duration::from_millis(32);
 
-/// Longest time after which a relay asks again. It is part of the time in which an engine that leaves
-/// still gets requests where a relay hears of no other, so it is a quarter of the shortest drain bound.
-const ENGINES_GATHERED: Duration = Duration::from_millis(500);
+/// Upper bound of that delay. It delays drain notices where a relay hears of no other, so it is a
+/// quarter of the shortest drain bound.
+const MAX_BATCH_DELAY: Duration = Duration::from_millis(500);
 
-/// Engines whose entries lapsed while the key-value service was away have written them again within
-/// this time of its return, as the platform promises; one that has not is gone.
-const LAPSED_ENTRIES_RETURN: Duration = Duration::from_secs(2);
+/// Time for engines to rewrite entries that expired while the key-value service was unavailable, as
+/// guaranteed by the platform. An engine that has not done so by then is gone.
+const LAPSED_ENTRY_GRACE: Duration = Duration::from_secs(2);
 
-/// Share of the engines from which a simultaneous end is taken for a lapse. Engines that end without
-/// having said so are few at a time, and serve on for the drain bound: until half of it is over, to
-/// take them for lapsed does no harm.
-const LAPSE_SHARE: f64 = 0.1;
+/// Minimum share of the engines that must disappear at once to be treated as expired entries. Engines
+/// that end without draining first are few at a time. Treating them as expired is harmless for half
+/// of the drain bound.
+const MIN_LAPSED_SHARE: f64 = 0.1;
 
-/// Most changes at a time that are logged one by one. A start tells of all engines at once, and a line for
-/// each of 10,000 takes longer than to take them in.
-const LOGGED_EACH: usize = 16;
+/// Limit on changes that are logged individually; a start changes all engines at once.
+const MAX_LOGGED_EACH: usize = 16;
 
-/// Entries that cannot be read and are logged: a line each.
-const MOST_UNREADABLE_LOGGED: usize = 256;
+/// Limit on unreadable entries that are logged, one line each.
+const MAX_UNREADABLE_LOGGED: usize = 256;
 
-/// Most changes found by one reading of the key-value service that are sent to other nodes by themselves.
-const READ_CHANGES_SENT: usize = 256;
+/// Limit on the changes of one listing that are sent to other nodes as changes.
+const MAX_LISTED_CHANGES_SENT: usize = 256;
 
-/// Takes changed entries in; what is newer than what was known is brought into force.
+/// Merges records into the known entries and applies those that are newer.
 pub(crate) fn merge(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
     let records = match source {
         ChangeSource::Store => records,
-        ChangeSource::Listing | ChangeSource::Relay => context
-            .dissemination
-            .without_withheld(context.now(), records),
+        ChangeSource::Listing | ChangeSource::Relay => {
+            context.dissemination.drop_withheld(context.now(), records)
+        }
     };
     let mut entries = context.dissemination.entries.borrow_mut();
     let taken = records
@@ -67,13 +65,13 @@
     apply_changes(context, taken, source);
 }
 
-/// Brings changed entries into force at this node, and has them sent to other nodes.
+/// Applies changed entries at this node and queues them for other nodes.
 pub(crate) fn apply_changes(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
     if records.is_empty() {
         return;
     }
-    pass_on(context, &records, source);
-    let is_logged_each = records.len() <= LOGGED_EACH;
+    queue_changes(context, &records, source);
+    let is_logged_each = records.len() <= MAX_LOGGED_EACH;
     if !is_logged_each {
         log_event!(context.logger, Event::EnginesListed, "changes" => records.len(),
             "source" => ?source);
@@ -112,11 +110,12 @@
     context.change_entries(changes);
 }
 
-/// Has changed entries sent to other nodes, if this one passes state on. Those of a first reading are
-/// not: relays read for themselves, and members are sent what differs, at the pace that their links bear.
-fn pass_on(context: &Context, records: &[EntryRecord], source: ChangeSource) {
-    let is_first = source == ChangeSource::Listing && records.len() > READ_CHANGES_SENT;
-    if !is_first && context.dissemination.role(context.now()).is_relay {
+/// Queues changes for other nodes if this node is a relay. Large listings are left out: relays read
+/// them themselves, and members request what differs at the pace of their links.
+fn queue_changes(context: &Context, records: &[EntryRecord], source: ChangeSource) {
+    let is_bulk_listing =
+        source == ChangeSource::Listing && records.len() > MAX_LISTED_CHANGES_SENT;
+    if !is_bulk_listing && context.dissemination.role(context.now()).is_relay {
         context
             .dissemination
             .changes
@@ -125,9 +124,9 @@
     }
 }
 
-/// An entry of the key-value service as nodes pass it on; as one that is gone if it cannot be read. What it
-/// says of the engine's start is taken in at once.
-fn record(
+/// Converts an entry to the form sent between nodes; an unreadable one counts as removed. Applies the
+/// engine's start time at once.
+fn to_record(
     context: &Context,
     key: String,
     value: Option<&str>,
@@ -137,12 +136,12 @@
     let read = value.and_then(|value| match context.form.read_engine(&key, value) {
         Ok(entry) => Some(entry),
         Err(error) => {
-            note_unreadable(context, &key, &error);
+            report_unreadable(context, &key, &error);
             None
         }
     });
     if let Some(entry) = &read {
-        note_born(context, entry, source);
+        apply_entry_start(context, entry, source);
     }
     EntryRecord {
         value: read.as_ref().map(entry_text::write),
@@ -151,21 +150,21 @@
     }
 }
 
-/// Notes when an engine started. What a watch tells was written just now; a reading may be that of a restored
-/// service, which tells of a former start.
-fn note_born(context: &Context, entry: &EngineEntry, source: ChangeSource) {
-    let (engine, born) = (EngineKey::of(&entry.run), entry.born.unwrap_or_default());
+/// Applies the start time of an engine's entry. A watch delivers recent writes, but a listing may come
+/// from a restored service and show a previous start.
+fn apply_entry_start(context: &Context, entry: &EngineEntry, source: ChangeSource) {
+    let (engine, started_at_ms) = (EngineKey::of(&entry.run), entry.born.unwrap_or_default());
     let known = context.router.borrow().signals.started_at_ms(engine);
-    if source == ChangeSource::Store || born > known {
-        apply_start(context, engine, born, NoticeSource::Entry);
+    if source == ChangeSource::Store || started_at_ms > known {
+        apply_start(context, engine, started_at_ms, NoticeSource::Entry);
     }
 }
 
-/// Counts an entry that names no engine, and logs it once: another writer may write it again and again.
-fn note_unreadable(context: &Context, key: &str, error: &str) {
+/// Counts an unreadable entry and logs it once per key, since it may be rewritten repeatedly.
+fn report_unreadable(context: &Context, key: &str, error: &str) {
     context.metrics.entry_unreadable();
     let mut logged = context.dissemination.unreadable_entries.borrow_mut();
-    if logged.len() < MOST_UNREADABLE_LOGGED && logged.insert(key.to_owned()) {
+    if logged.len() < MAX_UNREADABLE_LOGGED && logged.insert(key.to_owned()) {
         log_event!(context.logger, Event::EngineUnreadable, "key" => key, "error" => error);
     }
 }
@@ -177,39 +176,36 @@
         "source" => ?source);
 }
 
-/// Whether so many engines went at once, none of which had said that it leaves, that their entries
-/// lapsed rather than the engines ended.
-fn is_lapse(context: &Context, records: &[EntryRecord]) -> bool {
-    let gone = records.iter().filter(|record| {
+/// Whether so many engines disappeared at once without draining that their entries must have expired
+/// while the engines still run.
+fn is_mass_lapse(context: &Context, records: &[EntryRecord]) -> bool {
+    let removed = records.iter().filter(|record| {
         record.value.is_none()
             && context
                 .entry(&record.key)
                 .is_some_and(|entry| entry.accepting)
     });
-    let share = gone.clone().count() as f64 / context.fleet().len().max(1) as f64;
-    gone.count() > 1 && share >= LAPSE_SHARE
+    let share = removed.clone().count() as f64 / context.fleet().len().max(1) as f64;
+    removed.count() > 1 && share >= MIN_LAPSED_SHARE
 }
 
-/// Takes a whole reading of the key-value service in.
+/// Applies a full listing of the key-value service.
 fn apply_listing(context: &Context, revision: u64, records: Vec<EntryRecord>) {
-    let records = context
-        .dissemination
-        .without_withheld(context.now(), records);
+    let records = context.dissemination.drop_withheld(context.now(), records);
     let mut entries = context.dissemination.entries.borrow_mut();
     let changes = entries.apply_listing(revision, records);
     drop(entries);
     apply_changes(context, changes, ChangeSource::Listing);
 }
 
-/// Takes engines' entries from the key-value service.
+/// Follows engine entries in the key-value service.
 pub(crate) struct EngineFollower {
     context: Rc<Context>,
-    /// What the pages of the reading under way told.
+    /// Records of the current listing's pages so far.
     listed: RefCell<Vec<EntryRecord>>,
 }
 
 impl EngineFollower {
-    /// A follower that has read nothing.
     pub(crate) fn new(context: Rc<Context>) -> Self {
         Self {
             context,
@@ -219,15 +215,15 @@
 }
 
 impl Follower for EngineFollower {
-    fn listing_begins(&self) {
+    fn begin_listing(&self) {
         self.listed.borrow_mut().clear();
     }
 
-    fn page(&self, entries: &[Entry]) {
+    fn apply_page(&self, entries: &[Entry]) {
         let records = entries.iter().map(|entry| {
             let value = Some(entry.value.as_str());
             let revision = entry.revision.0;
-            record(
+            to_record(
                 &self.context,
                 entry.key.clone(),
                 value,
@@ -241,65 +237,65 @@
         merge(&self.context, records, ChangeSource::Listing);
     }
 
-    fn listed(&self, listing: Listing, after_outage: bool) {
+    fn apply_listing(&self, listing: Listing, after_outage: bool) {
         let records = std::mem::take(&mut *self.listed.borrow_mut());
         let context = Rc::clone(&self.context);
         if !after_outage {
             apply_listing(&context, listing.revision.0, records);
             return;
         }
-        // Entries lapse while the service is away and are written again when it is back: what is
-        // there counts at once, what is missing a little later, unless it was written meanwhile.
+        // Entries expire while the service is unavailable and are rewritten when it is back: present
+        // entries apply at once, missing ones are removed after a grace period unless rewritten.
         actix_rt::spawn(async move {
-            sleep(LAPSED_ENTRIES_RETURN).await;
-            let held = {
+            sleep(LAPSED_ENTRY_GRACE).await;
+            let withheld = {
                 let entries = context.dissemination.entries.borrow();
-                let held = records
+                let withheld = records
                     .iter()
                     .filter(|record| entries.was_removed_in_earlier_era(record));
-                held.cloned().collect::<Vec<_>>()
+                withheld.cloned().collect::<Vec<_>>()
             };
             apply_listing(&context, listing.revision.0, records);
-            // Those that do not lapse are engines like any other.
-            sleep(RESTORED_ENTRIES_LAPSE).await;
-            merge(&context, held, ChangeSource::Listing);
+            // Withheld entries that still exist belong to running engines.
+            sleep(RESTORED_ENTRY_HOLD_TIME).await;
+            merge(&context, withheld, ChangeSource::Listing);
         });
     }
 
-    fn changed(&self, events: Vec<WatchEvent>) {
+    fn apply_events(&self, events: Vec<WatchEvent>) {
         let newest = events.iter().map(|event| event.revision.0).max();
         let context = Rc::clone(&self.context);
         let events = events.into_iter();
         let records = events.map(|event| {
             let revision = event.revision.0;
             let value = event.value.as_deref();
-            record(&context, event.key, value, revision, ChangeSource::Store)
+            to_record(&context, event.key, value, revision, ChangeSource::Store)
         });
         let records: Vec<EntryRecord> = records.collect();
-        if !is_lapse(&context, &records) {
+        if !is_mass_lapse(&context, &records) {
             merge(&context, records, ChangeSource::Store);
             let mut entries = context.dissemination.entries.borrow_mut();
             entries.advance_complete_to(newest.unwrap_or_default());
             return;
         }
-        // A watch that waited through an outage learns at its end which entries lapsed. By their
-        // revisions, what is written again before the wait is over stands.
-        let (present, gone) = records
+        // A watch that spans an outage reports expired entries when it ends. Entries rewritten during
+        // the grace period have higher revisions and remain.
+        let (present, removed) = records
             .into_iter()
             .partition(|record| record.value.is_some());
         merge(&context, present, ChangeSource::Store);
-        let wait = LAPSED_ENTRIES_RETURN.min(context.settings.engine_drain() / 2);
+        let wait = LAPSED_ENTRY_GRACE.min(context.settings.engine_drain() / 2);
         actix_rt::spawn(async move {
             sleep(wait).await;
-            merge(&context, gone, ChangeSource::Store);
+            merge(&context, removed, ChangeSource::Store);
             let mut entries = context.dissemination.entries.borrow_mut();
             entries.advance_complete_to(newest.unwrap_or_default());
         });
     }
 
-    fn gather(&self) -> Duration {
+    fn batch_delay(&self) -> Duration {
         let relays = self.context.dissemination.other_relays().len() as u32 + 1;
-        let longest = (ENGINES_GATHERED_PER_RELAY * relays).min(ENGINES_GATHERED);
-        longest.mul_f64(rand::random_range(0.0..1.0))
+        let max_delay = (BATCH_DELAY_PER_RELAY * relays).min(MAX_BATCH_DELAY);
+        max_delay.mul_f64(rand::random_range(0.0..1.0))
     }
 }
--- a/crates/forwarding/src/fleet/engines.rs
+++ b/crates/forwarding/src/fleet/engines.rs
@@ -1,4 +1,4 @@
-//! The engines, as their own entries tell.
+//! The engines that accept new work.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -11,92 +11,90 @@
 use dalestand_routing::staged::{EngineKey, EnginePool, Stage, StagedEngine};
 use dalestand_types::{PoolName, Role};
 
-/// Stands between the name of a run and its start in the names of connections: those to a former start are
-/// not used for a later one.
-const BORN_MARK: char = '@';
+/// Separates the run from its start time in connection targets, so that connections to a previous
+/// start are not reused.
+const START_SEPARATOR: char = '@';
 
-/// One engine's run.
+/// One run of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetEngine {
     /// Its pool.
     pub pool: PoolName,
-    /// Where it listens.
+    /// Its listen address.
     pub address: SocketAddr,
-    /// Names the run.
+    /// Name of the run.
     pub run: Arc<str>,
-    /// When it started, where its entry says so.
-    pub born: Option<u64>,
-    /// Tokens its memory holds; 0 where it keeps none.
+    /// Start time by the engine's clock, in milliseconds since 1970, if its entry states it.
+    pub started_at_ms: Option<u64>,
+    /// Capacity of its prompt memory in tokens; 0 if it has none.
     pub memory_tokens: u64,
 }
 
 impl FleetEngine {
-    /// For connections.
+    /// The target of connections to this start of the engine.
     pub fn target(&self) -> LinkTarget {
         LinkTarget {
             address: self.address,
-            run: match self.born {
-                Some(born) => format!("{}{BORN_MARK}{born}", self.run).into(),
+            run: match self.started_at_ms {
+                Some(start) => format!("{}{START_SEPARATOR}{start}", self.run).into(),
                 None => Arc::clone(&self.run),
             },
         }
     }
 }
 
-/// Engines that take new work, by pool. A change costs the logarithm of their number at most: with
-/// lists of each pool that were kept in order, taking 10,000 engines in after a start cost four
-/// gigabytes of moved memory.
+/// Engines that accept new work, by pool. A change takes logarithmic time in their number.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     pools: HashMap<PoolName, EnginePool>,
-    no_engines: EnginePool,
+    empty_pool: EnginePool,
     engines: HashMap<EngineKey, FleetEngine>,
-    /// Engines that take new work by their entries, and have said in an answer that they drain.
+    /// Engines that accept new work according to their entries but announced in an answer that they drain.
     draining: BTreeSet<EngineKey>,
-    /// Several engines may have the same code.
+    /// Engines by code; several engines may share one.
     codes: BTreeSet<(EngineCode, EngineKey)>,
 }
 
 impl Fleet {
-    /// The engines of `entries` that take new work, under the terms of `table`, but for those that
-    /// `drains` names.
+    /// The engines of `entries` that accept new work, under the terms of `table`, except those for
+    /// which `is_draining` holds.
     pub fn new<'e>(
         entries: impl Iterator<Item = &'e EngineEntry>,
         table: Option<&RouteTable>,
-        drains: impl Fn(EngineKey) -> bool,
+        is_draining: impl Fn(EngineKey) -> bool,
     ) -> Self {
         let mut fleet = Self::default();
         for entry in entries {
-            fleet.set(entry, table, &drains);
+            fleet.set(entry, table, &is_draining);
         }
         fleet
     }
 
-    /// Brings one engine's entry into force. Where thousands of engines change all the time, building
-    /// the fleet anew for each change took a third of a small node's processor.
+    /// Sets one engine's entry. Updates in place, because rebuilding the fleet for each change is
+    /// expensive in large fleets.
     pub fn set(
         &mut self,
         entry: &EngineEntry,
         table: Option<&RouteTable>,
-        drains: impl Fn(EngineKey) -> bool,
+        is_draining: impl Fn(EngineKey) -> bool,
     ) {
         self.remove(entry);
         if !entry.accepting {
             return;
         }
         let key = EngineKey::of(&entry.run);
-        if drains(key) {
+        if is_draining(key) {
             self.draining.insert(key);
             return;
         }
         let terms = table.and_then(|table| table.pool(&entry.pool));
-        let staged = staged(key, entry, terms.map(|terms| &**terms));
+        let staged = staged_engine(key, entry, terms.map(|terms| &**terms));
         let engine = FleetEngine {
             pool: entry.pool.clone(),
             memory_tokens: staged.memory_tokens,
             address: entry.address,
             run: Arc::clone(&entry.run),
-            born: entry.born,
+            started_at_ms: entry.born,
         };
         let pool = self.pools.entry(entry.pool.clone()).or_default();
         pool.insert(staged);
@@ -104,36 +102,36 @@
         self.codes.insert((EngineCode::of(key), key));
     }
 
-    /// Takes an engine out.
+    /// Removes an engine.
     pub fn remove(&mut self, entry: &EngineEntry) {
         let key = EngineKey::of(&entry.run);
         self.draining.remove(&key);
-        self.take_out(key);
+        self.remove_key(key);
     }
 
-    /// Takes an engine out that has said that it drains, until its entry says so too. Whether it took
-    /// new work.
+    /// Removes an engine that announced that it drains, until its entry says so too. Returns whether it
+    /// accepted new work before.
     pub fn drain(&mut self, key: EngineKey) -> bool {
-        let took_work = self.take_out(key);
-        if took_work {
+        let was_accepting = self.remove_key(key);
+        if was_accepting {
             self.draining.insert(key);
         }
-        took_work
+        was_accepting
     }
 
-    /// Notes when an engine started.
-    pub fn set_born(&mut self, key: EngineKey, born: Option<u64>) {
+    /// Sets the start time of an engine.
+    pub fn set_started_at_ms(&mut self, key: EngineKey, started_at_ms: Option<u64>) {
         if let Some(engine) = self.engines.get_mut(&key) {
-            engine.born = born;
+            engine.started_at_ms = started_at_ms;
         }
     }
 
-    /// Engines that take new work by their entries, and have said that they drain.
+    /// Engines that accept new work according to their entries but announced that they drain.
     pub fn draining(&self) -> impl ExactSizeIterator<Item = EngineKey> {
         self.draining.iter().copied()
     }
 
-    fn take_out(&mut self, key: EngineKey) -> bool {
+    fn remove_key(&mut self, key: EngineKey) -> bool {
         let Some(engine) = self.engines.remove(&key) else {
             return false;
         };
@@ -149,36 +147,35 @@
 
     /// Engines of a pool.
     pub fn pool(&self, pool: &PoolName) -> &EnginePool {
-        self.pools.get(pool).unwrap_or(&self.no_engines)
+        self.pools.get(pool).unwrap_or(&self.empty_pool)
     }
 
-    /// Where an engine is; `None` once it takes no new work.
+    /// An engine by key; `None` if it does not accept new work.
     pub fn engine(&self, key: EngineKey) -> Option<&FleetEngine> {
         self.engines.get(&key)
     }
 
-    /// The engines that other nodes mean by `code`: one, but for a rare collision. What is said of the
-    /// code then counts for each of them.
+    /// The engines with this code: usually one. Reports for a shared code count for each of them.
     pub fn engines_of(&self, code: EngineCode) -> impl Iterator<Item = EngineKey> {
         let same = (code, EngineKey(u64::MIN))..=(code, EngineKey(u64::MAX));
         self.codes.range(same).map(|(_, key)| *key)
     }
 
-    /// Engines whose code another engine has as well.
+    /// Number of engines that share their code with a previous one.
     pub fn code_collisions(&self) -> usize {
         let codes = self.codes.iter().map(|(code, _)| code);
         let pairs = codes.clone().zip(codes.skip(1));
         pairs.filter(|(code, next)| code == next).count()
     }
 
-    /// Whether a run takes new work at that address.
+    /// Whether the run accepts new work at that address.
     pub fn has_target(&self, target: &LinkTarget) -> bool {
-        let name = target.run.split(BORN_MARK).next().unwrap_or_default();
+        let name = target.run.split(START_SEPARATOR).next().unwrap_or_default();
         let engine = self.engines.get(&EngineKey::of(name));
         engine.is_some_and(|engine| engine.target() == *target)
     }
 
-    /// Tokens that an engine's memory holds; 0 if the engine is not known.
+    /// Capacity of an engine's prompt memory in tokens; 0 if the engine is unknown.
     pub fn memory_tokens(&self, key: EngineKey) -> u64 {
         let engine = self.engines.get(&key);
         engine.map_or(0, |engine| engine.memory_tokens)
@@ -195,13 +192,13 @@
         self.engines.len()
     }
 
-    /// Whether there is no engine.
+    /// Whether there are no engines.
     pub fn is_empty(&self) -> bool {
         self.engines.is_empty()
     }
 }
 
-fn staged(key: EngineKey, entry: &EngineEntry, terms: Option<&PoolTerms>) -> StagedEngine {
+fn staged_engine(key: EngineKey, entry: &EngineEntry, terms: Option<&PoolTerms>) -> StagedEngine {
     let prompt = terms.and_then(|terms| terms.prompt_engine);
     StagedEngine {
         key,
--- a/crates/forwarding/src/fleet/entry_text.rs
+++ b/crates/forwarding/src/fleet/entry_text.rs
@@ -1,5 +1,5 @@
-//! Engines' entries as nodes pass them on: what the product needs of an entry, in a third of the bytes of
-//! the entry itself. After a start each node is sent all of them.
+//! Compact form of engine entries in messages between nodes, a third of the size of the entry itself.
+//! After a start each node receives all of them.
 
 #[cfg(test)]
 mod tests;
@@ -12,7 +12,7 @@
 use dalestand_types::{PoolName, Role, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// A JSON list without names, in the order of the fields.
+/// Encoded as a JSON array in the order of the fields.
 #[derive(Deserialize, Serialize)]
 struct EntryText(
     Arc<str>,
@@ -43,7 +43,7 @@
     Spot,
 }
 
-/// The text of an entry.
+/// Encodes an entry.
 pub(crate) fn write(entry: &EngineEntry) -> String {
     let role = entry.role.map(|role| match role {
         Role::Prefill => RoleCode::Prefill,
@@ -64,17 +64,17 @@
         role,
         tenure,
     );
-    // Names, numbers and an address: there is nothing in it that JSON has no form for.
+    // Cannot fail: the fields are strings, numbers and an address.
     serde_json::to_string(&text).unwrap_or_default()
 }
 
-/// Reads a text that [`write`] wrote.
+/// Parses the text of [`write`].
 pub(crate) fn read(text: &str) -> Result<EngineEntry, serde_json::Error> {
     let EntryText(run, pool, address, zone, slots, accepting, role, tenure) =
         serde_json::from_str(text)?;
     Ok(EngineEntry {
         run,
-        // Told by itself: builds that know of no starts read this text too.
+        // Sent separately, so that builds without start times can read this text.
         born: None,
         pool,
         address,
--- a/crates/forwarding/src/fleet/entry_text/tests.rs
+++ b/crates/forwarding/src/fleet/entry_text/tests.rs
@@ -1,4 +1,4 @@
-//! What nodes pass on of an entry is all that the product needs of it, and short.
+//! The compact form of entries keeps the required fields and is short.
 
 use std::sync::Arc;
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// 10,004 of them reach each node after a start: with their keys a megabyte.
+/// A fleet's entries are sent to each starting node.
 #[rstest]
 fn an_entry_is_short() {
     let text = write(&entry(Some(Role::Prefill)));
@@ -59,10 +59,10 @@
 }
 
 #[rstest]
-#[case::nothing("")]
-#[case::cut("[\"i-7f3a91c2\",\"caption-llm\",\"10.1.64.9:80")]
-#[case::of_another_form("{\"run\":\"i-7f3a91c2\"}")]
-#[case::an_address_that_is_none("[\"i-1\",\"p\",\"here\",\"z\",1,true,\"p\",\"o\"]")]
-fn what_is_no_entry_is_not_read(#[case] text: &str) {
+#[case::empty("")]
+#[case::truncated("[\"i-7f3a91c2\",\"caption-llm\",\"10.1.64.9:80")]
+#[case::other_format("{\"run\":\"i-7f3a91c2\"}")]
+#[case::invalid_address("[\"i-1\",\"p\",\"here\",\"z\",1,true,\"p\",\"o\"]")]
+fn invalid_entries_are_rejected(#[case] text: &str) {
     assert!(read(text).is_err());
 }
--- a/crates/forwarding/src/fleet/follow.rs
+++ b/crates/forwarding/src/fleet/follow.rs
@@ -1,4 +1,4 @@
-//! Follows keys of the key-value service: reads them, then watches until a watch fails.
+//! Follows keys of the key-value service: lists them, then watches until a watch fails.
 
 #[cfg(test)]
 mod tests;
@@ -18,18 +18,16 @@
 /// Longest wait of one watch.
 pub(crate) const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// Pause after a first failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
+/// Delay after the first failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 
-/// Longest pause after failures.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// Upper bound of the delay after repeated failures.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The same for a follower that has never read its keys: a node that knows no configuration or no
-/// engine refuses every request.
-const LONGEST_PAUSE_UNREAD: Duration = Duration::from_millis(200);
+/// Upper bound of the delay until the first listing succeeds: without it a node refuses all requests.
+const MAX_BACKOFF_UNTIL_LISTED: Duration = Duration::from_millis(200);
 
-/// Tells the followers of a node that one of them reached the service again, so that the others do
-/// not sit out their pauses.
+/// Wakes the other followers of a node when one of them reaches the service again.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecoverySignal(Rc<Notify>);
 
@@ -38,41 +36,41 @@
         self.0.notify_waiters();
     }
 
-    /// Waits for `pause`, or until another follower reached the service.
-    async fn wait(&self, pause: Duration) {
-        let _ = tokio::time::timeout(pause, self.0.notified()).await;
+    /// Waits for `max_wait`, or until another follower has reached the service.
+    async fn wait(&self, max_wait: Duration) {
+        let _ = tokio::time::timeout(max_wait, self.0.notified()).await;
     }
 }
 
-/// What is done with keys as they change.
+/// Receives the entries of the followed keys and their changes.
 pub(crate) trait Follower {
-    /// A reading of all keys begins. [`Self::listed`] ends it, unless it fails.
-    fn listing_begins(&self) {}
+    /// A listing of all keys begins. It ends with [`Self::apply_listing`] unless it fails.
+    fn begin_listing(&self) {}
 
-    /// Some of the keys, as they are read. A reading of many keys takes several calls, and what the
-    /// first of them tells is of use at once.
-    fn page(&self, _entries: &[Entry]) {}
+    /// Receives one page of a listing, so that its entries can be used before the listing is complete.
+    fn apply_page(&self, _entries: &[Entry]) {}
 
-    /// All keys, as they stand. `after_outage` says that the service had failed before.
-    fn listed(&self, listing: Listing, after_outage: bool);
+    /// Receives all keys. `after_outage` means that entries may have expired because the service was
+    /// unavailable, or may be missing because it was restored from a backup.
+    fn apply_listing(&self, listing: Listing, after_outage: bool);
 
-    /// Keys have changed, oldest change first.
-    fn changed(&self, events: Vec<WatchEvent>);
+    /// Receives changes, oldest first.
+    fn apply_events(&self, events: Vec<WatchEvent>);
 
-    /// The service has answered: what is known of the keys stands, as of the call's begin.
-    fn confirmed(&self, _called_at: BootInstant) {}
+    /// The service has answered: the known entries are current as of `called_at`.
+    fn confirm(&self, _called_at: BootInstant) {}
 
-    /// Changes that come within this time of each other are asked for together: where many nodes
-    /// follow what many write, each change by itself would be a call of every node.
-    fn gather(&self) -> Duration {
+    /// Delay before the next watch after a change, so that it returns several changes at once: where
+    /// many nodes follow many writers, each change would otherwise cost a call of every node.
+    fn batch_delay(&self) -> Duration {
         Duration::ZERO
     }
 }
 
-/// What is followed, and where.
+/// The keys to follow and the service that has them.
 pub(crate) struct FollowTask {
     pub(crate) store: Rc<dyn KeyValue>,
-    /// Leading part of the keys.
+    /// Prefix of the keys.
     pub(crate) prefix: String,
     pub(crate) recovery: RecoverySignal,
     /// Longest wait of one watch.
@@ -80,48 +78,48 @@
     pub(crate) logger: Logger,
 }
 
-/// Where a follower stands.
+/// Progress of a follower.
 #[derive(Default)]
 struct Progress {
-    /// The revision from which to watch; `None` if all is to be read.
+    /// The revision from which to watch; `None` if the keys must be listed.
     position: Option<Revision>,
-    was_read: bool,
-    /// The era of what was last read.
+    was_listed: bool,
+    /// Era of the last answer.
     era: u64,
     failures: u32,
 }
 
-/// Follows the keys of `task` while `reading` holds, for as long as it is polled. Each time that
-/// `reading` begins to hold, all keys are read.
+/// Follows the keys of `task` while `enabled` is true, until dropped. Lists all keys each time that
+/// `enabled` becomes true.
 pub(crate) async fn follow(
     task: FollowTask,
     follower: impl Follower,
-    mut reading: watch::Receiver<bool>,
+    mut enabled: watch::Receiver<bool>,
 ) {
     let mut progress = Progress::default();
-    while reading.wait_for(|reads| *reads).await.is_ok() {
+    while enabled.wait_for(|enabled| *enabled).await.is_ok() {
         tokio::select! {
-            () = follow_on(&task, &follower, &mut progress) => {}
-            () = stopped(&mut reading) => progress.position = None,
+            () = follow_step(&task, &follower, &mut progress) => {}
+            () = wait_until_stopped(&mut enabled) => progress.position = None,
         }
     }
 }
 
-/// Waits until `reading` no longer holds; for ever if nobody can change it.
-async fn stopped(reading: &mut watch::Receiver<bool>) {
-    if reading.wait_for(|reads| !*reads).await.is_err() {
+/// Waits until `enabled` is false; forever if its sender is gone.
+async fn wait_until_stopped(enabled: &mut watch::Receiver<bool>) {
+    if enabled.wait_for(|enabled| !*enabled).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-/// One call, and the pause after a failure.
-async fn follow_on(task: &FollowTask, follower: &impl Follower, progress: &mut Progress) {
+/// Makes one call or listing, and waits after a failure.
+async fn follow_step(task: &FollowTask, follower: &impl Follower, progress: &mut Progress) {
     let prefix = &task.prefix;
     let called_at = BootInstant::now();
-    match step(task, progress, follower).await {
+    match call_service(task, progress, follower).await {
         Ok(followed) => {
             let next = followed.position;
-            follower.confirmed(called_at);
+            follower.confirm(called_at);
             if progress.failures > 0 {
                 log_event!(task.logger, Event::KeyValueRegained, "prefix" => prefix,
                     "failures" => progress.failures,
@@ -129,11 +127,11 @@
                 task.recovery.notify();
             }
             progress.failures = 0;
-            progress.was_read = true;
+            progress.was_listed = true;
             progress.era = next.map_or(progress.era, Revision::era);
             progress.position = next;
             if followed.has_changed {
-                actix_rt::time::sleep(follower.gather()).await;
+                actix_rt::time::sleep(follower.batch_delay()).await;
             }
         }
         Err(error) => {
@@ -143,41 +141,39 @@
                     "revision" => progress.position.map(|revision| revision.0));
             }
             progress.failures += 1;
-            // A watch that was cut may have missed a change that the next watch does not tell
-            // either: only a read shows what stands now.
+            // The failed watch may have missed a change that the next one does not report.
             progress.position = None;
-            let longest = if progress.was_read {
-                LONGEST_PAUSE
+            let max_backoff = if progress.was_listed {
+                MAX_BACKOFF
             } else {
-                LONGEST_PAUSE_UNREAD
+                MAX_BACKOFF_UNTIL_LISTED
             };
-            let pause = pause(progress.failures, longest, error.current_context());
-            task.recovery.wait(pause).await;
+            let delay = backoff(progress.failures, max_backoff, error.current_context());
+            task.recovery.wait(delay).await;
         }
     }
 }
 
-/// What a call has shown.
+/// Result of a call.
 struct Followed {
-    /// Where to go on; `None` if all is to be read again.
+    /// Where to continue; `None` if the keys must be listed again.
     position: Option<Revision>,
-    /// Whether keys have changed.
     has_changed: bool,
 }
 
-/// One call, or a reading of all.
-async fn step(
+/// Watches for changes, or lists all keys.
+async fn call_service(
     task: &FollowTask,
     progress: &Progress,
     follower: &impl Follower,
 ) -> Result<Followed, Report<PlatformError>> {
     let FollowTask { store, prefix, .. } = task;
     let Some(position) = progress.position else {
-        let listing = read_all(task, follower).await?;
+        let listing = list_all(task, follower).await?;
         let revision = listing.revision;
-        // A copy lacks what was written last, which is soon written again, as after an outage.
-        let is_restored = progress.was_read && revision.era() != progress.era;
-        follower.listed(listing, progress.failures > 0 || is_restored);
+        // A restored backup lacks recent writes, which are soon repeated, as after an outage.
+        let is_restored = progress.was_listed && revision.era() != progress.era;
+        follower.apply_listing(listing, progress.failures > 0 || is_restored);
         return Ok(Followed {
             position: Some(revision),
             has_changed: false,
@@ -192,7 +188,7 @@
     }
     let has_changed = !batch.events.is_empty();
     if has_changed {
-        follower.changed(batch.events);
+        follower.apply_events(batch.events);
     }
     Ok(Followed {
         position: Some(batch.revision.max(position)),
@@ -200,19 +196,19 @@
     })
 }
 
-/// Reads all keys, page by page. Pages are no snapshot: a watch from the first page's revision tells
-/// what came between.
-async fn read_all(
+/// Lists all keys page by page. The pages are not a snapshot: a watch from the first page's revision
+/// reports changes made in between.
+async fn list_all(
     task: &FollowTask,
     follower: &impl Follower,
 ) -> Result<Listing, Report<PlatformError>> {
     let FollowTask { store, prefix, .. } = task;
-    follower.listing_begins();
+    follower.begin_listing();
     let mut page = store.page(prefix, None).await?;
     let revision = page.listing.revision;
     let mut entries = Vec::new();
     loop {
-        follower.page(&page.listing.entries);
+        follower.apply_page(&page.listing.entries);
         let last = page.listing.entries.last().map(|entry| entry.key.clone());
         entries.append(&mut page.listing.entries);
         match last.filter(|_| page.has_more) {
@@ -222,25 +218,24 @@
     }
 }
 
-/// A pause that grows with the failures, spread so that nodes do not call in step: behind what the service
-/// asked for, not before it. A node that stays away for longer than `longest` is behind on engines that
-/// leave, whatever the service asked for.
-fn pause(failures: u32, longest: Duration, error: &PlatformError) -> Duration {
-    let grown = FIRST_PAUSE * 2_u32.pow(failures.min(5) - 1);
-    let told = match error {
+/// Exponential backoff with jitter, never shorter than the delay that the service requested unless
+/// that exceeds `max_backoff`: a node that waits longer would miss draining engines.
+fn backoff(failures: u32, max_backoff: Duration, error: &PlatformError) -> Duration {
+    let exponential = INITIAL_BACKOFF * 2_u32.pow(failures.min(5) - 1);
+    let requested = match error {
         PlatformError::RateLimited { retry_after, .. } => *retry_after,
         PlatformError::OutOfService { retry_after, .. } => retry_after.unwrap_or_default(),
         _ => Duration::ZERO,
     };
     let jitter = rand::rng().random_range(0.6..1.0);
-    let pause = if told < grown {
-        grown.mul_f64(jitter).max(told)
+    let delay = if requested < exponential {
+        exponential.mul_f64(jitter).max(requested)
     } else {
-        told.saturating_add(FIRST_PAUSE.mul_f64(1.0 - jitter))
+        requested.saturating_add(INITIAL_BACKOFF.mul_f64(1.0 - jitter))
     };
-    if pause < longest {
-        pause
+    if delay < max_backoff {
+        delay
     } else {
-        longest.mul_f64(jitter)
+        max_backoff.mul_f64(jitter)
     }
 }
--- a/crates/forwarding/src/fleet/follow/tests.rs
+++ b/crates/forwarding/src/fleet/follow/tests.rs
@@ -1,4 +1,4 @@
-//! A follower against a key-value service that fails.
+//! A follower of a key-value service that fails.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 use rstest::rstest;
 use tokio::sync::watch;
 
-use super::{FollowTask, Follower, RecoverySignal, WATCH_WAIT, follow, pause};
+use super::{FollowTask, Follower, RecoverySignal, WATCH_WAIT, backoff, follow};
 
 const KEY: &str = "declaration";
 
-/// What followers use of a service.
+/// Read calls of the service.
 #[async_trait(?Send)]
-trait Reading {
+trait ReadCalls {
     async fn range(&self, prefix: &str) -> Result<Listing, Report<PlatformError>>;
 
     async fn watch(
@@ -32,11 +32,11 @@
     ) -> Result<WatchBatch, Report<PlatformError>>;
 }
 
-/// A service that is only read.
+/// A service without writes.
 struct ReadOnly<R>(Rc<R>);
 
 #[async_trait(?Send)]
-impl<R: Reading> KeyValue for ReadOnly<R> {
+impl<R: ReadCalls> KeyValue for ReadOnly<R> {
     async fn get(&self, _key: &str) -> Result<Option<Entry>, Report<PlatformError>> {
         Ok(None)
     }
@@ -77,8 +77,8 @@
     }
 }
 
-/// A watch that hears nothing.
-async fn hear_nothing(
+/// A watch without changes.
+async fn watch_nothing(
     after: Revision,
     wait: Duration,
 ) -> Result<WatchBatch, Report<PlatformError>> {
@@ -90,7 +90,6 @@
     })
 }
 
-/// Follows [`KEY`] in `store`.
 fn task(store: Rc<dyn KeyValue>, recovery: RecoverySignal) -> FollowTask {
     FollowTask {
         store,
@@ -101,19 +100,19 @@
     }
 }
 
-/// A follower that is never stopped.
+/// Enables a follower for the whole test.
 fn always() -> watch::Receiver<bool> {
     watch::channel(true).1
 }
 
-fn no_answer(message: &str) -> Report<PlatformError> {
+fn in_doubt(message: &str) -> Report<PlatformError> {
     Report::new(PlatformError::InDoubt {
         system: "store",
         message: message.to_owned(),
     })
 }
 
-/// One entry of the key, whose value is `value`.
+/// A listing with one entry.
 fn one(key: &str, value: String, revision: Revision) -> Listing {
     let entry = Entry {
         key: key.to_owned(),
@@ -124,16 +123,16 @@
     Listing { revision, entries }
 }
 
-/// A service whose watches hear nothing of the second write: the first is cut after it, and the
-/// later ones wait for a third.
+/// A service whose watches miss the second write: the first watch fails after it, later ones wait for a
+/// third write.
 #[derive(Default)]
-struct DeafWatches {
+struct MissedChange {
     written: Cell<u64>,
     watches: Cell<u32>,
 }
 
 #[async_trait(?Send)]
-impl Reading for DeafWatches {
+impl ReadCalls for MissedChange {
     async fn range(&self, _prefix: &str) -> Result<Listing, Report<PlatformError>> {
         let revision = Revision(self.written.get());
         Ok(one(KEY, revision.to_string(), revision))
@@ -147,54 +146,53 @@
         self.watches.set(self.watches.get() + 1);
         if self.watches.get() == 1 {
             self.written.set(2);
-            return Err(no_answer("reset"));
+            return Err(in_doubt("reset"));
         }
-        hear_nothing(after, wait).await
+        watch_nothing(after, wait).await
     }
 }
 
 #[derive(Clone, Default)]
-struct Seen(Rc<RefCell<Vec<String>>>);
+struct Recorder(Rc<RefCell<Vec<String>>>);
 
-impl Follower for Seen {
-    fn listed(&self, listing: Listing, _after_outage: bool) {
+impl Follower for Recorder {
+    fn apply_listing(&self, listing: Listing, _after_outage: bool) {
         let values = listing.entries.into_iter().map(|entry| entry.value);
         self.0.borrow_mut().extend(values);
     }
 
-    fn changed(&self, events: Vec<WatchEvent>) {
+    fn apply_events(&self, events: Vec<WatchEvent>) {
         let values = events.into_iter().filter_map(|event| event.value);
         self.0.borrow_mut().extend(values);
     }
 }
 
-/// Seen on a day on which the service forgot its history: a watch that began right after the cut
-/// said nothing of the change before it, and the node refused new routes for four seconds.
+/// A watch that starts after a failed one may miss a change made in between.
 #[actix_rt::test]
-async fn what_a_cut_watch_missed_is_read() {
-    let store = Rc::new(DeafWatches::default());
+async fn changes_missed_by_a_failed_watch_are_listed() {
+    let store = Rc::new(MissedChange::default());
     store.written.set(1);
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let task = task(Rc::new(ReadOnly(store)), RecoverySignal::default());
     let following = follow(task, seen.clone(), always());
     let _ = tokio::time::timeout(Duration::from_secs(1), following).await;
     assert_eq!(*seen.0.borrow(), ["1", "2"]);
 }
 
-/// A service that answers nobody until it is let, and then the first reader only.
+/// A service that fails until it is brought up.
 #[derive(Default)]
-struct DownThenUp {
+struct Outage {
     is_up: Cell<bool>,
     answered: Cell<u32>,
     asked: Cell<u32>,
 }
 
 #[async_trait(?Send)]
-impl Reading for DownThenUp {
+impl ReadCalls for Outage {
     async fn range(&self, prefix: &str) -> Result<Listing, Report<PlatformError>> {
         self.asked.set(self.asked.get() + 1);
         if !self.is_up.get() {
-            return Err(no_answer("down"));
+            return Err(in_doubt("down"));
         }
         self.answered.set(self.answered.get() + 1);
         Ok(one(prefix, prefix.to_owned(), Revision(1)))
@@ -205,16 +203,16 @@
         after: Revision,
         wait: Duration,
     ) -> Result<WatchBatch, Report<PlatformError>> {
-        hear_nothing(after, wait).await
+        watch_nothing(after, wait).await
     }
 }
 
-/// Seen in an incident: after an outage a node read the declaration 0.4 s before its engines, and
-/// refused what came between.
+/// After an outage all keys must be read at about the same time, or requests fail although the
+/// declaration is known.
 #[actix_rt::test]
 async fn one_follower_that_reaches_the_service_wakes_the_others() {
-    let store = Rc::new(DownThenUp::default());
-    let (first, second) = (Seen::default(), Seen::default());
+    let store = Rc::new(Outage::default());
+    let (first, second) = (Recorder::default(), Recorder::default());
     let recovery = RecoverySignal::default();
     for (key, seen) in [("first", &first), ("second", &second)] {
         let store = Rc::new(ReadOnly(store.clone()));
@@ -222,7 +220,7 @@
         task.prefix = key.to_owned();
         actix_rt::spawn(follow(task, seen.clone(), always()));
     }
-    // Both sit out long pauses.
+    // Both followers are in long backoff delays.
     actix_rt::time::sleep(Duration::from_millis(900)).await;
     let asked = store.asked.get();
     while store.asked.get() == asked {
@@ -237,27 +235,31 @@
     assert_eq!(*second.0.borrow(), ["second"]);
 }
 
-/// A node that knows nothing refuses everything, so it asks more often than one that does.
+/// A node without any entries refuses all requests, so it retries more often.
 #[actix_rt::test]
-async fn a_follower_that_has_read_nothing_asks_often() {
-    let store = Rc::new(DownThenUp::default());
+async fn a_follower_without_a_listing_retries_often() {
+    let store = Rc::new(Outage::default());
     let following = Rc::new(ReadOnly(store.clone()));
-    let seen = Seen::default();
+    let seen = Recorder::default();
     let task = task(following, RecoverySignal::default());
     actix_rt::spawn(follow(task, seen, always()));
     actix_rt::time::sleep(Duration::from_secs(5)).await;
-    assert!(store.asked.get() >= 22, "asked {} times", store.asked.get());
+    assert!(
+        store.asked.get() >= 22,
+        "called {} times",
+        store.asked.get()
+    );
 }
 
 /// A service at which a key changes every few milliseconds.
-struct Restless {
+struct BusyService {
     revision: Cell<u64>,
-    /// Watches that told a change.
+    /// Number of watches that returned changes.
     answered: Cell<u32>,
 }
 
 #[async_trait(?Send)]
-impl Reading for Restless {
+impl ReadCalls for BusyService {
     async fn range(&self, _prefix: &str) -> Result<Listing, Report<PlatformError>> {
         Ok(Listing {
             revision: Revision(0),
@@ -288,30 +290,29 @@
     }
 }
 
-const GATHERED: Duration = Duration::from_millis(100);
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// Notes every change, and gathers.
-struct Gathering(Rc<RefCell<Vec<u64>>>);
+/// Records every change; delays watches by [`BATCH_DELAY`].
+struct BatchingRecorder(Rc<RefCell<Vec<u64>>>);
 
-impl Follower for Gathering {
-    fn listed(&self, _listing: Listing, _after_outage: bool) {}
+impl Follower for BatchingRecorder {
+    fn apply_listing(&self, _listing: Listing, _after_outage: bool) {}
 
-    fn changed(&self, events: Vec<WatchEvent>) {
+    fn apply_events(&self, events: Vec<WatchEvent>) {
         let revisions = events.iter().map(|event| event.revision.0);
         self.0.borrow_mut().extend(revisions);
     }
 
-    fn gather(&self) -> Duration {
-        GATHERED
+    fn batch_delay(&self) -> Duration {
+        BATCH_DELAY
     }
 }
 
-/// Found on the grown sites: each of 66 nodes called once for each change of any of them, 6,732
-/// calls in a quiet minute.
+/// Without batching, every change would cost a call of every node.
 #[actix_rt::test]
-async fn changes_that_come_together_are_asked_for_together() {
+async fn changes_in_quick_succession_are_batched() {
     const CHANGES: u64 = 60;
-    let service = Rc::new(Restless {
+    let service = Rc::new(BusyService {
         revision: Cell::new(0),
         answered: Cell::new(0),
     });
@@ -320,7 +321,7 @@
         Rc::new(ReadOnly(Rc::clone(&service))),
         RecoverySignal::default(),
     );
-    let following = follow(task, Gathering(Rc::clone(&seen)), always());
+    let following = follow(task, BatchingRecorder(Rc::clone(&seen)), always());
     let begun = BootInstant::now();
     let changing = async {
         for _ in 0..CHANGES {
@@ -330,32 +331,32 @@
         actix_rt::time::sleep(Duration::from_millis(250)).await;
     };
     tokio::select! {
-        () = following => unreachable!("it follows for ever"),
+        () = following => unreachable!("the follower never returns"),
         () = changing => {}
     }
     let all: Vec<u64> = (1..=CHANGES).collect();
     assert_eq!(*seen.borrow(), all, "no change is missed");
-    let gathered = begun.elapsed().as_millis() / GATHERED.as_millis();
+    let batches = begun.elapsed().as_millis() / BATCH_DELAY.as_millis();
     let answered = service.answered.get();
     assert!(
-        u128::from(answered) <= gathered + 1,
-        "{answered} answers in {gathered}"
+        u128::from(answered) <= batches + 1,
+        "{answered} answers in {batches} batches"
     );
 }
 
-/// A node that listens to a relay makes no calls; when it reads again it reads all, since a watch from
-/// the former position may have missed changes.
+/// A node that follows a relay makes no calls. When it is enabled again it lists all keys, because a
+/// watch from the previous position may miss changes.
 #[actix_rt::test]
-async fn a_follower_that_is_stopped_makes_no_calls_and_then_reads_all() {
-    let store = Rc::new(DeafWatches::default());
+async fn a_disabled_follower_makes_no_calls_and_then_lists_all() {
+    let store = Rc::new(MissedChange::default());
     store.written.set(1);
-    let (sender, reading) = watch::channel(true);
-    let seen = Seen::default();
+    let (sender, enabled) = watch::channel(true);
+    let seen = Recorder::default();
     let task = task(
         Rc::new(ReadOnly(Rc::clone(&store))),
         RecoverySignal::default(),
     );
-    actix_rt::spawn(follow(task, seen.clone(), reading));
+    actix_rt::spawn(follow(task, seen.clone(), enabled));
     actix_rt::time::sleep(Duration::from_millis(200)).await;
     sender.send_replace(false);
     actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -368,42 +369,41 @@
     assert_eq!(seen.0.borrow().last().map(String::as_str), Some("7"));
 }
 
-/// Pauses of many nodes after one failure that asks for `asked_ms`, in milliseconds: shortest and longest.
-fn pauses(asked_ms: Option<u64>, is_throttled: bool) -> (u128, u128) {
-    let asked = asked_ms.map(Duration::from_millis);
+/// Shortest and longest delay of many nodes after one failure, in milliseconds.
+fn backoff_range(requested_ms: Option<u64>, is_throttled: bool) -> (u128, u128) {
+    let requested = requested_ms.map(Duration::from_millis);
     let error = if is_throttled {
         PlatformError::RateLimited {
             system: "store",
-            retry_after: asked.unwrap_or_default(),
+            retry_after: requested.unwrap_or_default(),
         }
     } else {
         PlatformError::OutOfService {
             system: "store",
-            retry_after: asked,
+            retry_after: requested,
         }
     };
-    let longest = Duration::from_millis(500);
-    let pauses = (0..500).map(|_| pause(1, longest, &error).as_millis());
-    let pauses: Vec<u128> = pauses.collect();
-    let (first, last) = (pauses.iter().min(), pauses.iter().max());
+    let max_backoff = Duration::from_millis(500);
+    let delays = (0..500).map(|_| backoff(1, max_backoff, &error).as_millis());
+    let delays: Vec<u128> = delays.collect();
+    let (first, last) = (delays.iter().min(), delays.iter().max());
     (*first.expect("some"), *last.expect("some"))
 }
 
-/// A service that asks for a time without calls was called again after six tenths of it, and one that is
-/// out of service was not asked how long.
+/// The delay must be at least the one that the service requested, up to the maximum.
 #[rstest]
 #[case::throttled(Some(300), true, 300, 325)]
 #[case::out_of_service(Some(300), false, 300, 325)]
-#[case::nothing_asked(None, false, 36, 60)]
-#[case::less_than_the_own_pause(Some(10), true, 36, 60)]
-#[case::longer_than_a_node_may_be_behind(Some(10_000), false, 300, 500)]
-fn no_call_is_made_before_the_service_wants_one(
-    #[case] asked_ms: Option<u64>,
+#[case::nothing_requested(None, false, 36, 60)]
+#[case::less_than_the_own_delay(Some(10), true, 36, 60)]
+#[case::longer_than_the_maximum(Some(10_000), false, 300, 500)]
+fn the_delay_respects_the_requested_retry_time(
+    #[case] requested_ms: Option<u64>,
     #[case] is_throttled: bool,
     #[case] from_ms: u128,
     #[case] to_ms: u128,
 ) {
-    let (first, last) = pauses(asked_ms, is_throttled);
+    let (first, last) = backoff_range(requested_ms, is_throttled);
     assert!(first >= from_ms && last <= to_ms, "{first} to {last} ms");
-    assert!(last > first, "nodes do not call in step");
+    assert!(last > first, "the delay has jitter");
 }
--- a/crates/forwarding/src/fleet/mod.rs
+++ b/crates/forwarding/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Engines and nodes, as the key-value service and relays tell.
+//! Engines and nodes, as known from the key-value service and from relays.
 
 pub(crate) mod declaration;
 pub(crate) mod declaration_text;
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -1,6 +1,6 @@
-//! A node that starts knows of no kept parts. It asks relays. After all nodes were lost no relay
-//! knows any: relays read them from the engines themselves, each engine at one relay, which tells
-//! the others.
+//! Recovers the prompt parts cached by engines. A starting node asks relays for them. After a loss of
+//! all nodes no relay knows any: relays query the engines, each engine being assigned to one relay, and
+//! inform the others.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -17,67 +17,67 @@
 use crate::fleet::placements::placement;
 use crate::serve::engine_call::call_engine;
 
-/// How often the start looks whether engines and peers are known.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// How often to check whether this node is ready.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Time within which a node that serves knows the relays.
-const RELAYS_KNOWN_WITHIN: Duration = Duration::from_millis(60);
+/// Time within which a ready node discovers the relays.
+const RELAY_DISCOVERY_TIME: Duration = Duration::from_millis(60);
 
-/// Parts of fewer tokens are not worth remembering.
-const SMALLEST_PART_TOKENS: u32 = 400;
+/// Shorter parts are not recovered.
+const MIN_PART_TOKENS: u32 = 400;
 
-/// Parts told in one placement.
-const PARTS_TOLD_AT_ONCE: usize = 50;
+/// Limit on the parts of one placement.
+const MAX_PARTS_PER_PLACEMENT: usize = 50;
 
-/// Parts that a node which has started is told: 55 KB, which the slowest link of today (20 Mbit/s) carries
-/// in 22 ms. Parts that were used longer ago are read again when they are asked for.
-const PARTS_TOLD: usize = 4_096;
+/// Limit on the parts sent to a starting node: 55 KB, which a link of 20 Mbit/s carries in 22 ms. Less
+/// recently used parts are prefilled again on demand.
+const MAX_PARTS_SENT: usize = 4_096;
 
-/// Engines that a relay asks at a time. All that fall to it at once, hundreds of a large fleet, would hold
-/// up what the relay is wanted for in that moment: telling its members of the engines.
-const ASKED_AT_ONCE: usize = 8;
+/// Concurrent queries of a relay to engines. Querying all assigned engines at once would delay the
+/// tables that its members need after a start.
+const MAX_CONCURRENT_REQUESTS: usize = 8;
 
-/// Recovers the kept parts; ends when all have been asked.
+/// Recovers the cached parts; returns when all queries are done.
 pub(crate) async fn recover_parts(context: Rc<Context>) {
     while !context.is_ready() {
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
+        actix_rt::time::sleep(READY_POLL_INTERVAL).await;
     }
-    actix_rt::time::sleep(RELAYS_KNOWN_WITHIN).await;
+    actix_rt::time::sleep(RELAY_DISCOVERY_TIME).await;
     context.ask_for_parts();
     if !context.dissemination.role(context.now()).is_relay {
         return;
     }
-    let asked = own_engines(&context)
+    let requests = assigned_engines(&context)
         .into_iter()
-        .map(|(pool, engine)| recover(Rc::clone(&context), pool, engine));
-    stream::iter(asked)
-        .buffer_unordered(ASKED_AT_ONCE)
+        .map(|(pool, engine)| recover_from_engine(Rc::clone(&context), pool, engine));
+    stream::iter(requests)
+        .buffer_unordered(MAX_CONCURRENT_REQUESTS)
         .for_each(|()| std::future::ready(()))
         .await;
 }
 
-/// What this node is to tell a node that has just started.
+/// The most recently used cached parts, for a starting node.
 pub(crate) fn known_parts(context: &Context) -> Vec<Placement> {
     let mut by_engine: HashMap<EngineKey, Vec<PromptPart>> = HashMap::new();
     let router = context.router.borrow();
-    let last = router.parts.recently_confirmed(SMALLEST_PART_TOKENS);
-    for (engine, part) in last.take(PARTS_TOLD) {
+    let last = router.parts.recently_confirmed(MIN_PART_TOKENS);
+    for (engine, part) in last.take(MAX_PARTS_SENT) {
         by_engine.entry(engine).or_default().push(part);
     }
     let placements = by_engine.into_iter().flat_map(|(engine, parts)| {
-        let chunks = parts.chunks(PARTS_TOLD_AT_ONCE);
+        let chunks = parts.chunks(MAX_PARTS_PER_PLACEMENT);
         let read = |parts| placement(engine, PlacementState::Prefilled, parts, 0);
         chunks.map(read).collect::<Vec<_>>()
     });
     placements.collect()
 }
 
-/// The engines that fall to this relay: each falls to the relay of the highest weight.
-fn own_engines(context: &Context) -> Vec<(PoolName, StagedEngine)> {
+/// The engines assigned to this relay by rendezvous hashing.
+fn assigned_engines(context: &Context) -> Vec<(PoolName, StagedEngine)> {
     let fleet = context.fleet();
     let node = context.dissemination.node.0;
     let others = context.dissemination.other_relays();
-    let is_own = |engine: &StagedEngine| {
+    let is_assigned = |engine: &StagedEngine| {
         let weight = |node| rendezvous_weight(engine.key.0, node);
         let mut others = others.iter();
         others.all(|other| weight(node) > weight(other.number.0))
@@ -85,12 +85,12 @@
     let engines = fleet.engines();
     let prompt_engines = engines.filter(|(_, engine)| engine.memory_tokens > 0);
     prompt_engines
-        .filter(|(_, engine)| is_own(engine))
+        .filter(|(_, engine)| is_assigned(engine))
         .map(|(pool, engine)| (pool.clone(), engine.clone()))
         .collect()
 }
 
-async fn recover(context: Rc<Context>, pool: PoolName, engine: StagedEngine) {
+async fn recover_from_engine(context: Rc<Context>, pool: PoolName, engine: StagedEngine) {
     let head = context.dialect.kept_parts_request();
     let answered = call_engine(&context, &pool, &engine, head, Bytes::new()).await;
     let Some((status, body)) = answered else {
@@ -100,10 +100,10 @@
     if !status.is_success() {
         return;
     }
-    let kept = context.dialect.read_kept_parts(&body);
-    let long = kept
+    let cached = context.dialect.read_kept_parts(&body);
+    let long = cached
         .into_iter()
-        .filter(|(_, tokens)| *tokens >= SMALLEST_PART_TOKENS);
+        .filter(|(_, tokens)| *tokens >= MIN_PART_TOKENS);
     let parts: Vec<PromptPart> = long.map(|(id, tokens)| PromptPart { id, tokens }).collect();
     log_event!(context.logger, Event::PartsRecovered, "engine" => &*engine.run,
         "parts" => parts.len());
@@ -113,7 +113,7 @@
         .record_sent(engine.key, engine.memory_tokens, &parts);
     router.parts.confirm_cached(engine.key, &parts);
     let mut placements = context.placements.borrow_mut();
-    for parts in parts.chunks(PARTS_TOLD_AT_ONCE) {
-        placements.push_kept(engine.key, parts);
+    for parts in parts.chunks(MAX_PARTS_PER_PLACEMENT) {
+        placements.push_cached(engine.key, parts);
     }
 }
--- a/crates/forwarding/src/fleet/placements.rs
+++ b/crates/forwarding/src/fleet/placements.rs
@@ -1,13 +1,13 @@
-//! Parts of prompts that were sent to engines, to be told to other nodes.
+//! Prompts placed on engines, to be sent to other nodes.
 
 use dalestand_dissemination::{EngineCode, PlacedPart, Placement, PlacementState};
 use dalestand_routing::staged::{EngineKey, PromptPart};
 
-/// Parts of fewer tokens are not sent: prefilling them again costs less.
-const SENT_TOKENS: u32 = 400;
+/// Shorter parts are not sent: prefilling them again costs less.
+const MIN_SENT_TOKENS: u32 = 400;
 
-/// Most prompts kept for sending; nodes that do not hear of one prefill a part again, nothing worse.
-const MAX_PROMPTS: usize = 64;
+/// Limit on queued prompts. Nodes that miss one prefill a part again.
+const MAX_QUEUED_PROMPTS: usize = 64;
 
 /// A placement of parts that prompts may share.
 pub(crate) fn placement(
@@ -28,29 +28,29 @@
     }
 }
 
-/// Prompts that other nodes have not heard of.
+/// Placements that have not been sent to other nodes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Placements(Vec<Placement>);
 
 impl Placements {
-    /// Notes a prompt at an engine. Its last part belongs to the request itself or its session.
+    /// Adds a prompt sent to an engine. Its last part is specific to the request or its session.
     pub(crate) fn push(&mut self, engine: EngineKey, state: PlacementState, parts: &[PromptPart]) {
         let Some((own, shared)) = parts.split_last() else {
             return;
         };
-        let is_long = parts.iter().any(|part| part.tokens >= SENT_TOKENS);
-        if is_long && self.0.len() < MAX_PROMPTS {
+        let is_long = parts.iter().any(|part| part.tokens >= MIN_SENT_TOKENS);
+        if is_long && self.0.len() < MAX_QUEUED_PROMPTS {
             self.0.push(placement(engine, state, shared, own.tokens));
         }
     }
 
-    /// Notes parts that an engine keeps.
-    pub(crate) fn push_kept(&mut self, engine: EngineKey, kept: &[PromptPart]) {
+    /// Adds parts cached by an engine.
+    pub(crate) fn push_cached(&mut self, engine: EngineKey, cached: &[PromptPart]) {
         self.0
-            .push(placement(engine, PlacementState::Prefilled, kept, 0));
+            .push(placement(engine, PlacementState::Prefilled, cached, 0));
     }
 
-    /// Takes all out.
+    /// Takes all placements.
     pub(crate) fn take(&mut self) -> Vec<Placement> {
         std::mem::take(&mut self.0)
     }
--- a/crates/forwarding/src/fleet/registration.rs
+++ b/crates/forwarding/src/fleet/registration.rs
@@ -1,4 +1,4 @@
-//! Nodes of the fleet: each keeps an entry under a lease, and follows the entries of the others.
+//! Registration of nodes: each keeps an entry under a lease, and follows the entries of the others.
 
 use std::cell::RefCell;
 use std::collections::HashSet;
@@ -21,51 +21,51 @@
 use crate::roles::authority::Authority;
 use crate::roles::hold::HOLDER_KEY;
 
-/// Leading part of the keys of nodes' entries; the zone and the name follow.
+/// Prefix of the keys of node entries; the zone and the name follow.
 const NODE_PREFIX: &str = "dalestand/nodes/";
 
-/// Leading part of all keys that nodes write.
+/// Prefix of all keys that nodes write.
 pub(crate) const OWN_PREFIX: &str = "dalestand/";
 
-/// An entry outlives its node by this time at most.
-const TIME_TO_LIVE: Duration = Duration::from_secs(15);
+/// Time to live of the lease of a node's entry.
+const ENTRY_TTL: Duration = Duration::from_secs(15);
 
 /// How often the lease is renewed.
-const RENEWAL: Duration = Duration::from_secs(5);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Changes of nodes' entries are gathered for this time for each node that follows them.
-const NODES_GATHERED_PER_FOLLOWER: Duration = Duration::from_millis(16);
+/// Delay per relay before watching for further changes of node entries.
+const BATCH_DELAY_PER_RELAY: Duration = Duration::from_millis(16);
 
-/// Longest time for which they are gathered. A node that is missed for so long is sent no sums, and
-/// the shares of what nodes divide among them are as old.
-const NODES_GATHERED: Duration = Duration::from_secs(1);
+/// Upper bound of that delay. Meanwhile a new node receives no exchanges, and values divided among the
+/// nodes are out of date.
+const MAX_BATCH_DELAY: Duration = Duration::from_secs(1);
 
-/// Machines start within 0.3 s of one another; a node is registered some calls later.
-const FIRST_START: Duration = Duration::from_millis(500);
+/// Nodes of a new fleet start within 0.3 s of one another and register a few calls later.
+const FIRST_START_DELAY: Duration = Duration::from_millis(500);
 
-/// Pause after the nodes of the zone could not be read.
-const SHORT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after the nodes of the zone could not be listed.
+const LISTING_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Leases may run out while the service is away. A node finds out with its next renewal, and
-/// registers again within some calls.
-const LAPSED_NODES_RETURN: Duration = RENEWAL.saturating_add(Duration::from_secs(2));
+/// Leases may expire while the service is unavailable. A node notices at its next renewal and registers
+/// again within a few calls.
+const LAPSED_NODE_GRACE: Duration = RENEWAL_INTERVAL.saturating_add(Duration::from_secs(2));
 
-/// Pause after a failed call.
-const FAILURE_PAUSE: Duration = Duration::from_millis(700);
+/// Delay after a failed registration.
+const REGISTRATION_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Takes the entries of nodes into account.
+/// Follows node entries, the lease holder and stopped requests in the key-value service.
 #[derive(Clone)]
 pub(crate) struct NodeFollower {
     context: Rc<Context>,
     authority: Authority,
-    /// Nodes whose entries had lapsed when the service came back, and that have not registered since.
+    /// Nodes whose entries had expired when the service came back, and that have not registered since.
     lapsed: Rc<RefCell<HashSet<String>>>,
-    /// Name and token of the node that holds the authority.
+    /// Name and fencing token of the lease holder.
     holder: Rc<RefCell<Option<(String, u64)>>>,
 }
 
 impl NodeFollower {
-    /// A follower that tells `authority` whether some node holds it.
+    /// A follower that reports to `authority` whether some node holds it.
     pub(crate) fn new(context: Rc<Context>, authority: Authority) -> Self {
         Self {
             context,
@@ -75,26 +75,32 @@
         }
     }
 
-    /// Forgets lapsed nodes that had time to register again.
-    async fn forget_lapsed(self) {
-        sleep(LAPSED_NODES_RETURN).await;
+    /// Removes nodes that did not register again within the grace period.
+    async fn remove_lapsed(self) {
+        sleep(LAPSED_NODE_GRACE).await;
         let lapsed = std::mem::take(&mut *self.lapsed.borrow_mut());
         self.context.dissemination.update_directory(|directory| {
             for name in &lapsed {
                 directory.set(name, None);
             }
         });
-        self.count();
+        self.update_node_count();
     }
 
-    fn set(&self, directory: &mut NodeDirectory, key: &str, value: Option<&str>, revision: u64) {
+    fn apply_entry(
+        &self,
+        directory: &mut NodeDirectory,
+        key: &str,
+        value: Option<&str>,
+        revision: u64,
+    ) {
         if key == HOLDER_KEY {
             self.authority.set_taken(value.is_some());
             let holder = value.map(|name| (name.to_owned(), revision));
             self.holder.replace(holder);
         } else if key.starts_with(QUARANTINE_PREFIX) {
             let crashes = apply_stored(&self.context, key, value);
-            // Members do not read the key-value service.
+            // Forwarded, because members do not read the key-value service.
             let origin = self.context.dissemination.node;
             let news = News {
                 crashes,
@@ -106,14 +112,14 @@
                 .borrow_mut()
                 .push(news);
         } else {
-            if let Some((_, name)) = node_of(key) {
+            if let Some((_, name)) = parse_node_key(key) {
                 self.lapsed.borrow_mut().remove(name);
             }
             set_node(&self.context, directory, key, value);
         }
     }
 
-    fn count(&self) {
+    fn update_node_count(&self) {
         let dissemination = &self.context.dissemination;
         if let Some((name, token)) = &*self.holder.borrow() {
             dissemination.set_lease_holder_by_name(name, *token);
@@ -122,14 +128,14 @@
     }
 }
 
-/// The zone and the name of the node whose entry has this key.
-fn node_of(key: &str) -> Option<(&str, &str)> {
+/// Zone and name of the node whose entry has this key.
+fn parse_node_key(key: &str) -> Option<(&str, &str)> {
     key.strip_prefix(NODE_PREFIX)?.split_once('/')
 }
 
-/// Notes a node's entry. One that cannot be read is logged and counts as gone.
+/// Sets a node's entry. An unreadable entry is logged and treated as removed.
 fn set_node(context: &Context, directory: &mut NodeDirectory, key: &str, value: Option<&str>) {
-    let Some((_, name)) = node_of(key) else {
+    let Some((_, name)) = parse_node_key(key) else {
         return;
     };
     let entry = value.and_then(|value| match NodeEntry::parse(value) {
@@ -143,7 +149,7 @@
 }
 
 impl Follower for NodeFollower {
-    fn listed(&self, listing: Listing, after_outage: bool) {
+    fn apply_listing(&self, listing: Listing, after_outage: bool) {
         self.authority.set_taken(false);
         self.holder.replace(None);
         self.context.dissemination.update_directory(|directory| {
@@ -153,39 +159,38 @@
                 directory.clear();
             }
             for entry in &listing.entries {
-                self.set(directory, &entry.key, Some(&entry.value), entry.revision.0);
+                self.apply_entry(directory, &entry.key, Some(&entry.value), entry.revision.0);
             }
         });
         self.context.dissemination.set_nodes_listed();
-        self.count();
+        self.update_node_count();
         if !self.lapsed.borrow().is_empty() {
-            actix_rt::spawn(self.clone().forget_lapsed());
+            actix_rt::spawn(self.clone().remove_lapsed());
         }
     }
 
-    fn changed(&self, events: Vec<WatchEvent>) {
+    fn apply_events(&self, events: Vec<WatchEvent>) {
         self.context.dissemination.update_directory(|directory| {
             for event in &events {
                 let value = event.value.as_deref();
-                self.set(directory, &event.key, value, event.revision.0);
+                self.apply_entry(directory, &event.key, value, event.revision.0);
             }
         });
-        self.count();
+        self.update_node_count();
     }
 
-    fn gather(&self) -> Duration {
-        let followers = self.context.dissemination.other_relays().len() as u32 + 1;
-        (NODES_GATHERED_PER_FOLLOWER * followers).min(NODES_GATHERED)
+    fn batch_delay(&self) -> Duration {
+        let relays = self.context.dissemination.other_relays().len() as u32 + 1;
+        (BATCH_DELAY_PER_RELAY * relays).min(MAX_BATCH_DELAY)
     }
 }
 
-/// Reads the nodes of this node's zone once, which tells the zone's relays: if this node is one, it
-/// reads on by itself; if not, it has its relays to ask. Ends without them if the service fails
-/// until this node reads by itself anyway.
+/// Lists the nodes of this node's zone once to find its relays. If this node is a relay it continues to
+/// follow all nodes; otherwise its relays inform it. Retries until this node reads the service anyway.
 pub(crate) async fn find_relays(context: Rc<Context>, store: Rc<dyn KeyValue>) {
     if context.settings.first_start {
-        // At the first start of the fleet nobody has registered yet.
-        sleep(FIRST_START).await;
+        // At the first start of the fleet no node has registered yet.
+        sleep(FIRST_START_DELAY).await;
     }
     let prefix = format!("{NODE_PREFIX}{}/", context.settings.zone);
     while !context.dissemination.role(context.now()).reads_store {
@@ -204,13 +209,13 @@
             Err(error) => {
                 log_event!(context.logger, Event::KeyValueFailed, "prefix" => &prefix,
                     "error" => %error.current_context());
-                sleep(SHORT_PAUSE).await;
+                sleep(LISTING_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// What this node tells of itself.
+/// This node's own entry.
 fn own_entry(settings: &ForwardingSettings) -> NodeEntry {
     NodeEntry {
         address: settings.peer_listen,
@@ -219,7 +224,7 @@
     }
 }
 
-/// Keeps this node's entry for as long as it is polled.
+/// Keeps this node registered until dropped.
 pub(crate) async fn keep_registered(context: Rc<Context>, store: Rc<dyn KeyValue>) {
     loop {
         match register(&context, &*store).await {
@@ -227,14 +232,14 @@
                 let mut era = context.store_era.subscribe();
                 tokio::select! {
                     () = keep_lease(&*store, lease) => {}
-                    // Who else is registered is looked at by all: they need this node's entry soon.
+                    // After a restore all nodes list the entries, so register again at once.
                     _ = era.changed() => {}
                 }
             }
             Err(error) => {
                 log_event!(context.logger, Event::RegistrationFailed,
                     "error" => %error.current_context());
-                sleep(FAILURE_PAUSE).await;
+                sleep(REGISTRATION_RETRY_DELAY).await;
             }
         }
     }
@@ -251,9 +256,9 @@
         system: "own entry",
         message: "cannot be written".to_owned(),
     })?;
-    let lease = store.grant_lease(TIME_TO_LIVE).await?;
+    let lease = store.grant_lease(ENTRY_TTL).await?;
     let mut expectation = WriteExpectation::Absent;
-    // The entry of this node's former life is replaced.
+    // Replaces the entry of this node's previous life.
     loop {
         let written = store
             .compare_and_swap(&key, expectation, Some(&text), Some(lease))
@@ -268,10 +273,10 @@
     }
 }
 
-/// Renews the lease until it is gone.
+/// Renews the lease until it has expired.
 async fn keep_lease(store: &dyn KeyValue, lease: LeaseId) {
     loop {
-        sleep(RENEWAL).await;
+        sleep(RENEWAL_INTERVAL).await;
         if matches!(store.renew_lease(lease).await, Ok(false)) {
             return;
         }
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -1,4 +1,4 @@
-//! What engines say of themselves in their answers and entries, as this node and others heard it.
+//! Applies announcements by engines: drain notices, backoff, rate limits and start times.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,20 +12,20 @@
 use crate::dissemination::notice_queue::{EngineNotice, NoticeSource};
 use crate::quarantine::engine_end::{EndProof, record_engine_end};
 
-/// Takes in what an answer says of its engine. `request_sent_at` is when the request went out that it takes up,
-/// if it takes one up.
+/// Applies the signals of an engine's answer. `request_sent_at` is when the request was sent that the
+/// answer accepts, if it accepts one.
 pub(crate) fn apply_answer(
     context: &Context,
     engine: &StagedEngine,
-    said: EngineSignals,
+    announced: EngineSignals,
     request_sent_at: Option<MonotonicTime>,
 ) {
-    take_limit(context, engine, said.limit, request_sent_at);
-    if said.drains {
-        let born = context.router.borrow().signals.started_at_ms(engine.key);
-        apply_drain(context, engine.key, born, NoticeSource::OwnAnswer);
+    apply_limit(context, engine, announced.limit, request_sent_at);
+    if announced.drains {
+        let started_at_ms = context.router.borrow().signals.started_at_ms(engine.key);
+        apply_drain(context, engine.key, started_at_ms, NoticeSource::OwnAnswer);
     }
-    if let Some(backoff) = said.backoff {
+    if let Some(backoff) = announced.backoff {
         let now = context.now();
         let place = rand::random_range(0.0..1.0);
         let mut router = context.router.borrow_mut();
@@ -39,22 +39,22 @@
     }
 }
 
-fn take_limit(
+fn apply_limit(
     context: &Context,
     engine: &StagedEngine,
-    said: LimitSignal,
+    announced: LimitSignal,
     request_sent_at: Option<MonotonicTime>,
 ) {
-    if said == LimitSignal::Unreadable {
+    if announced == LimitSignal::Unreadable {
         context.metrics.limit_unreadable();
     }
     let now = context.now();
     let mut router = context.router.borrow_mut();
     let signals = &mut router.signals;
-    let change = signals.record_limit(now, engine.key, said, request_sent_at);
+    let change = signals.record_limit(now, engine.key, announced, request_sent_at);
     drop(router);
     if let Some(change) = change {
-        limit_changed(
+        report_limit_change(
             context,
             engine.key,
             &engine.run,
@@ -64,16 +64,16 @@
     }
 }
 
-/// Takes in an engine's limit that another node heard, unless it was another start of it that named it.
+/// Applies a rate limit reported by another node, unless it belongs to another start of the engine.
 pub(crate) fn apply_reported_limit(context: &Context, limit: &EngineLimit, source: NoticeSource) {
     let engine = EngineKey(limit.start.engine);
-    let Some(run) = name(context, engine) else {
+    let Some(run) = run_name(context, engine) else {
         return;
     };
     let now = context.now();
     let mut router = context.router.borrow_mut();
-    let (born, known_born) = (limit.start.born, router.signals.started_at_ms(engine));
-    if born != known_born && born != 0 && known_born != 0 {
+    let (started_at_ms, known_start) = (limit.start.born, router.signals.started_at_ms(engine));
+    if started_at_ms != known_start && started_at_ms != 0 && known_start != 0 {
         return;
     }
     let heard_at = now.saturating_sub(Duration::from_millis(limit.age_ms.into()));
@@ -81,11 +81,11 @@
     let change = signals.record_peer_limit(now, engine, limit.rate, heard_at);
     drop(router);
     if let Some(change) = change {
-        limit_changed(context, engine, &run, change, source);
+        report_limit_change(context, engine, &run, change, source);
     }
 }
 
-/// What this node knows of an engine's limit, as it tells others.
+/// The known limit of an engine, for other nodes.
 pub(crate) fn known_limit(context: &Context, engine: EngineKey) -> EngineLimit {
     let now = context.now();
     let router = context.router.borrow();
@@ -100,8 +100,8 @@
     }
 }
 
-/// Logs a change, and has it told.
-fn limit_changed(
+/// Logs a changed limit and queues it for other nodes.
+fn report_limit_change(
     context: &Context,
     engine: EngineKey,
     run: &str,
@@ -118,19 +118,24 @@
     notices.push(EngineNotice::Limit(engine), source);
 }
 
-fn name(context: &Context, engine: EngineKey) -> Option<Arc<str>> {
+fn run_name(context: &Context, engine: EngineKey) -> Option<Arc<str>> {
     let fleet = context.fleet();
     fleet.engine(engine).map(|known| Arc::clone(&known.run))
 }
 
-/// Takes an engine out that has said to this node or to another that it drains, unless it was another start
-/// of it that did.
-pub(crate) fn apply_drain(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
-    let known_born = context.router.borrow().signals.started_at_ms(engine);
-    if born != known_born && born != 0 && known_born != 0 {
+/// Applies a drain notice received by this or another node, unless it belongs to another start of the
+/// engine.
+pub(crate) fn apply_drain(
+    context: &Context,
+    engine: EngineKey,
+    started_at_ms: u64,
+    source: NoticeSource,
+) {
+    let known_start = context.router.borrow().signals.started_at_ms(engine);
+    if started_at_ms != known_start && started_at_ms != 0 && known_start != 0 {
         return;
     }
-    let run = name(context, engine);
+    let run = run_name(context, engine);
     if !context.engine_drains(engine) {
         return;
     }
@@ -138,7 +143,7 @@
         "source" => ?source);
     let start = EngineStart {
         engine: engine.0,
-        born,
+        born: started_at_ms,
     };
     context
         .dissemination
@@ -146,15 +151,20 @@
         .push(EngineNotice::Drains(start), source);
 }
 
-/// Notes when an engine started. Where it had started before, nothing holds that was known of it. Of what
-/// other nodes tell only a later start counts: messages of the former one may be on their way.
-pub(crate) fn apply_start(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
+/// Applies a start time. A restart resets all that is known of the engine. Start times reported by other
+/// nodes must be later than the known one, because messages about a previous start may be delayed.
+pub(crate) fn apply_start(
+    context: &Context,
+    engine: EngineKey,
+    started_at_ms: u64,
+    source: NoticeSource,
+) {
     let known = context.router.borrow().signals.started_at_ms(engine);
-    let is_told = source != NoticeSource::Entry;
-    if born == known || born == 0 || (is_told && born < known) {
+    let is_reported = source != NoticeSource::Entry;
+    if started_at_ms == known || started_at_ms == 0 || (is_reported && started_at_ms < known) {
         return;
     }
-    let run = name(context, engine);
+    let run = run_name(context, engine);
     if known != 0 {
         let name = run.as_deref().unwrap_or_default();
         record_engine_end(context, engine, name, EndProof::StartedAgain);
@@ -163,16 +173,16 @@
         .router
         .borrow_mut()
         .signals
-        .record_start(engine, born);
+        .record_start(engine, started_at_ms);
     if known == 0 {
         return;
     }
     context.engine_restarted(engine);
     log_event!(context.logger, Event::EngineRestarted, "engine" => run.as_deref().unwrap_or_default(),
-        "born" => born, "former" => known, "source" => ?source);
+        "born" => started_at_ms, "former" => known, "source" => ?source);
     let start = EngineStart {
         engine: engine.0,
-        born,
+        born: started_at_ms,
     };
     context
         .dissemination
--- a/crates/forwarding/src/fleet_sums.rs
+++ b/crates/forwarding/src/fleet_sums.rs
@@ -1,7 +1,7 @@
-//! Figures of pools, tenants and engines, as this node knows them of the whole fleet.
+//! Fleet-wide statistics of pools, tenants and engines, as known to this node.
 //!
-//! The parts that count them set this node's own rows; the module `dissemination::sums` sends them and takes in those of
-//! others. A node that hears no other knows its own only.
+//! The modules that count them set this node's own rows; the module `dissemination::sums` exchanges
+//! rows with other nodes. An isolated node knows only its own rows.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -13,24 +13,25 @@
 };
 use dalestand_types::{MonotonicTime, PoolName};
 
-/// A row of a pool or a tenant counts for this long. Reports come once a second at least, so that one that is lost
-/// changes nothing; and three seconds after a relay is gone, what it reported must have left the sums of all nodes,
-/// which pass through another relay.
-const DEMAND_COUNTS: Duration = Duration::from_millis(2_500);
+/// Validity of a row of a pool or a tenant. Reports are at most one second apart, so one lost report
+/// changes nothing; the rows of a failed relay leave the sums of all nodes within three seconds,
+/// including the hop through another relay.
+const DEMAND_TTL: Duration = Duration::from_millis(2_500);
 
-/// A row of an engine's slowness counts for this long. It changes slowly, and rows of large fleets go out by turns.
-const SLOWNESS_COUNTS: Duration = Duration::from_secs(30);
+/// Validity of a row of an engine's slowness, which changes slowly; large fleets need several rounds to
+/// send all rows.
+const SLOWNESS_TTL: Duration = Duration::from_secs(30);
 
-/// Names the requests of one pool and one priority.
+/// One pool and one priority.
 pub(crate) type ClassKey = (PoolName, u8);
 
-/// Names what one tenant asks of one pool at one priority.
+/// One tenant of a pool at one priority.
 pub(crate) type TenantKey = (ClassKey, TenantCode);
 
-/// Names one engine's slowness at one kind of work.
+/// One engine and kind of work.
 pub(crate) type SlownessKey = (EngineCode, WorkKind);
 
-/// Figures of this node and of the others.
+/// Statistics of this node and of other nodes.
 pub(crate) struct FleetSums {
     pub(crate) classes: RefCell<SourceSums<ClassKey, ClassFigures>>,
     pub(crate) tenants: RefCell<SourceSums<TenantKey, TenantFigures>>,
@@ -40,15 +41,15 @@
 impl Default for FleetSums {
     fn default() -> Self {
         Self {
-            classes: RefCell::new(SourceSums::new(DEMAND_COUNTS)),
-            tenants: RefCell::new(SourceSums::new(DEMAND_COUNTS)),
-            slowness: RefCell::new(SourceSums::new(SLOWNESS_COUNTS)),
+            classes: RefCell::new(SourceSums::new(DEMAND_TTL)),
+            tenants: RefCell::new(SourceSums::new(DEMAND_TTL)),
+            slowness: RefCell::new(SourceSums::new(SLOWNESS_TTL)),
         }
     }
 }
 
 impl FleetSums {
-    /// Forgets rows that have lapsed and adds up the totals.
+    /// Removes expired rows and updates the totals.
     pub(crate) fn refresh(&self, now: MonotonicTime) {
         self.refresh_demand(now);
         self.slowness.borrow_mut().refresh(now);
@@ -60,8 +61,8 @@
         self.tenants.borrow_mut().refresh(now);
     }
 
-    /// Forgets what `source` reported.
-    pub(crate) fn forget(&self, source: LoadSource) {
+    /// Removes the rows of `source`.
+    pub(crate) fn forget_source(&self, source: LoadSource) {
         self.classes.borrow_mut().forget(source);
         self.tenants.borrow_mut().forget(source);
         self.slowness.borrow_mut().forget(source);
