--- a/crates/forwarding/tests/engine_restarts.rs
+++ b/crates/forwarding/tests/engine_restarts.rs
@@ -17,7 +17,7 @@
 /// Path of the request that ends engines.
 const DEADLY: &str = "/r/deadly";
 
-fn sound(head: &str, stream: &mut TcpStream) {
+fn succeeding(head: &str, stream: &mut TcpStream) {
     let id = id_of(head);
     answer(stream, "200 OK", &format!("x-id: {id}\r\n"), "whole");
 }
@@ -36,7 +36,7 @@
 /// Begins the answer to the deadly request and never ends it.
 fn dying(head: &str, stream: &mut TcpStream) {
     if !head.contains(DEADLY) {
-        return sound(head, stream);
+        return succeeding(head, stream);
     }
     let id = id_of(head);
     let begun = format!("HTTP/1.1 200 OK\r\nx-id: {id}\r\ntransfer-encoding: chunked\r\n\r\n");
@@ -62,7 +62,7 @@
     node.settle().await;
     assert_eq!(status(&node.request("2", "/r/x").await), "503");
     assert_eq!(former.heads().len(), 1);
-    let later = TestEngine::start(sound);
+    let later = TestEngine::start(succeeding);
     node.list("e", &later, "ready born 2000");
     node.settle().await;
     assert_eq!(status(&node.request("3", "/r/x").await), "200");
@@ -72,7 +72,7 @@
 async fn connections_to_a_former_start_are_not_used() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.list("e", &engine, "ready born 1000");
     node.settle().await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
@@ -120,7 +120,7 @@
 async fn an_entry_that_names_no_engine_changes_nothing_for_the_others(#[case] entry: &str) {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 2, 1_000);
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.store.write("engines/odd", Some(entry));
     node.list("e", &engine, "ready");
     node.settle().await;
--- a/crates/forwarding/tests/engine_signals.rs
+++ b/crates/forwarding/tests/engine_signals.rs
@@ -21,7 +21,7 @@
 use std::time::Duration;
 
 use rstest::rstest;
-use support::{TestEngine, TestNode, answer, id_of, refusing, sound, status};
+use support::{TestEngine, TestNode, answer, id_of, refusing, status, succeeding};
 
 /// Backoff that engines of these tests ask for.
 const BACKOFF: Duration = Duration::from_millis(1_500);
@@ -73,7 +73,7 @@
 /// Answers after a while, so that an engine that answers at once looks better.
 fn slow(head: &str, stream: &mut TcpStream) {
     thread::sleep(Duration::from_millis(80));
-    sound(head, stream);
+    succeeding(head, stream);
 }
 
 /// Heads of the callers' requests that an engine was sent. The node has questions of its own, too.
@@ -135,7 +135,7 @@
 async fn no_entry_of_the_same_run_takes_back_that_it_drains() {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 3, 1_000);
-    let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(sound));
+    let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(succeeding));
     node.list("leaving", &leaving, "ready");
     node.list("staying", &staying, "ready");
     node.settle().await;
@@ -163,7 +163,7 @@
 async fn all_nodes_hear_that_an_engine_drains() {
     let first = TestNode::start().await;
     first.declare(1, "repeatable", 3, 1_000);
-    let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(sound));
+    let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(succeeding));
     first.list("leaving", &leaving, "ready");
     first.list("staying", &staying, "ready");
     let second = first.start_beside("node-2").await;
@@ -276,7 +276,7 @@
     let node = TestNode::start().await;
     node.declare_prompts(1, "resumable-stream", 3, 3_000);
     let prefill = TestEngine::start(slow);
-    let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(sound));
+    let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(succeeding));
     node.list("prefill", &prefill, "ready prefill");
     node.list("leaving", &leaving, "ready decode");
     node.settle().await;
@@ -302,7 +302,7 @@
 async fn what_a_draining_engine_has_read_is_used() {
     let node = TestNode::start().await;
     node.declare_prompts(1, "resumable-stream", 3, 3_000);
-    let (prefill, decode) = (TestEngine::start(draining), TestEngine::start(sound));
+    let (prefill, decode) = (TestEngine::start(draining), TestEngine::start(succeeding));
     node.list("prefill", &prefill, "ready prefill");
     node.list("decode", &decode, "ready decode");
     node.settle().await;
--- a/crates/forwarding/tests/figures/mod.rs
+++ b/crates/forwarding/tests/figures/mod.rs
@@ -2,16 +2,16 @@
 
 use std::collections::BTreeSet;
 
-use crate::support::{TestEngine, TestNode, get, sound};
+use crate::support::{TestEngine, TestNode, get, succeeding};
 
 const CATALOGUE: &str = include_str!("../../../../docs/OPERATIONS.md");
 
 async fn figures_after_one_request() -> String {
     let node = TestNode::start().await;
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.declare(1, "repeatable", 2, 1_000);
     node.list("e", &engine, "ready");
-    node.has_heard_of(1).await;
+    node.wait_for_engines(1).await;
     let served = node.request("1", "/r/x").await;
     assert!(served.starts_with("HTTP/1.1 200"), "{served}");
     get(node.metrics, "host: a.example\r\n", "/metrics").await
--- a/crates/forwarding/tests/prompts.rs
+++ b/crates/forwarding/tests/prompts.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use support::{Script, TestEngine, TestNode, get, id_of, refusing, sound, status};
+use support::{Script, TestEngine, TestNode, get, id_of, refusing, status, succeeding};
 
 /// Found on a grown site: what tiny nodes had written waited for seconds before their links, and
 /// reached engines that had left meanwhile.
@@ -22,7 +22,7 @@
     const LINK_MBPS: f64 = 0.0025;
     let node = TestNode::start_with_link(LINK_MBPS).await;
     node.declare_prompts(1, "stream", 1, 3_000);
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.list("e0", &engine, "ready decode");
     node.settle().await;
     let head = |id: u32| format!("x-id: {id}\r\nhost: a.example\r\nx-prompt: 100\r\n");
@@ -38,7 +38,7 @@
 
 fn reading_but_not_running(head: &str, stream: &mut TcpStream) {
     if head.contains("x-prefill: 1") {
-        sound(head, stream);
+        succeeding(head, stream);
     } else {
         refusing(head, stream);
     }
@@ -46,7 +46,7 @@
 
 fn slow(head: &str, stream: &mut TcpStream) {
     thread::sleep(Duration::from_millis(700));
-    sound(head, stream);
+    succeeding(head, stream);
 }
 
 /// Found on the third site: in bursts each request was begun, and nearly all came late. The one that
@@ -95,7 +95,7 @@
 async fn is_refused_and_goes_on() -> bool {
     let node = TestNode::start().await;
     node.declare_prompts(1, "stream", 1, 1_000);
-    let scripts: [Script; 4] = [sound, sound, refusing, sound];
+    let scripts: [Script; 4] = [succeeding, succeeding, refusing, succeeding];
     let engines = scripts.map(TestEngine::start);
     node.list("prefill-a", &engines[0], "ready prefill");
     node.list("prefill-b", &engines[1], "ready prefill");
--- a/crates/forwarding/tests/room.rs
+++ b/crates/forwarding/tests/room.rs
@@ -13,7 +13,7 @@
 use dalestand_forwarding::{EngineGroup, FigureAges, ReportSources, RoomReport};
 use dalestand_routing::WorkKind;
 use dalestand_types::ZoneName;
-use support::{TestEngine, TestNode, get, sound};
+use support::{TestEngine, TestNode, get, succeeding};
 
 /// First tries a second of the pool, as a node knows them.
 fn asked(report: &RoomReport) -> f32 {
@@ -50,10 +50,10 @@
 #[actix_rt::test]
 async fn engines_and_requests_are_reported_and_no_key_is() {
     let node = TestNode::start().await;
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.declare_tenant(1, &["key-1"]);
     node.list("e", &engine, "ready");
-    node.has_heard_of(1).await;
+    node.wait_for_engines(1).await;
     let served = node.request_with_key("1", "key-1").await;
     assert!(served.starts_with("HTTP/1.1 200"), "{served}");
     let report = node.room().await;
@@ -91,7 +91,7 @@
 /// Five nodes that hear each other, and an engine.
 async fn five_nodes() -> (Vec<Rc<TestNode>>, TestEngine) {
     let first = TestNode::start().await;
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     first.declare(1, "repeatable", 2, 1_000);
     first.list("e", &engine, "ready");
     let mut nodes = Vec::new();
--- a/crates/forwarding/tests/serving.rs
+++ b/crates/forwarding/tests/serving.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use rstest::rstest;
-use support::{Script, TestEngine, TestNode, answer, get, id_of, refusing, sound, status};
+use support::{Script, TestEngine, TestNode, answer, get, id_of, refusing, status, succeeding};
 
 fn failing(head: &str, stream: &mut TcpStream) {
     let headers = format!("x-id: {}\r\n", id_of(head));
@@ -86,7 +86,7 @@
     for (place, engine) in engines.iter().enumerate() {
         node.list(&format!("e{place}"), engine, "ready");
     }
-    node.has_heard_of(engines.len()).await;
+    node.wait_for_engines(engines.len()).await;
     (node, engines)
 }
 
@@ -104,7 +104,7 @@
 
 #[actix_rt::test]
 async fn a_route_leads_to_an_engine_and_no_route_leads_nowhere() {
-    let (node, engines) = node("once", 1, &[sound]).await;
+    let (node, engines) = node("once", 1, &[succeeding]).await;
     assert_eq!(
         status(&get(node.ready, "host: a\r\n", "/ready").await),
         "200"
@@ -136,11 +136,11 @@
     #[case] expected: &str,
 ) {
     // The engine that fails is found first or not at all: its own requests are counted.
-    let (node, engines) = node(kind, attempts, &[first, sound]).await;
+    let (node, engines) = node(kind, attempts, &[first, succeeding]).await;
     // On a busy machine a sound engine may say nothing for longer than most tests' objective, and a call that is
     // made elsewhere for that is no attempt that this test counts.
     node.declare_patient(2, kind, attempts, LIMIT_MS);
-    node.has_in_force(2).await;
+    node.wait_for_declaration(2).await;
     for request in 0..20 {
         let answer = node.request(&format!("{request}"), "/r/x").await;
         if engines[0].heads().is_empty() {
@@ -162,7 +162,7 @@
 /// Keys that are taken away are refused as soon as the declaration says so; none reaches an engine.
 #[actix_rt::test]
 async fn callers_are_served_by_their_keys() {
-    let (node, engines) = node("once", 1, &[sound]).await;
+    let (node, engines) = node("once", 1, &[succeeding]).await;
     node.declare_tenant(2, &["key-one", "key-two"]);
     node.settle().await;
     assert_eq!(status(&node.request_with_key("1", "key-one").await), "200");
@@ -196,18 +196,18 @@
     let table = format!("[revocation]\nbound_ms = 400\nfail_closed = {fail_closed}\n");
     let node = TestNode::start_with_table(&table).await;
     node.declare_tenant(1, &["key-one"]);
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.list("e0", &engine, "ready");
     node.settle().await;
     // The store answers, with nothing new: the declaration is confirmed again and again.
     actix_rt::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(status(&node.request_with_key("1", "key-one").await), "200");
-    node.store.set_away(true);
+    node.store.set_unavailable(true);
     actix_rt::time::sleep(Duration::from_millis(700)).await;
     let answer = node.request_with_key("2", "key-one").await;
     assert_eq!(status(&answer), expected);
     assert_eq!(answer.contains("retry-after"), fail_closed);
-    node.store.set_away(false);
+    node.store.set_unavailable(false);
     actix_rt::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(status(&node.request_with_key("3", "key-one").await), "200");
 }
@@ -216,7 +216,7 @@
 async fn a_request_is_answered_at_its_limit_with_what_is_known() {
     let (node, _engines) = node("once", 1, &[silent]).await;
     node.declare(2, "once", 1, 1_000);
-    node.has_in_force(2).await;
+    node.wait_for_declaration(2).await;
     let started = Instant::now();
     let answer = node.request("1", "/r/x").await;
     assert_eq!(status(&answer), "504");
@@ -228,7 +228,7 @@
 /// Answers after a time that is far beyond the objective and within the limit.
 fn late(head: &str, stream: &mut TcpStream) {
     thread::sleep(Duration::from_millis(450));
-    sound(head, stream);
+    succeeding(head, stream);
 }
 
 /// Found beside engines that drain: of two engines one was left, busy, and a request was taken from it
@@ -248,7 +248,7 @@
 
 #[actix_rt::test]
 async fn an_engine_that_leaves_gets_nothing_more() {
-    let (node, engines) = node("repeatable", 2, &[sound, sound]).await;
+    let (node, engines) = node("repeatable", 2, &[succeeding, succeeding]).await;
     node.list("e0", &engines[0], "draining");
     node.settle().await;
     let before = engines[0].heads().len();
@@ -278,13 +278,13 @@
 /// other 16 got all requests until the 120 had written theirs again.
 #[actix_rt::test]
 async fn engines_whose_entries_lapsed_with_the_store_are_served_until_they_had_time_to_return() {
-    let (node, engines) = node("repeatable", 2, &[sound, sound]).await;
-    node.store.set_away(true);
+    let (node, engines) = node("repeatable", 2, &[succeeding, succeeding]).await;
+    node.store.set_unavailable(true);
     node.settle().await;
     for engine in ["engines/e0", "engines/e1"] {
         node.store.write(engine, None);
     }
-    node.store.set_away(false);
+    node.store.set_unavailable(false);
     actix_rt::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
     node.list("e1", &engines[1], "ready");
@@ -296,12 +296,12 @@
 /// through the outage reported 120 ends at once.
 #[actix_rt::test]
 async fn engines_that_go_all_at_once_are_served_until_they_had_time_to_return() {
-    let (node, engines) = node("repeatable", 2, &[sound, sound]).await;
-    node.store.hold_watches(true);
+    let (node, engines) = node("repeatable", 2, &[succeeding, succeeding]).await;
+    node.store.mute_watches(true);
     for engine in ["engines/e0", "engines/e1"] {
         node.store.write(engine, None);
     }
-    node.store.hold_watches(false);
+    node.store.mute_watches(false);
     node.settle().await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
     node.list("e1", &engines[1], "ready");
@@ -311,7 +311,7 @@
 
 #[actix_rt::test]
 async fn an_older_configuration_never_comes_back() {
-    let (node, _engines) = node("once", 1, &[sound]).await;
+    let (node, _engines) = node("once", 1, &[succeeding]).await;
     node.store.write("declaration", Some("revision = 3"));
     node.settle().await;
     assert_eq!(status(&node.request("1", "/r/x").await), "404");
@@ -328,7 +328,7 @@
 async fn a_stream_is_taken_up_without_a_gap_or_a_piece_twice() {
     let (node, engines) = node("resumable-stream", 3, &[breaking_stream, breaking_stream]).await;
     node.declare_patient(2, "resumable-stream", 3, LIMIT_MS);
-    node.has_in_force(2).await;
+    node.wait_for_declaration(2).await;
     let answer = node.request("1", "/r/x").await;
     assert_eq!(status(&answer), "200");
     let pieces: Vec<&str> = answer
--- a/crates/forwarding/tests/store_era.rs
+++ b/crates/forwarding/tests/store_era.rs
@@ -29,7 +29,7 @@
 /// Time in which an entry that is missing from a copy may be written again.
 const LAPSED_ENTRIES_RETURN: Duration = Duration::from_millis(2_300);
 
-fn sound(head: &str, stream: &mut TcpStream) {
+fn succeeding(head: &str, stream: &mut TcpStream) {
     let id = id_of(head);
     answer(stream, "200 OK", &format!("x-id: {id}\r\n"), "whole");
 }
@@ -42,7 +42,7 @@
 async fn node_in(era: u64) -> (TestNode, TestEngine) {
     let node = TestNode::start_in_era(era).await;
     node.declare(1, "repeatable", 2, 1_000);
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.list("first", &engine, "ready");
     node.settle().await;
     assert_eq!(status(&node.request("0", "/r/x").await), "200");
@@ -71,7 +71,7 @@
     node.store.restore(&copy);
     actix_rt::time::sleep(READ_AGAIN).await;
     // Revisions are lower than those of the former era.
-    let later = TestEngine::start(sound);
+    let later = TestEngine::start(succeeding);
     node.list("later", &later, "ready");
     node.list("first", &engine, "draining");
     node.settle().await;
@@ -112,7 +112,7 @@
 #[actix_rt::test]
 async fn an_engine_that_left_since_the_copy_gets_nothing(#[case] state: &str) {
     let (node, first) = node_in(1).await;
-    let leaving = TestEngine::start(sound);
+    let leaving = TestEngine::start(succeeding);
     node.list("leaving", &leaving, "ready");
     node.settle().await;
     let copy = node.store.copy();
@@ -135,7 +135,7 @@
 #[actix_rt::test]
 async fn an_engine_that_went_and_writes_its_entry_anew_is_used() {
     let (node, first) = node_in(1).await;
-    let returning = TestEngine::start(sound);
+    let returning = TestEngine::start(succeeding);
     node.list("returning", &returning, "ready");
     node.settle().await;
     let copy = node.store.copy();
@@ -153,7 +153,7 @@
 async fn engines_that_the_copy_lacks_have_time_to_write_their_entries() {
     let (node, first) = node_in(1).await;
     let copy = node.store.copy();
-    let young = TestEngine::start(sound);
+    let young = TestEngine::start(succeeding);
     node.list("young", &young, "ready");
     change_much(&node, &first).await;
     node.store.restore(&copy);
--- a/crates/forwarding/tests/support/engine.rs
+++ b/crates/forwarding/tests/support/engine.rs
@@ -120,7 +120,7 @@
 }
 
 /// Answers as an engine that has run the request.
-pub fn sound(head: &str, stream: &mut TcpStream) {
+pub fn succeeding(head: &str, stream: &mut TcpStream) {
     answer(
         stream,
         "200 OK",
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -5,5 +5,5 @@
 mod node;
 mod store;
 
-pub use engine::{Script, TestEngine, answer, id_of, refusing, sound};
+pub use engine::{Script, TestEngine, answer, id_of, refusing, succeeding};
 pub use node::{TestNode, get, status};
--- a/crates/forwarding/tests/support/node.rs
+++ b/crates/forwarding/tests/support/node.rs
@@ -20,7 +20,7 @@
 const OBJECTIVE_MS: u64 = 100;
 
 /// By when a node has heard of entries at the latest, on however busy a machine.
-const HEARD_AT_LAST: Duration = Duration::from_secs(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Starts that are tried: each takes new ports.
 const START_ATTEMPTS: u32 = 5;
@@ -43,7 +43,7 @@
 const NODE_PORTS: std::ops::Range<u16> = 10_000..30_000;
 
 /// Ports taken by this program.
-static PORTS_TAKEN: AtomicU32 = AtomicU32::new(0);
+static PORTS_USED: AtomicU32 = AtomicU32::new(0);
 
 /// A loopback address of this program alone: with one for all, the node of another test program that listens
 /// where this one's is to start would be taken for it.
@@ -56,7 +56,7 @@
 fn free_address() -> SocketAddr {
     let ports = u32::from(NODE_PORTS.end - NODE_PORTS.start);
     loop {
-        let offset = PORTS_TAKEN.fetch_add(1, Ordering::Relaxed) % ports;
+        let offset = PORTS_USED.fetch_add(1, Ordering::Relaxed) % ports;
         let port = NODE_PORTS.start + u16::try_from(offset).expect("within the range");
         let address = SocketAddr::from((own_host(), port));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
@@ -98,15 +98,15 @@
         Self::start_under(50, "", table).await
     }
 
-    async fn start_with(slack: u32, further: &str) -> Self {
-        Self::start_under(slack, further, "").await
+    async fn start_with(slack: u32, extra: &str) -> Self {
+        Self::start_under(slack, extra, "").await
     }
 
     /// Starts a node; one whose ports were taken meanwhile, by another test or a connection, ends at
     /// once, and another is started at other ports.
-    async fn start_under(slack: u32, further: &str, table: &str) -> Self {
+    async fn start_under(slack: u32, extra: &str, table: &str) -> Self {
         for _ in 0..START_ATTEMPTS {
-            if let Some(node) = Self::try_start(slack, further, table).await {
+            if let Some(node) = Self::try_start(slack, extra, table).await {
                 return node;
             }
         }
@@ -129,15 +129,15 @@
         panic!("no node could be started");
     }
 
-    async fn try_start(slack: u32, further: &str, table: &str) -> Option<Self> {
-        Self::try_start_on(Rc::default(), "node-1", slack, further, table).await
+    async fn try_start(slack: u32, extra: &str, table: &str) -> Option<Self> {
+        Self::try_start_on(Rc::default(), "node-1", slack, extra, table).await
     }
 
     async fn try_start_on(
         store: Rc<MemoryStore>,
         name: &str,
         slack: u32,
-        further: &str,
+        extra: &str,
         table: &str,
     ) -> Option<Self> {
         let ratio = if slack < 50 { 0.0 } else { 0.2 };
@@ -146,7 +146,7 @@
         let settings = format!(
             "node = \"{name}\"\nzone = \"here\"\ncaller_listen = \"{callers}\"\n\
              ready_listen = \"{ready}\"\npeer_listen = \"{peers}\"\nkey_value = \"{peers}\"\n\
-             metrics_listen = \"{metrics}\"\n{further}\
+             metrics_listen = \"{metrics}\"\n{extra}\
              [retries]\nratio = {ratio}\nslack = {slack}\nwindow_s = 10\n[stop]\ngrace_s = 8\n\
              [roles]\nlease_ms = 3000\n{table}"
         );
@@ -240,8 +240,8 @@
         self.declare_pool(revision, engine, kind, attempts, limit_ms);
     }
 
-    fn declare_pool(&self, revision: u64, further: &str, kind: &str, attempts: u32, limit_ms: u64) {
-        let text = declaration(revision, further, kind, attempts, limit_ms, OBJECTIVE_MS);
+    fn declare_pool(&self, revision: u64, extra: &str, kind: &str, attempts: u32, limit_ms: u64) {
+        let text = declaration(revision, extra, kind, attempts, limit_ms, OBJECTIVE_MS);
         self.store.write("declaration", Some(&text));
     }
 
@@ -252,19 +252,21 @@
     }
 
     /// Waits until so many engines take new work, as the node knows.
-    pub async fn has_heard_of(&self, engines: usize) {
-        self.shows("dalestand_engines_accepting", engines).await;
+    pub async fn wait_for_engines(&self, engines: usize) {
+        self.wait_for_metric("dalestand_engines_accepting", engines)
+            .await;
     }
 
     /// Waits until the declaration of this revision is in force.
-    pub async fn has_in_force(&self, revision: usize) {
-        self.shows("dalestand_declaration_revision", revision).await;
+    pub async fn wait_for_declaration(&self, revision: usize) {
+        self.wait_for_metric("dalestand_declaration_revision", revision)
+            .await;
     }
 
     /// Waits until a figure has a value.
-    async fn shows(&self, name: &str, value: usize) {
+    async fn wait_for_metric(&self, name: &str, value: usize) {
         let expected = format!("{name} {value}");
-        let until = Instant::now() + HEARD_AT_LAST;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let figures = get(self.metrics, "host: a.example\r\n", "/metrics").await;
             if figures.lines().any(|line| line == expected) {
@@ -295,14 +297,14 @@
 /// A declaration of one route to one pool.
 fn declaration(
     revision: u64,
-    further: &str,
+    extra: &str,
     kind: &str,
     attempts: u32,
     limit_ms: u64,
     objective_ms: u64,
 ) -> String {
     format!(
-        "revision = {revision}\n[[pool]]\nname = \"pool\"\nmax_connections = 100\n{further}\
+        "revision = {revision}\n[[pool]]\nname = \"pool\"\nmax_connections = 100\n{extra}\
          [[route]]\nname = \"route\"\nhost = \"a.example\"\npath_prefix = \"/r/\"\n\
          kind = \"{kind}\"\npools = [{{ pool = \"pool\", weight = 1 }}]\n\
          time_limit_ms = {limit_ms}\nobjective_ms = {objective_ms}\npause_objective_ms = 100\n\
--- a/crates/forwarding/tests/support/store.rs
+++ b/crates/forwarding/tests/support/store.rs
@@ -18,8 +18,8 @@
     revision: Cell<u64>,
     entries: RefCell<BTreeMap<String, Entry>>,
     events: RefCell<Vec<WatchEvent>>,
-    is_away: Cell<bool>,
-    holds_watches: Cell<bool>,
+    is_unavailable: Cell<bool>,
+    mutes_watches: Cell<bool>,
     refused_prefix: RefCell<Option<&'static str>>,
     /// Which of its histories it tells; 0 where it names none.
     era: Cell<u64>,
@@ -37,8 +37,8 @@
 
 impl MemoryStore {
     /// Has all reading calls fail, or lets them succeed again.
-    pub fn set_away(&self, is_away: bool) {
-        self.is_away.set(is_away);
+    pub fn set_unavailable(&self, is_unavailable: bool) {
+        self.is_unavailable.set(is_unavailable);
     }
 
     /// Has all writes under a prefix fail.
@@ -47,8 +47,8 @@
     }
 
     /// Has watches wait without hearing of changes, or hear of all at once.
-    pub fn hold_watches(&self, hold: bool) {
-        self.holds_watches.set(hold);
+    pub fn mute_watches(&self, mute: bool) {
+        self.mutes_watches.set(mute);
     }
 
     /// The keys under a prefix, with their values.
@@ -92,11 +92,11 @@
         Revision::in_era(self.era.get(), self.revision.get())
     }
 
-    fn reachable(&self) -> Result<(), Report<PlatformError>> {
-        if self.is_away.get() {
+    fn check_available(&self) -> Result<(), Report<PlatformError>> {
+        if self.is_unavailable.get() {
             return Err(Report::new(PlatformError::InDoubt {
                 system: "store",
-                message: "away".to_owned(),
+                message: "unavailable".to_owned(),
             }));
         }
         Ok(())
@@ -136,7 +136,7 @@
     }
 
     async fn range(&self, prefix: &str) -> Result<Listing, Report<PlatformError>> {
-        self.reachable()?;
+        self.check_available()?;
         let entries = self.entries.borrow();
         let under = entries
             .values()
@@ -193,7 +193,7 @@
     ) -> Result<WatchBatch, Report<PlatformError>> {
         let until = tokio::time::Instant::now() + wait;
         loop {
-            self.reachable()?;
+            self.check_available()?;
             if after.era() != self.era.get() {
                 return Ok(WatchBatch {
                     revision: after,
@@ -208,7 +208,7 @@
                 .filter(|event| event.revision > after && event.key.starts_with(prefix))
                 .cloned()
                 .collect();
-            let events = if self.holds_watches.get() {
+            let events = if self.mutes_watches.get() {
                 Vec::new()
             } else {
                 events
--- a/crates/forwarding/tests/suspension.rs
+++ b/crates/forwarding/tests/suspension.rs
@@ -13,7 +13,7 @@
 
 use dalestand_clock::test_util::suspend;
 use dalestand_forwarding::ReportSources;
-use support::{TestEngine, TestNode, sound, status};
+use support::{TestEngine, TestNode, status, succeeding};
 
 /// Longer than any bound of these tests.
 const SUSPENDED: Duration = Duration::from_secs(12);
@@ -31,13 +31,13 @@
 async fn keys_do_not_hold_through_a_suspension() {
     let revocation = "[revocation]\nbound_ms = 10000\nfail_closed = true\n";
     let node = TestNode::start_with_table(revocation).await;
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.declare_tenant(1, &["key-1"]);
     node.list("e", &engine, "ready");
     node.settle().await;
     let before = node.request_with_key("1", "key-1").await;
     assert_eq!(status(&before), "200", "{before}");
-    node.store.set_away(true);
+    node.store.set_unavailable(true);
     suspend(SUSPENDED);
     let after = node.request_with_key("2", "key-1").await;
     assert_eq!(status(&after), "503", "{after}");
@@ -64,7 +64,7 @@
 #[actix_rt::test]
 async fn a_node_serves_after_a_suspension() {
     let node = TestNode::start().await;
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.declare(1, "repeatable", 2, 1_000);
     node.list("e", &engine, "ready");
     node.settle().await;
@@ -80,7 +80,7 @@
 async fn a_node_that_stood_still_knows_only_its_own_demand() {
     let node = TestNode::start().await;
     let other = node.start_beside("node-2").await;
-    let engine = TestEngine::start(sound);
+    let engine = TestEngine::start(succeeding);
     node.declare(1, "repeatable", 1, 1_000);
     node.list("e", &engine, "ready");
     let until = Instant::now() + Duration::from_secs(10);
--- a/crates/forwarding/tests/unknown_headers.rs
+++ b/crates/forwarding/tests/unknown_headers.rs
@@ -33,7 +33,7 @@
     node.declare(1, "once", 1, 1_000);
     let engine = TestEngine::start(saying_new_things);
     node.list("engine", &engine, "ready");
-    node.has_heard_of(1).await;
+    node.wait_for_engines(1).await;
     for place in 0..2 {
         let answered = node.request(&place.to_string(), "/r/x").await;
         assert_eq!(status(&answered), "200", "{answered}");
