--- a/crates/forwarding/src/permits/grants.rs
+++ b/crates/forwarding/src/permits/grants.rs
@@ -1,4 +1,4 @@
-//! Issues permits to the nodes that ask.
+//! Issues permits to the nodes that request them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,25 +11,26 @@
 
 use crate::context::Context;
 use crate::fleet::signals::take_told_limit;
-use crate::permits::issuer::{IssuerPlace, issuer_of};
+use crate::permits::issuer::{IssuerLocation, issuer_of};
 use crate::spread::notice_queue::NoticeSource;
 use crate::spread::transmit::send;
 
-/// After how long a node asks again that took this one for the issuer: nodes agree on that within a second.
-const NOT_ISSUER_PAUSE: Duration = Duration::from_millis(200);
+/// Retry delay for a node that mistook this one for the issuer; nodes agree on the issuer within a
+/// second.
+const NOT_ISSUER_RETRY: Duration = Duration::from_millis(200);
 
-/// Answers a node.
+/// Handles a permit request of another node and sends the answer.
 pub(crate) fn respond(
     context: &Context,
     socket: &UdpSocket,
-    asker: SocketAddr,
+    requester: SocketAddr,
     request: &PermitRequest,
 ) {
     let engine = EngineKey(request.limit.start.engine);
-    // Who asks may have heard of the limit, or of another figure, before this node did.
+    // The requesting node may have learnt of the limit, or of a new value, before this one.
     take_told_limit(context, &request.limit, NoticeSource::Member);
-    let is_issuer = issuer_of(context, engine) == IssuerPlace::Here;
-    let rate = rate(context, engine).or(request.limit.rate);
+    let is_issuer = issuer_of(context, engine) == IssuerLocation::Local;
+    let rate = known_rate(context, engine).or(request.limit.rate);
     let grant = match (rate, request.need) {
         (Some(rate), PermitNeed::Request) if is_issuer => {
             let now = context.now();
@@ -37,11 +38,11 @@
         }
         (_, PermitNeed::Request) => Grant {
             permits: 0,
-            retry_in: NOT_ISSUER_PAUSE,
+            retry_in: NOT_ISSUER_RETRY,
         },
         (_, PermitNeed::Counted) => {
             if is_issuer {
-                debit(context, engine);
+                count_call(context, engine);
             }
             return;
         }
@@ -53,7 +54,7 @@
         retry_in_ms: u32::try_from(grant.retry_in.as_millis()).unwrap_or(u32::MAX),
     };
     let message = Message::PermitAnswer(answer);
-    let sent_bytes = send(context, socket, &[asker], &message);
+    let sent_bytes = send(context, socket, &[requester], &message);
     context.sent(sent_bytes);
 }
 
@@ -61,8 +62,8 @@
 pub(super) fn issue(context: &Context, engine: EngineKey) -> Grant {
     let now = context.now();
     let mut issuer = context.permits.issuer.borrow_mut();
-    let Some(rate) = rate(context, engine) else {
-        // The limit has ended meanwhile; the engine is asked as any other.
+    let Some(rate) = known_rate(context, engine) else {
+        // The limit has been lifted in the meantime, so the call needs no real permit.
         return Grant {
             permits: 1,
             retry_in: Duration::ZERO,
@@ -71,16 +72,16 @@
     issuer.issue(now, engine, rate)
 }
 
-/// Counts a call that needs no leave.
-pub(super) fn debit(context: &Context, engine: EngineKey) {
+/// Counts a call that is made without a permit against the engine's limit.
+pub(super) fn count_call(context: &Context, engine: EngineKey) {
     let now = context.now();
-    if let Some(rate) = rate(context, engine) {
+    if let Some(rate) = known_rate(context, engine) {
         let mut issuer = context.permits.issuer.borrow_mut();
         issuer.debit(now, engine, rate);
     }
 }
 
-fn rate(context: &Context, engine: EngineKey) -> Option<RequestRate> {
+fn known_rate(context: &Context, engine: EngineKey) -> Option<RequestRate> {
     let router = context.router.borrow();
     let limit = router.signals.limits().get(engine);
     limit.map(|(rate, _)| rate)
--- a/crates/forwarding/src/permits/issuer.rs
+++ b/crates/forwarding/src/permits/issuer.rs
@@ -1,4 +1,4 @@
-//! Which node issues an engine's permits.
+//! Determines which node issues an engine's permits.
 
 use std::time::Duration;
 
@@ -8,48 +8,50 @@
 
 use crate::context::Context;
 
-/// A node that has just started issues nothing for this time: it hears of the other nodes meanwhile, and one that
-/// knew only itself would issue what another issues already. Entries are read within a second.
-const LEARNING: Duration = Duration::from_secs(2);
+/// Time after start during which a node neither issues nor requests permits. A node that does not
+/// yet know the others would issue permits that another node issues already; it reads their entries
+/// within a second.
+const STARTUP_DELAY: Duration = Duration::from_secs(2);
 
-/// Who issues an engine's permits.
+/// The node that issues an engine's permits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum IssuerPlace {
+pub(super) enum IssuerLocation {
     /// This node.
-    Here,
-    /// Another one.
-    At(Relay),
-    /// It is not known.
+    Local,
+    /// Another node.
+    Remote(Relay),
+    /// Not known.
     Unknown,
 }
 
-/// Who issues an engine's permits, as far as this node knows.
+/// Finds the node that issues an engine's permits.
 ///
-/// A relay judges the others by what it hears of them, and never by questions alone that were lost on their way:
-/// it would issue itself while another does.
-pub(super) fn issuer_of(context: &Context, engine: EngineKey) -> IssuerPlace {
+/// A relay skips other relays only if it no longer hears from them, not because permit requests
+/// went unanswered: after mere packet loss, it would start to issue permits while another relay
+/// still does.
+pub(super) fn issuer_of(context: &Context, engine: EngineKey) -> IssuerLocation {
     let now = context.now();
     let spread = &context.spread;
-    if now.since(MonotonicTime::ZERO) < LEARNING {
-        return IssuerPlace::Unknown;
+    if now.since(MonotonicTime::ZERO) < STARTUP_DELAY {
+        return IssuerLocation::Unknown;
     }
     let is_relay = spread.role(now).is_relay;
     for relay in spread.issuers(engine, is_relay) {
         if relay.number == spread.node {
             return if spread.has_listed_nodes() {
-                IssuerPlace::Here
+                IssuerLocation::Local
             } else {
-                IssuerPlace::Unknown
+                IssuerLocation::Unknown
             };
         }
-        let is_there = if is_relay {
+        let is_reachable = if is_relay {
             spread.is_heard(relay.address, now)
         } else {
-            !context.permits.is_passed_over(relay.number, now)
+            !context.permits.is_skipped(relay.number, now)
         };
-        if is_there {
-            return IssuerPlace::At(relay);
+        if is_reachable {
+            return IssuerLocation::Remote(relay);
         }
     }
-    IssuerPlace::Unknown
+    IssuerLocation::Unknown
 }
--- a/crates/forwarding/src/permits/mod.rs
+++ b/crates/forwarding/src/permits/mod.rs
@@ -1,11 +1,12 @@
-//! Leave to send requests to engines that take only so many a second of all nodes together.
+//! Permits for engines with a request rate limit that applies to all nodes together.
 //!
-//! One relay issues an engine's permits: the first of all relays, in an order of the engine's own, that is heard.
-//! A node that knows of the limit asks that relay before each request ([`passage`], [`requester`]); no answer means
-//! no permit, and the request goes to another engine. Nothing is sent for engines without a limit.
+//! For each engine, one relay issues the permits: the first in the engine's rendezvous order that
+//! is reachable. A node that knows of the limit requests permits from that relay before it sends a
+//! request ([`send_permission`], [`requester`]). Without an answer there is no permit, and the
+//! request goes to another engine. Engines without a limit cause no traffic.
 
 pub(crate) mod grants;
 mod issuer;
-pub(crate) mod passage;
 pub(crate) mod requester;
+pub(crate) mod send_permission;
 pub(crate) mod state;
--- a/crates/forwarding/src/permits/requester.rs
+++ b/crates/forwarding/src/permits/requester.rs
@@ -1,4 +1,4 @@
-//! Asks for permits.
+//! Requests permits from the issuing node.
 
 use std::time::Duration;
 
@@ -11,35 +11,37 @@
 use crate::context::Context;
 use crate::fleet::signals::known_limit;
 use crate::permits::grants;
-use crate::permits::issuer::{IssuerPlace, issuer_of};
-use crate::permits::state::Asked;
+use crate::permits::issuer::{IssuerLocation, issuer_of};
+use crate::permits::state::PendingRequest;
 use crate::spread::transmit::send;
 
-/// For how long a request waits for leave: a node whose share of a core is a quota answers after a tenth of a
-/// second at most, and the way between regions takes a few hundredths.
+/// How long a request waits for a permit: a node with a CPU quota answers within 100 ms, and the
+/// round trip between regions takes some tens of milliseconds.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(120);
 
-/// For how long an engine gets no requests of this node after a question without an answer, or where nobody is
-/// known to ask.
-const UNKNOWN_PAUSE: Duration = Duration::from_millis(200);
+/// How long this node sends an engine no requests if the issuer is unknown or did not answer.
+const NO_ISSUER_RETRY: Duration = Duration::from_millis(200);
 
-/// From so many questions on, those whose answer would come too late are forgotten.
-const MANY_ASKED: usize = 256;
+/// Number of pending requests from which expired ones are dropped.
+const CLEANUP_THRESHOLD: usize = 256;
 
-/// Leave to send one request to an engine with a limit, or why there is none.
-pub(super) async fn permit(context: &Context, engine: EngineKey) -> Result<Permit, ClosedFor> {
-    if let Some(permit) = take_held(context, engine) {
+/// Acquires a permit for one request to an engine with a limit, or returns why there is none.
+pub(super) async fn acquire_permit(
+    context: &Context,
+    engine: EngineKey,
+) -> Result<Permit, ClosedFor> {
+    if let Some(permit) = take_held_permit(context, engine) {
         return Ok(permit);
     }
     match issuer_of(context, engine) {
-        IssuerPlace::Here => issue_here(context, engine),
-        IssuerPlace::At(relay) => ask(context, engine, &relay).await,
-        IssuerPlace::Unknown => {
+        IssuerLocation::Local => issue_locally(context, engine),
+        IssuerLocation::Remote(relay) => request_permits(context, engine, &relay).await,
+        IssuerLocation::Unknown => {
             context.metrics.permit("no issuer");
-            close(context, engine, UNKNOWN_PAUSE);
+            close_engine(context, engine, NO_ISSUER_RETRY);
         }
     }
-    take_held(context, engine).ok_or_else(|| {
+    take_held_permit(context, engine).ok_or_else(|| {
         let now = context.now();
         let router = context.router.borrow();
         let closed = router.signals.closed(now, engine);
@@ -47,40 +49,48 @@
     })
 }
 
-/// Tells the issuer of a call that needs no leave. Where that is lost, one call more goes to the engine.
-pub(super) fn tell_of_call(context: &Context, engine: EngineKey) {
+/// Reports an internal call to the issuer, so that it counts against the limit. If the message is
+/// lost, the engine gets one call more than the limit allows.
+pub(super) fn report_internal_call(context: &Context, engine: EngineKey) {
     match issuer_of(context, engine) {
-        IssuerPlace::Here => grants::debit(context, engine),
-        IssuerPlace::At(relay) => {
+        IssuerLocation::Local => grants::count_call(context, engine),
+        IssuerLocation::Remote(relay) => {
             send_request(context, engine, &relay, PermitNeed::Counted);
         }
-        IssuerPlace::Unknown => {}
+        IssuerLocation::Unknown => {}
     }
 }
 
-/// Takes an answer in. One that comes late counts for what is left of its permits' time.
+/// Handles the answer to a permit request. A late answer counts for the remaining lifetime of its
+/// permits.
 pub(crate) fn handle_answer(context: &Context, answer: PermitAnswer) {
-    let asked = context.permits.asked.borrow_mut().remove(&answer.number);
-    let Some(asked) = asked.filter(|asked| asked.engine.0 == answer.engine) else {
+    let pending = context.permits.pending.borrow_mut().remove(&answer.number);
+    let Some(pending) = pending.filter(|pending| pending.engine.0 == answer.engine) else {
         return;
     };
     let retry_in = Duration::from_millis(answer.retry_in_ms.into());
-    credit(context, asked.engine, asked.at, answer.permits, retry_in);
-    if let Some(answered) = asked.answered {
-        // Who asked may have given up.
-        let _ = answered.send(());
+    store_grant(
+        context,
+        pending.engine,
+        pending.sent_at,
+        answer.permits,
+        retry_in,
+    );
+    if let Some(answer_sender) = pending.answer_sender {
+        // The receiver may have timed out.
+        let _ = answer_sender.send(());
     }
 }
 
-fn take_held(context: &Context, engine: EngineKey) -> Option<Permit> {
+fn take_held_permit(context: &Context, engine: EngineKey) -> Option<Permit> {
     let now = context.now();
     let mut router = context.router.borrow_mut();
     router.signals.permits.take(now, engine)
 }
 
-fn issue_here(context: &Context, engine: EngineKey) {
+fn issue_locally(context: &Context, engine: EngineKey) {
     let grant = grants::issue(context, engine);
-    credit(
+    store_grant(
         context,
         engine,
         context.now(),
@@ -89,72 +99,73 @@
     );
 }
 
-/// Notes what an issuer gave for a question of `asked_at`.
-fn credit(
+/// Stores the permits granted for a request sent at `requested_at`, or closes the engine if there
+/// are none.
+fn store_grant(
     context: &Context,
     engine: EngineKey,
-    asked_at: MonotonicTime,
+    requested_at: MonotonicTime,
     permits: u32,
     retry_in: Duration,
 ) {
     if permits == 0 {
         context.metrics.permit("denied");
-        close(context, engine, retry_in);
+        close_engine(context, engine, retry_in);
         return;
     }
     context.metrics.permit("granted");
     let now = context.now();
     let mut router = context.router.borrow_mut();
     let wallet = &mut router.signals.permits;
-    wallet.add(now, engine, permits, asked_at + PERMIT_LIFE);
+    wallet.add(now, engine, permits, requested_at + PERMIT_LIFE);
 }
 
-fn close(context: &Context, engine: EngineKey, time: Duration) {
+fn close_engine(context: &Context, engine: EngineKey, time: Duration) {
     let now = context.now();
     let mut router = context.router.borrow_mut();
     router.signals.permits.close(now, engine, time);
 }
 
-async fn ask(context: &Context, engine: EngineKey, relay: &Relay) {
+async fn request_permits(context: &Context, engine: EngineKey, relay: &Relay) {
     let number = send_request(context, engine, relay, PermitNeed::Request);
-    let (answered, answer) = oneshot::channel();
-    let at = context.now();
-    let asked = Asked {
+    let (answer_sender, answer) = oneshot::channel();
+    let sent_at = context.now();
+    let pending = PendingRequest {
         engine,
-        at,
-        answered: Some(answered),
+        sent_at,
+        answer_sender: Some(answer_sender),
     };
     {
-        let mut all = context.permits.asked.borrow_mut();
-        if all.len() >= MANY_ASKED {
-            all.retain(|_, asked| at.since(asked.at) < PERMIT_LIFE);
+        let mut requests = context.permits.pending.borrow_mut();
+        if requests.len() >= CLEANUP_THRESHOLD {
+            requests.retain(|_, pending| sent_at.since(pending.sent_at) < PERMIT_LIFE);
         }
-        all.insert(number, asked);
+        requests.insert(number, pending);
     }
-    let came = tokio::time::timeout(ANSWER_TIMEOUT, answer).await;
-    if matches!(came, Ok(Ok(()))) {
-        context.permits.has_answered(relay.number);
+    let received = tokio::time::timeout(ANSWER_TIMEOUT, answer).await;
+    if matches!(received, Ok(Ok(()))) {
+        context.permits.record_answered(relay.number);
     } else {
         context.metrics.permit("unanswered");
         context
             .permits
-            .has_not_answered(relay.number, context.now());
-        close(context, engine, UNKNOWN_PAUSE);
+            .record_unanswered(relay.number, context.now());
+        close_engine(context, engine, NO_ISSUER_RETRY);
     }
 }
 
-/// Sends a question; its number.
+/// Sends a permit request and returns its number.
 fn send_request(context: &Context, engine: EngineKey, relay: &Relay, need: PermitNeed) -> u64 {
-    let desk = &context.permits;
-    let number = desk.last_number.get() + 1;
-    desk.last_number.set(number);
+    let state = &context.permits;
+    let number = state.last_request_number.get() + 1;
+    state.last_request_number.set(number);
     let request = PermitRequest {
         node: context.spread.node,
         number,
         need,
         limit: known_limit(context, engine),
     };
-    if let Some(socket) = desk.socket.get() {
+    if let Some(socket) = state.socket.get() {
         let message = Message::PermitRequest(request);
         let sent_bytes = send(context, socket, &[relay.address], &message);
         context.sent(sent_bytes);
--- a/crates/forwarding/src/permits/passage.rs
+++ b/crates/forwarding/src/permits/send_permission.rs
@@ -1,4 +1,4 @@
-//! What a call needs before it may go out to an engine.
+//! Permission to send one call to an engine.
 
 use dalestand_routing::shared_rate::Permit;
 use dalestand_routing::staged::{ClosedFor, EngineKey};
@@ -7,32 +7,32 @@
 use crate::context::Context;
 use crate::permits::requester;
 
-/// Leave to send one call. Dropped before it was used, its permit is given back.
-pub(crate) struct Passage<'a> {
+/// Permission to send one call. If dropped unused, its permit is returned.
+pub(crate) struct SendPermission<'a> {
     context: &'a Context,
-    /// `None` where the engine needs none, or once it is used.
+    /// `None` if the engine has no limit, or after the permit has been used.
     permit: Option<Permit>,
 }
 
-impl<'a> Passage<'a> {
-    /// Leave for a caller's request, or why there is none. Waits for another node's answer where the engine has a
-    /// limit.
+impl<'a> SendPermission<'a> {
+    /// Acquires permission for a caller's request, or returns why there is none. If the engine has
+    /// a limit, this may wait for the answer of the issuing node.
     pub(crate) async fn for_request(
         context: &'a Context,
         engine: EngineKey,
     ) -> Result<Self, ClosedFor> {
         let permit = if has_limit(context, engine) {
-            Some(requester::permit(context, engine).await?)
+            Some(requester::acquire_permit(context, engine).await?)
         } else {
             None
         };
         Ok(Self { context, permit })
     }
 
-    /// Leave for a call of the node's own: it goes out whatever the limit, and is counted.
-    pub(crate) fn for_own_call(context: &'a Context, engine: EngineKey) -> Self {
+    /// Permission for an internal call, which is sent despite any limit but counts against it.
+    pub(crate) fn for_internal_call(context: &'a Context, engine: EngineKey) -> Self {
         if has_limit(context, engine) {
-            requester::tell_of_call(context, engine);
+            requester::report_internal_call(context, engine);
         }
         Self {
             context,
@@ -40,20 +40,20 @@
         }
     }
 
-    /// Whether the call may still go out.
-    pub(crate) fn holds(&self, now: MonotonicTime) -> bool {
+    /// Whether the call may still be sent.
+    pub(crate) fn is_valid(&self, now: MonotonicTime) -> bool {
         self.permit.is_none_or(|permit| permit.is_valid(now))
     }
 
-    /// Notes that the call goes out.
-    pub(crate) fn used(&mut self) {
+    /// Consumes the permit, as the call is being sent.
+    pub(crate) fn mark_used(&mut self) {
         if self.permit.take().is_some() {
             self.context.metrics.permit("used");
         }
     }
 }
 
-impl Drop for Passage<'_> {
+impl Drop for SendPermission<'_> {
     fn drop(&mut self) {
         if let Some(permit) = self.permit.take() {
             let mut router = self.context.router.borrow_mut();
--- a/crates/forwarding/src/permits/state.rs
+++ b/crates/forwarding/src/permits/state.rs
@@ -1,4 +1,4 @@
-//! What a node asked for, and what it issues.
+//! Permit state of one node: pending requests, and permits issued to others.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::HashMap;
@@ -12,34 +12,35 @@
 use tokio::net::UdpSocket;
 use tokio::sync::oneshot;
 
-/// A member goes to the next relay after so many questions in a row that had no answer. One may be lost.
-const UNANSWERED_ALLOWED: u32 = 2;
+/// Consecutive unanswered requests after which a member turns to the next relay; a single one may
+/// be due to packet loss.
+const MAX_UNANSWERED: u32 = 2;
 
-/// For how long it then passes the silent relay over.
-const PASSED_OVER: Duration = Duration::from_secs(1);
+/// How long a member then skips the unresponsive relay.
+const SKIP_TIME: Duration = Duration::from_secs(1);
 
-/// A question that was sent.
-pub(crate) struct Asked {
+/// A permit request that was sent.
+pub(crate) struct PendingRequest {
     pub(super) engine: EngineKey,
-    pub(super) at: MonotonicTime,
-    /// Rung by the answer.
-    pub(super) answered: Option<oneshot::Sender<()>>,
+    pub(super) sent_at: MonotonicTime,
+    /// Notified when the answer arrives.
+    pub(super) answer_sender: Option<oneshot::Sender<()>>,
 }
 
-/// Questions in a row that a relay left unanswered.
+/// Consecutive requests that a relay left unanswered.
 #[derive(Clone, Copy, Debug, Default)]
-struct Unanswered {
+struct UnansweredRequests {
     count: u32,
     last_at: MonotonicTime,
 }
 
-/// What a node asks for and issues.
+/// Pending requests and issued permits of one node.
 pub(crate) struct PermitState {
     pub(super) issuer: RefCell<PermitIssuer>,
-    pub(super) asked: RefCell<HashMap<u64, Asked>>,
-    pub(super) last_number: Cell<u64>,
-    unanswered: RefCell<HashMap<NodeNumber, Unanswered>>,
-    /// Set once, at the start.
+    pub(super) pending: RefCell<HashMap<u64, PendingRequest>>,
+    pub(super) last_request_number: Cell<u64>,
+    unanswered: RefCell<HashMap<NodeNumber, UnansweredRequests>>,
+    /// Set once at startup.
     pub(crate) socket: OnceCell<Rc<UdpSocket>>,
 }
 
@@ -47,9 +48,10 @@
     fn default() -> Self {
         Self {
             issuer: RefCell::default(),
-            asked: RefCell::default(),
-            // Answers to a former life of this node are not taken for answers to this one.
-            last_number: Cell::new(rand::random::<u32>().into()),
+            pending: RefCell::default(),
+            // A random start, so that answers to requests from before a restart are not mistaken
+            // for new ones.
+            last_request_number: Cell::new(rand::random::<u32>().into()),
             unanswered: RefCell::default(),
             socket: OnceCell::new(),
         }
@@ -57,29 +59,29 @@
 }
 
 impl PermitState {
-    /// Engines for which permits were asked for here lately.
+    /// Number of engines for which this node recently issued permits.
     pub(crate) fn issuing_engine_count(&self) -> usize {
         self.issuer.borrow().len()
     }
 
-    /// Notes that a relay answered a question.
-    pub(super) fn has_answered(&self, relay: NodeNumber) {
+    /// Records that a relay answered a request.
+    pub(super) fn record_answered(&self, relay: NodeNumber) {
         self.unanswered.borrow_mut().remove(&relay);
     }
 
-    /// Notes that a relay left a question unanswered.
-    pub(super) fn has_not_answered(&self, relay: NodeNumber, now: MonotonicTime) {
+    /// Records that a relay left a request unanswered.
+    pub(super) fn record_unanswered(&self, relay: NodeNumber, now: MonotonicTime) {
         let mut unanswered = self.unanswered.borrow_mut();
         let known = unanswered.entry(relay).or_default();
         known.count += 1;
         known.last_at = now;
     }
 
-    /// Whether a relay left so many questions unanswered that the next one is asked.
-    pub(super) fn is_passed_over(&self, relay: NodeNumber, now: MonotonicTime) -> bool {
+    /// Whether a relay left so many requests unanswered that the next one is used instead.
+    pub(super) fn is_skipped(&self, relay: NodeNumber, now: MonotonicTime) -> bool {
         let unanswered = self.unanswered.borrow();
         unanswered.get(&relay).is_some_and(|known| {
-            known.count >= UNANSWERED_ALLOWED && now.since(known.last_at) < PASSED_OVER
+            known.count >= MAX_UNANSWERED && now.since(known.last_at) < SKIP_TIME
         })
     }
 }
--- a/crates/forwarding/src/quarantine/engine_end.rs
+++ b/crates/forwarding/src/quarantine/engine_end.rs
@@ -1,4 +1,5 @@
-//! How a node learns that an engine's run has ended, and which requests it ended under.
+//! Detects that an engine run has ended, and attributes the end to the requests that were
+//! unfinished there.
 
 use std::rc::Rc;
 
@@ -8,37 +9,46 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
-use crate::quarantine::engine_runs::engine_run;
-use crate::quarantine::evidence::attribute;
+use crate::quarantine::engine_run_id::engine_run_id;
+use crate::quarantine::evidence::attribute_crash;
 
-/// What proves that an engine's run has ended.
+/// Evidence that an engine run has ended. Logged by `Debug`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndProof {
-    /// Nothing listens at its address.
+    /// Nothing listens at its address any more.
     NoListener,
-    /// Its entry is gone, and it had not said that it leaves.
+    /// Its entry has gone, and it had not announced that it drains.
     EntryGone,
-    /// It has started again.
+    /// It has started again under the same name.
     StartedAgain,
 }
 
-/// Asks an engine that broke an answer off whether it still listens. An entry lapses seconds after its
-/// engine ended; this tells within a round trip, and a connection that opens is kept for the next call.
-pub(crate) fn check_listener(context: &Rc<Context>, pool: &PoolName, engine: &StagedEngine) {
-    let is_first = context.quarantine.checked.borrow_mut().insert(engine.key);
+/// Starts a check whether an engine that broke off an answer still listens, unless one is running.
+/// A crashed engine's entry takes seconds to lapse, while a connection attempt takes one round
+/// trip; a connection that opens is kept for the next call.
+pub(crate) fn spawn_listener_check(context: &Rc<Context>, pool: &PoolName, engine: &StagedEngine) {
+    let is_first = context
+        .quarantine
+        .listener_checks
+        .borrow_mut()
+        .insert(engine.key);
     if !is_first {
         return;
     }
     let context = Rc::clone(context);
     let (pool, engine) = (pool.clone(), engine.key);
     actix_rt::spawn(async move {
-        ask_listener(&context, &pool, engine).await;
-        context.quarantine.checked.borrow_mut().remove(&engine);
+        check_listener(&context, &pool, engine).await;
+        context
+            .quarantine
+            .listener_checks
+            .borrow_mut()
+            .remove(&engine);
     });
 }
 
-/// The same, for who must know before it goes on.
-pub(crate) async fn ask_listener(context: &Rc<Context>, pool: &PoolName, engine: EngineKey) {
+/// Checks whether an engine still listens, and waits for the result.
+pub(crate) async fn check_listener(context: &Rc<Context>, pool: &PoolName, engine: EngineKey) {
     let Some(known) = context.fleet().engine(engine).cloned() else {
         return;
     };
@@ -49,9 +59,9 @@
     }
 }
 
-/// Notes that an engine's run has ended.
+/// Records that an engine run has ended, and attributes a crash to each request unfinished there.
 pub(crate) fn record_engine_end(context: &Context, engine: EngineKey, name: &str, proof: EndProof) {
-    let run = engine_run(context, engine);
+    let run = engine_run_id(context, engine);
     let requests = {
         let mut runs = context.quarantine.unfinished.borrow_mut();
         if runs.has_ended(run) {
@@ -62,6 +72,6 @@
     log_event!(context.logger, Event::EngineEnded, "engine" => name, "proof" => ?proof,
         "requests" => requests.len());
     for fingerprint in requests {
-        attribute(context, name, run, fingerprint);
+        attribute_crash(context, name, run, fingerprint);
     }
 }
--- a/crates/forwarding/src/quarantine/engine_runs.rs
+++ b/crates/forwarding/src/quarantine/engine_run_id.rs
@@ -1,13 +1,13 @@
-//! The numbers under which nodes speak of engines' runs.
+//! Fleet-wide identifiers of engine runs.
 
 use dalestand_quarantine::EngineRunId;
 use dalestand_routing::staged::{EngineKey, rendezvous_weight};
 
 use crate::context::Context;
 
-/// The number under which nodes speak of an engine's run: an engine that starts again under its name ends
-/// another time.
-pub(super) fn engine_run(context: &Context, engine: EngineKey) -> EngineRunId {
+/// The identifier of an engine's current run. An engine that restarts under the same name gets a
+/// new one, so that a second crash counts as another.
+pub(super) fn engine_run_id(context: &Context, engine: EngineKey) -> EngineRunId {
     match context.router.borrow().signals.born(engine) {
         0 => EngineRunId(engine.0),
         born => EngineRunId(rendezvous_weight(engine.0, born)),
--- a/crates/forwarding/src/quarantine/evidence.rs
+++ b/crates/forwarding/src/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! Takes evidence in, of this node and of others, and tells what is stopped.
+//! Collects crash evidence from this node and others, and answers which requests are stopped.
 
 use dalestand_quarantine::{ApplyOutcome, CrashRecord, EngineRunId, RequestFingerprint};
 use dalestand_telemetry::{Event, log_event};
@@ -6,14 +6,15 @@
 
 use crate::context::Context;
 
-/// Stopped requests that a relay names in one message: 1 KB.
-const MAX_TOLD: usize = 10;
+/// Maximum number of stopped requests in one relay message, about 1 KB.
+const MAX_REQUESTS_PER_MESSAGE: usize = 10;
 
-/// Requests of which this node remembers that it saw a crash, before it looks which still count.
-const MAX_SEEN: usize = 4_096;
+/// Maximum number of requests kept as seen here before those without crashes are dropped.
+const MAX_OBSERVED: usize = 4_096;
 
-/// Notes that a request was unfinished at an engine when that ended.
-pub(crate) fn attribute(
+/// Attributes an engine crash to a request that was unfinished there, and queues the record for the
+/// other nodes.
+pub(crate) fn attribute_crash(
     context: &Context,
     engine_name: &str,
     engine: EngineRunId,
@@ -26,9 +27,9 @@
         is_cleared: false,
     };
     let quarantine = &context.quarantine;
-    note_seen(context, fingerprint);
-    let taken = take(context, &record);
-    if taken == ApplyOutcome::Known {
+    note_observed(context, fingerprint);
+    let outcome = apply(context, &record);
+    if outcome == ApplyOutcome::Known {
         return;
     }
     context.metrics.crash_attributed();
@@ -38,31 +39,31 @@
         .crash_count(context.now(), fingerprint);
     log_event!(context.logger, Event::CrashAttributed, "fingerprint" => %fingerprint,
         "engine" => engine_name, "crashes" => crashes);
-    if taken == ApplyOutcome::New {
+    if outcome == ApplyOutcome::New {
         quarantine.outgoing_records.borrow_mut().push(record);
         context.work_changed.notify_one();
     }
 }
 
-/// Notes that this node saw a crash of the request. Of requests that nothing counts against any more
-/// nothing is to be stored.
-fn note_seen(context: &Context, fingerprint: RequestFingerprint) {
-    let mut seen = context.quarantine.seen_here.borrow_mut();
-    if seen.len() >= MAX_SEEN {
+/// Records that this node saw a crash of the request. At the limit, requests without crashes on
+/// record are dropped, as there is nothing to store for them.
+fn note_observed(context: &Context, fingerprint: RequestFingerprint) {
+    let mut observed = context.quarantine.observed_here.borrow_mut();
+    if observed.len() >= MAX_OBSERVED {
         let now = context.now();
         let ledger = context.quarantine.ledger.borrow();
-        seen.retain(|fingerprint| ledger.crash_count(now, *fingerprint) > 0);
+        observed.retain(|fingerprint| ledger.crash_count(now, *fingerprint) > 0);
     }
-    seen.insert(fingerprint);
+    observed.insert(fingerprint);
 }
 
-/// Takes the records of other nodes in.
+/// Applies crash records received from other nodes or read from the key-value store.
 pub(crate) fn apply_records(context: &Context, records: &[CrashRecord]) {
     for record in records {
-        if take(context, record) == ApplyOutcome::Cleared {
-            // It has completed here.
-            let mut news = context.quarantine.outgoing_records.borrow_mut();
-            news.push(CrashRecord {
+        if apply(context, record) == ApplyOutcome::Cleared {
+            // The request completed here recently, so the other nodes have to clear the record too.
+            let mut outgoing = context.quarantine.outgoing_records.borrow_mut();
+            outgoing.push(CrashRecord {
                 is_cleared: true,
                 ..*record
             });
@@ -71,22 +72,22 @@
     }
 }
 
-fn take(context: &Context, record: &CrashRecord) -> ApplyOutcome {
+fn apply(context: &Context, record: &CrashRecord) -> ApplyOutcome {
     let now = context.now();
     let quarantine = &context.quarantine;
     let mut ledger = quarantine.ledger.borrow_mut();
     let fingerprint = record.fingerprint;
     let was_stopped = ledger.is_stopped(now, fingerprint);
-    let taken = ledger.apply(now, record);
+    let outcome = ledger.apply(now, record);
     let is_stopped = ledger.is_stopped(now, fingerprint);
     let crashes = ledger.crash_count(now, fingerprint);
     drop(ledger);
     if is_stopped
-        && taken == ApplyOutcome::New
-        && quarantine.seen_here.borrow().contains(&fingerprint)
+        && outcome == ApplyOutcome::New
+        && quarantine.observed_here.borrow().contains(&fingerprint)
     {
-        quarantine.to_store.borrow_mut().insert(fingerprint);
-        quarantine.store_wanted.notify_one();
+        quarantine.pending_writes.borrow_mut().insert(fingerprint);
+        quarantine.write_queued.notify_one();
     }
     if is_stopped && !was_stopped {
         log_event!(context.logger, Event::RequestStopped, "fingerprint" => %fingerprint,
@@ -94,11 +95,11 @@
     } else if was_stopped && !is_stopped {
         log_event!(context.logger, Event::RequestReleased, "fingerprint" => %fingerprint);
     }
-    taken
+    outcome
 }
 
-/// Notes that a request has completed at an engine: it does not end each that runs it.
-pub(crate) fn completed(context: &Context, fingerprint: RequestFingerprint) {
+/// Records that an engine has completed a request, which clears the crashes attributed to it.
+pub(crate) fn record_completion(context: &Context, fingerprint: RequestFingerprint) {
     let mut ledger = context.quarantine.ledger.borrow_mut();
     let cleared = ledger.record_completion(context.now(), fingerprint);
     drop(ledger);
@@ -106,9 +107,9 @@
         return;
     }
     log_event!(context.logger, Event::RequestReleased, "fingerprint" => %fingerprint);
-    let mut news = context.quarantine.outgoing_records.borrow_mut();
+    let mut outgoing = context.quarantine.outgoing_records.borrow_mut();
     for record in cleared {
-        news.push(record);
+        outgoing.push(record);
     }
     context.work_changed.notify_one();
 }
@@ -119,30 +120,34 @@
     fingerprint.is_some_and(|fingerprint| ledger.is_stopped(context.now(), fingerprint))
 }
 
-/// Crashes that count against a request.
-pub(crate) fn crashes(context: &Context, fingerprint: Option<RequestFingerprint>) -> usize {
+/// Number of crashes that count against a request.
+pub(crate) fn crash_count(context: &Context, fingerprint: Option<RequestFingerprint>) -> usize {
     let ledger = context.quarantine.ledger.borrow();
     fingerprint.map_or(0, |fingerprint| {
         ledger.crash_count(context.now(), fingerprint)
     })
 }
 
-/// Records of stopped requests for the next message of a relay: all by turns, where there are many.
+/// Crash records of stopped requests to repeat in a relay's next message. If there are too many for
+/// one message, successive messages carry successive parts.
 pub(crate) fn stopped_records(context: &Context) -> Vec<CrashRecord> {
     let ledger = context.quarantine.ledger.borrow();
     if ledger.is_empty() {
         return Vec::new();
     }
     let stopped = ledger.stopped(context.now());
-    let turns = stopped.len().div_ceil(MAX_TOLD).max(1);
-    // Messages with records go out about once a second.
+    let parts = stopped.len().div_ceil(MAX_REQUESTS_PER_MESSAGE).max(1);
+    // Such messages are sent about once a second.
     let seconds = context.now().since(MonotonicTime::ZERO).as_secs();
-    let turn = (seconds % turns as u64) as usize;
-    let told = stopped.into_iter().skip(turn * MAX_TOLD).take(MAX_TOLD);
-    told.flat_map(|(_, records)| records).collect()
+    let part_index = (seconds % parts as u64) as usize;
+    let part = stopped
+        .into_iter()
+        .skip(part_index * MAX_REQUESTS_PER_MESSAGE)
+        .take(MAX_REQUESTS_PER_MESSAGE);
+    part.flat_map(|(_, records)| records).collect()
 }
 
-/// Number of requests that are stopped.
+/// Number of stopped requests.
 pub(crate) fn stopped_count(context: &Context) -> usize {
     let ledger = context.quarantine.ledger.borrow();
     ledger.stopped(context.now()).len()
--- a/crates/forwarding/src/quarantine/fleet_key.rs
+++ b/crates/forwarding/src/quarantine/fleet_key.rs
@@ -1,5 +1,5 @@
-//! What a node that starts reads of requests that end engines: those that are stopped, and the key of
-//! the fleet's fingerprints, which whichever node asks first draws for all.
+//! Loads quarantine data from the key-value store at startup: the stopped requests, and the fleet's
+//! fingerprint key. The first node to find no key creates it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,44 +13,45 @@
 use crate::context::Context;
 use crate::quarantine::stopped_entries::apply_stored;
 
-/// Leading part of the keys of what nodes keep of requests that end engines.
+/// Prefix of all keys of quarantine data.
 pub(crate) const QUARANTINE_PREFIX: &str = "dalestand/quarantine/";
 
-/// Where the fleet's key stands.
+/// Key under which the fingerprint key is stored.
 const FLEET_KEY: &str = "dalestand/quarantine/key";
 
-/// Longest pause after a failed call. A node is to know the key, and what is stopped, within the
-/// shortest time after which it counts as connected (3 s).
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+/// Maximum delay before a retry. A starting node has to load the key and the stopped requests within
+/// the minimum time after which it counts as connected (3 s).
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Reads the fleet's key, or draws it; ends when it is known.
+/// Loads or creates the fingerprint key, and loads the stopped requests. Retries until this
+/// succeeds.
 pub(crate) async fn load_fingerprint_key(context: Rc<Context>, store: Rc<dyn KeyValue>) {
     loop {
-        match read(&context, &*store).await {
+        match load(&context, &*store).await {
             Ok(()) => return,
             Err(error) => {
                 log_event!(context.logger, Event::KeyValueFailed, "prefix" => QUARANTINE_PREFIX,
                     "error" => %error.current_context());
-                let share = rand::rng().random_range(0.5..1.0);
-                actix_rt::time::sleep(LONGEST_PAUSE.mul_f64(share)).await;
+                let factor = rand::rng().random_range(0.5..1.0);
+                actix_rt::time::sleep(MAX_RETRY_DELAY.mul_f64(factor)).await;
             }
         }
     }
 }
 
-async fn read(context: &Context, store: &dyn KeyValue) -> Result<(), Report<PlatformError>> {
+async fn load(context: &Context, store: &dyn KeyValue) -> Result<(), Report<PlatformError>> {
     let listing = store.range(QUARANTINE_PREFIX).await?;
-    let standing = listing.entries.iter().find(|entry| entry.key == FLEET_KEY);
-    let text = match standing {
+    let stored = listing.entries.iter().find(|entry| entry.key == FLEET_KEY);
+    let text = match stored {
         Some(entry) => entry.value.clone(),
-        None => draw(store).await?,
+        None => create_key(store).await?,
     };
     let key = FingerprintKey::parse(&text);
     let key = key.change_context_lazy(|| PlatformError::Malformed {
         system: "fingerprint key",
-        message: "is no key".to_owned(),
+        message: "is not a valid fingerprint key".to_owned(),
     })?;
-    // It is read once.
+    // Already set only if it was loaded before.
     let _ = context.quarantine.key.set(key);
     for entry in &listing.entries {
         apply_stored(context, &entry.key, Some(&entry.value));
@@ -58,8 +59,9 @@
     Ok(())
 }
 
-/// Draws a key; yields the one that stands afterwards.
-async fn draw(store: &dyn KeyValue) -> Result<String, Report<PlatformError>> {
+/// Creates a fingerprint key, and returns the stored one, which another node may have written
+/// first.
+async fn create_key(store: &dyn KeyValue) -> Result<String, Report<PlatformError>> {
     let text = FingerprintKey::generate().to_text();
     let written = store
         .compare_and_swap(FLEET_KEY, WriteExpectation::Absent, Some(&text), None)
@@ -69,10 +71,10 @@
             current: Some(current),
         } => Ok(current.value),
         CasOutcome::Written { .. } => Ok(text),
-        // It is read again.
+        // The caller retries.
         CasOutcome::Conflict { current: None } => Err(Report::new(PlatformError::InDoubt {
             system: "fingerprint key",
-            message: "was taken away meanwhile".to_owned(),
+            message: "was deleted concurrently".to_owned(),
         })),
     }
 }
--- a/crates/forwarding/src/quarantine/mod.rs
+++ b/crates/forwarding/src/quarantine/mod.rs
@@ -1,13 +1,13 @@
-//! Requests that end the engines that run them: what this node saw of them, what others tell, and
-//! which are stopped.
+//! Quarantine of requests that crash engines: local evidence, evidence of other nodes, and stopped
+//! requests.
 //!
-//! What a node learns must outlive the caller's attempt and reach all nodes, as the request comes
-//! again anywhere. Evidence goes to all with the news between nodes; what is stopped is repeated by
-//! relays, for nodes that were cut off, and is kept in the key-value service, for fleets that were
-//! lost as a whole.
+//! A crashing request may be sent again to any node at any time, so evidence has to outlive the
+//! request that produced it and reach all nodes. Nodes send each other new crash records. Relays
+//! also repeat the records of stopped requests, for nodes that were disconnected, and the key-value
+//! store keeps these records for the case that all nodes restart.
 
 pub(crate) mod engine_end;
-mod engine_runs;
+mod engine_run_id;
 pub(crate) mod evidence;
 pub(crate) mod fleet_key;
 pub(crate) mod operator;
--- a/crates/forwarding/src/quarantine/operator.rs
+++ b/crates/forwarding/src/quarantine/operator.rs
@@ -1,4 +1,5 @@
-//! What an operator asks of stopped requests, at the key-value service itself: no node needs to run.
+//! Operator commands for stopped requests. They use the key-value store directly, so no node has to
+//! be running.
 
 use dalestand_edge::{CasOutcome, KeyValue, PlatformError, WriteExpectation};
 use dalestand_quarantine::{RequestFingerprint, StoppedRequestEntry};
@@ -6,8 +7,8 @@
 
 use crate::quarantine::stopped_entries::STOPPED_PREFIX;
 
-/// Stopped requests as the key-value service keeps them, by fingerprint; those that were released and
-/// have not lapsed yet are among them.
+/// Lists the stopped requests in the key-value store by fingerprint. Released requests are included
+/// until their entries expire.
 pub async fn stopped_requests(
     store: &dyn KeyValue,
 ) -> Result<Vec<(RequestFingerprint, StoppedRequestEntry)>, Report<PlatformError>> {
@@ -16,38 +17,38 @@
     entries
         .map(|entry| {
             let text = entry.key.strip_prefix(STOPPED_PREFIX).unwrap_or_default();
-            let fingerprint = RequestFingerprint::parse(text).change_context_lazy(unreadable)?;
-            let stop = serde_json::from_str(&entry.value).change_context_lazy(unreadable)?;
+            let fingerprint = RequestFingerprint::parse(text).change_context_lazy(malformed)?;
+            let stop = serde_json::from_str(&entry.value).change_context_lazy(malformed)?;
             Ok((fingerprint, stop))
         })
         .collect()
 }
 
-/// Lets a stopped request run again, at each node. Whether it was stopped.
+/// Releases a stopped request at all nodes. Returns whether it was stopped.
 pub async fn release_request(
     store: &dyn KeyValue,
     fingerprint: RequestFingerprint,
 ) -> Result<bool, Report<PlatformError>> {
     let key = format!("{STOPPED_PREFIX}{fingerprint}");
     loop {
-        let Some(standing) = store.get(&key).await? else {
+        let Some(stored) = store.get(&key).await? else {
             return Ok(false);
         };
-        let stop: StoppedRequestEntry =
-            serde_json::from_str(&standing.value).change_context_lazy(unreadable)?;
-        if stop.is_released {
+        let entry: StoppedRequestEntry =
+            serde_json::from_str(&stored.value).change_context_lazy(malformed)?;
+        if entry.is_released {
             return Ok(true);
         }
         let released = StoppedRequestEntry {
             is_released: true,
-            ..stop
+            ..entry
         };
-        let text = serde_json::to_string(&released).change_context_lazy(unreadable)?;
-        // It goes again with the time for which a stop is kept.
+        let text = serde_json::to_string(&released).change_context_lazy(malformed)?;
+        // The released entry expires after the same time as other entries.
         let lease = store
             .grant_lease(dalestand_quarantine::TRIAL_INTERVAL)
             .await?;
-        let expectation = WriteExpectation::At(standing.revision);
+        let expectation = WriteExpectation::At(stored.revision);
         let written = store
             .compare_and_swap(&key, expectation, Some(&text), Some(lease))
             .await?;
@@ -57,7 +58,7 @@
     }
 }
 
-fn unreadable() -> PlatformError {
+fn malformed() -> PlatformError {
     PlatformError::Malformed {
         system: "stopped request",
         message: "cannot be read or written".to_owned(),
--- a/crates/forwarding/src/quarantine/run_watch.rs
+++ b/crates/forwarding/src/quarantine/run_watch.rs
@@ -1,5 +1,5 @@
-//! Watches how a call to an engine ends, wherever that is: before the head, in a gathered answer, in
-//! a relayed stream, in a prefill, in a resumed run, or because nobody waits any more.
+//! Tracks how a call to an engine ends, wherever it ends: before the response head, in a buffered
+//! or streamed body, in a prefill or a resumed run, or because the request is dropped.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,29 +11,29 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
-use crate::quarantine::engine_end::check_listener;
-use crate::quarantine::engine_runs::engine_run;
-use crate::quarantine::evidence::{attribute, completed};
+use crate::quarantine::engine_end::spawn_listener_check;
+use crate::quarantine::engine_run_id::engine_run_id;
+use crate::quarantine::evidence::{attribute_crash, record_completion};
 use crate::serve::progress::Progress;
 
-/// How a call ended without a whole answer.
+/// Why a call ended without a complete answer. Logged by `Debug`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Unfinished {
-    /// The connection ended before the head.
+pub(crate) enum UnfinishedReason {
+    /// The connection closed before the response head.
     NoAnswer,
-    /// The answer broke off.
+    /// The response body broke off.
     BrokenOff,
-    /// Nothing came in time.
+    /// The call timed out.
     Silent,
-    /// The caller left, or the request's time was over.
+    /// The caller disconnected, or the request's time limit was reached.
     Left,
 }
 
-/// A call that an engine may have begun, until it is known how it ended.
+/// A call that an engine may have started to run, until its outcome is known.
 pub(crate) struct RunWatch {
     context: Rc<Context>,
     engine: StagedEngine,
-    /// The engine's run when the call was made.
+    /// The engine run to which the call was made.
     run: EngineRunId,
     pool: PoolName,
     request: Option<Arc<str>>,
@@ -42,14 +42,14 @@
 }
 
 impl RunWatch {
-    /// Watches a call that is about to be made.
+    /// Starts tracking a call that is about to be sent.
     pub(crate) fn new(
         context: &Rc<Context>,
         progress: &Progress,
         engine: &StagedEngine,
         pool: &PoolName,
     ) -> Self {
-        let run = engine_run(context, engine.key);
+        let run = engine_run_id(context, engine.key);
         let unfinished = context.quarantine.unfinished.borrow();
         Self {
             context: Rc::clone(context),
@@ -57,28 +57,28 @@
             pool: pool.clone(),
             request: progress.facts.id.clone(),
             fingerprint: progress.fingerprint,
-            // What is sent to an engine that has ended cannot be what ended it.
+            // The engine run had ended before, so this call cannot have crashed it.
             is_over: unfinished.has_ended(run),
             run,
         }
     }
 
-    /// Notes that the engine did not take the request up, or that its answer is over.
-    pub(crate) fn over(&mut self) {
+    /// Stops tracking, because the engine did not run the request or its answer is complete.
+    pub(crate) fn dismiss(&mut self) {
         self.is_over = true;
     }
 
-    /// Notes that the engine answered in whole. Only an answer that says where it ends tells: one
-    /// without a length ends as well where its engine does.
-    pub(crate) fn answered(&mut self, body: &AnswerBody) {
+    /// Records a complete answer. It counts as a completion only if the response is
+    /// self-delimiting: without a length, a body also ends when the engine crashes.
+    pub(crate) fn record_answer(&mut self, body: &AnswerBody) {
         self.is_over = true;
         if let Some(fingerprint) = self.fingerprint.filter(|_| body.says_its_end()) {
-            completed(&self.context, fingerprint);
+            record_completion(&self.context, fingerprint);
         }
     }
 
-    /// Notes that no whole answer comes any more.
-    pub(crate) fn unfinished(&mut self, how: Unfinished) {
+    /// Records that the call ended without a complete answer.
+    pub(crate) fn record_unfinished(&mut self, reason: UnfinishedReason) {
         if std::mem::replace(&mut self.is_over, true) {
             return;
         }
@@ -86,26 +86,29 @@
             return;
         };
         let context = &self.context;
-        // Callers leave all the time.
-        if how != Unfinished::Left {
+        // Callers disconnect too often for this to be logged.
+        if reason != UnfinishedReason::Left {
             log_event!(context.logger, Event::RunUnfinished,
                 "request" => self.request.as_deref().unwrap_or_default(),
-                "fingerprint" => %fingerprint, "engine" => &*self.engine.run, "how" => ?how);
+                "fingerprint" => %fingerprint, "engine" => &*self.engine.run, "how" => ?reason);
         }
         let run = self.run;
         let mut runs = context.quarantine.unfinished.borrow_mut();
         let has_ended = runs.record_unfinished(context.now(), run, fingerprint);
         drop(runs);
         if has_ended {
-            attribute(context, &self.engine.run, run, fingerprint);
-        } else if matches!(how, Unfinished::NoAnswer | Unfinished::BrokenOff) {
-            check_listener(context, &self.pool, &self.engine);
+            attribute_crash(context, &self.engine.run, run, fingerprint);
+        } else if matches!(
+            reason,
+            UnfinishedReason::NoAnswer | UnfinishedReason::BrokenOff
+        ) {
+            spawn_listener_check(context, &self.pool, &self.engine);
         }
     }
 }
 
 impl Drop for RunWatch {
     fn drop(&mut self) {
-        self.unfinished(Unfinished::Left);
+        self.record_unfinished(UnfinishedReason::Left);
     }
 }
--- a/crates/forwarding/src/quarantine/state.rs
+++ b/crates/forwarding/src/quarantine/state.rs
@@ -1,4 +1,4 @@
-//! What this node knows of requests that end engines.
+//! Quarantine state of one node.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -15,90 +15,98 @@
 
 use crate::spread::repeated_news::{RepeatTerms, RepeatedNews};
 
-/// For how long one node may try a request: longer than callers wait for an answer and other nodes need
-/// to hear of it.
-pub(super) const TRIAL_HELD: Duration = Duration::from_secs(10);
+/// Lease of a trial, held by one node. Longer than callers wait for an answer, and than other nodes
+/// need to learn of a crash.
+pub(super) const TRIAL_LEASE: Duration = Duration::from_secs(10);
 
-/// A run that ends without a whole answer and the end of its engine belong together within this time.
-/// An entry lapses after three heartbeats of its engine, about 1.5 s, and is heard of up to 0.5 s
-/// later, or 2 s later after the key-value service was away.
-const BELONG_TOGETHER: Duration = Duration::from_secs(5);
+/// Maximum time between the end of an unfinished run and the detected end of its engine for the two
+/// to be matched. An engine's entry lapses after three missed heartbeats (1.5 s); nodes learn of it
+/// up to 0.5 s later, or 2 s after an outage of the key-value store.
+const MATCH_WINDOW: Duration = Duration::from_secs(5);
 
-/// How evidence is told: 1 KB in one message; those that wait are the records of 64 engines of 16 slots
-/// that end at once. What is dropped was near one crash of many.
-const NEWS: RepeatTerms = RepeatTerms {
+/// Transmission of crash records to other nodes: at most 1 KB in a message. The queue holds the
+/// records of 64 engines with 16 slots that crash at once; a dropped record is one of many for its
+/// crash.
+const CRASH_RECORD_TERMS: RepeatTerms = RepeatTerms {
     repeats: 3,
     per_message: 32,
     waiting: 1_024,
 };
 
-/// What this node knows of requests that end engines.
+/// Quarantine state of one node.
 pub(crate) struct QuarantineState {
-    /// The fleet's key, once it was read.
+    /// The fleet's fingerprint key, once loaded.
     pub(super) key: OnceCell<FingerprintKey>,
     pub(super) unfinished: RefCell<UnfinishedRuns>,
     pub(super) ledger: RefCell<CrashLedger>,
-    /// Evidence of this node that is still to be sent.
+    /// Crash records of this node that are still to be sent to other nodes.
     pub(crate) outgoing_records: RefCell<RepeatedNews<CrashRecord>>,
-    /// Requests of whose crashes this node saw one: it has the key-value service keep them once they
-    /// are stopped.
-    pub(super) seen_here: RefCell<HashSet<RequestFingerprint>>,
-    /// Stopped requests that the key-value service is to keep.
-    pub(super) to_store: RefCell<BTreeSet<RequestFingerprint>>,
-    /// Rung when there are some.
-    pub(super) store_wanted: Notify,
-    /// When this node may ask again to try a stopped request.
-    pub(super) trials: RefCell<TrialPauses>,
-    /// The key-value service, which lets one node of the fleet try; set once, at the start.
+    /// Requests of which this node saw a crash. It stores them in the key-value store once they are
+    /// stopped.
+    pub(super) observed_here: RefCell<HashSet<RequestFingerprint>>,
+    /// Stopped requests that are still to be written to the key-value store.
+    pub(super) pending_writes: RefCell<BTreeSet<RequestFingerprint>>,
+    /// Notified when [`Self::pending_writes`] gets an entry.
+    pub(super) write_queued: Notify,
+    /// Limits how often this node requests a trial.
+    pub(super) trial_requests: RefCell<TrialRequests>,
+    /// The key-value store, which grants trials to one node at a time; set once at startup.
     pub(crate) store: OnceCell<Rc<dyn KeyValue>>,
-    /// Engines that are being asked whether they still listen.
-    pub(super) checked: RefCell<HashSet<EngineKey>>,
+    /// Engines for which a listener check is running.
+    pub(super) listener_checks: RefCell<HashSet<EngineKey>>,
 }
 
 impl Default for QuarantineState {
     fn default() -> Self {
         Self {
             key: OnceCell::new(),
-            unfinished: RefCell::new(UnfinishedRuns::new(BELONG_TOGETHER)),
+            unfinished: RefCell::new(UnfinishedRuns::new(MATCH_WINDOW)),
             ledger: RefCell::default(),
-            outgoing_records: RefCell::new(RepeatedNews::new(NEWS)),
-            seen_here: RefCell::default(),
-            to_store: RefCell::default(),
-            store_wanted: Notify::new(),
-            trials: RefCell::default(),
+            outgoing_records: RefCell::new(RepeatedNews::new(CRASH_RECORD_TERMS)),
+            observed_here: RefCell::default(),
+            pending_writes: RefCell::default(),
+            write_queued: Notify::new(),
+            trial_requests: RefCell::default(),
             store: OnceCell::new(),
-            checked: RefCell::default(),
+            listener_checks: RefCell::default(),
         }
     }
 }
 
 impl QuarantineState {
-    /// The fleet's key; `None` until it was read.
+    /// The fleet's fingerprint key; `None` until it is loaded.
     pub(crate) fn key(&self) -> Option<&FingerprintKey> {
         self.key.get()
     }
 
-    /// Has the key-value service keep anew what this node saw crashes of: what it kept under leases is gone.
+    /// Queues all stopped requests seen here for writing, because the key-value store lost its
+    /// leases and with them the entries.
     pub(crate) fn rewrite_stored(&self) {
-        let seen = self.seen_here.borrow();
-        self.to_store.borrow_mut().extend(seen.iter().copied());
-        self.store_wanted.notify_one();
+        let seen = self.observed_here.borrow();
+        self.pending_writes
+            .borrow_mut()
+            .extend(seen.iter().copied());
+        self.write_queued.notify_one();
     }
 }
 
-/// When this node may ask again to try a request: asked at each arrival, the key-value service would
-/// get as many calls as the request comes.
+/// Earliest time of the next trial request for each stopped request. Without this limit, the
+/// key-value store would get a call for each arrival of the request.
 #[derive(Debug, Default)]
-pub(crate) struct TrialPauses(HashMap<RequestFingerprint, MonotonicTime>);
+pub(crate) struct TrialRequests(HashMap<RequestFingerprint, MonotonicTime>);
 
-impl TrialPauses {
-    /// Whether to ask now; asked, it is not asked again for [`TRIAL_HELD`].
-    pub(super) fn may_ask(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) -> bool {
+impl TrialRequests {
+    /// Whether to request a trial now. If so, no further one is requested for [`TRIAL_LEASE`].
+    pub(super) fn may_request(
+        &mut self,
+        now: MonotonicTime,
+        fingerprint: RequestFingerprint,
+    ) -> bool {
         self.0.retain(|_, until| now < *until);
         if self.0.contains_key(&fingerprint) {
             return false;
         }
-        self.0.insert(fingerprint, now + TRIAL_HELD);
+        self.0.insert(fingerprint, now + TRIAL_LEASE);
         true
     }
 }
--- a/crates/forwarding/src/quarantine/stopped_entries.rs
+++ b/crates/forwarding/src/quarantine/stopped_entries.rs
@@ -1,4 +1,5 @@
-//! Stopped requests in the key-value service: what keeps them stopped when all nodes are lost.
+//! Entries for stopped requests in the key-value store, which keep them stopped if all nodes
+//! restart.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,53 +13,54 @@
 use crate::duties::usage_counts::unix_time;
 use crate::quarantine::evidence::apply_records;
 
-/// Leading part of the keys; the fingerprint follows.
+/// Prefix of the keys; the fingerprint follows.
 pub(crate) const STOPPED_PREFIX: &str = "dalestand/quarantine/stopped/";
 
-/// Pause after a failed write.
-const FAILURE_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before a retry after a failed write.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Takes an entry of the key-value service in, if it is one of a stopped request. An entry that goes
-/// says nothing: it was kept for as long as it counts, or lapsed with the service.
+/// Applies an entry of the key-value store if it belongs to a stopped request, and returns its
+/// crash records. A deleted entry means nothing: it expired, or was lost by the store.
 pub(crate) fn apply_stored(context: &Context, key: &str, value: Option<&str>) -> Vec<CrashRecord> {
     let (Some(text), Some(value)) = (key.strip_prefix(STOPPED_PREFIX), value) else {
         return Vec::new();
     };
     let fingerprint = RequestFingerprint::parse(text);
-    let stop = serde_json::from_str::<StoppedRequestEntry>(value);
-    let (Ok(fingerprint), Ok(stop)) = (fingerprint, stop) else {
+    let entry = serde_json::from_str::<StoppedRequestEntry>(value);
+    let (Ok(fingerprint), Ok(entry)) = (fingerprint, entry) else {
         log_event!(context.logger, Event::StopUnreadable, "key" => key);
         return Vec::new();
     };
-    let records: Vec<CrashRecord> = stop.records(fingerprint, unix_time()).collect();
+    let records: Vec<CrashRecord> = entry.records(fingerprint, unix_time()).collect();
     apply_records(context, &records);
     records
 }
 
-/// Has the key-value service keep what this node stops, for as long as it is polled.
+/// Writes stopped requests to the key-value store as they are queued; runs until dropped.
 pub(crate) async fn persist_stopped_requests(context: Rc<Context>, store: Rc<dyn KeyValue>) {
     let quarantine = &context.quarantine;
     loop {
-        let next = quarantine.to_store.borrow().first().copied();
+        let next = quarantine.pending_writes.borrow().first().copied();
         let Some(fingerprint) = next else {
-            quarantine.store_wanted.notified().await;
+            quarantine.write_queued.notified().await;
             continue;
         };
-        match keep(&context, &*store, fingerprint).await {
+        match persist(&context, &*store, fingerprint).await {
             Ok(()) => {
-                quarantine.to_store.borrow_mut().remove(&fingerprint);
+                quarantine.pending_writes.borrow_mut().remove(&fingerprint);
             }
             Err(error) => {
                 log_event!(context.logger, Event::KeyValueFailed, "prefix" => STOPPED_PREFIX,
                     "error" => %error.current_context());
-                actix_rt::time::sleep(FAILURE_PAUSE).await;
+                actix_rt::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Writes one stopped request, unless another node has; it goes once it no longer counts.
-async fn keep(
+/// Writes one stopped request unless the stored entry already covers it. The entry expires when it
+/// no longer counts.
+async fn persist(
     context: &Context,
     store: &dyn KeyValue,
     fingerprint: RequestFingerprint,
@@ -66,29 +68,29 @@
     let records = {
         let ledger = context.quarantine.ledger.borrow();
         let stopped = ledger.stopped(context.now());
-        let mut own = stopped.into_iter().filter(|(one, _)| *one == fingerprint);
-        own.next().map(|(_, records)| records)
+        let mut matching = stopped.into_iter().filter(|(one, _)| *one == fingerprint);
+        matching.next().map(|(_, records)| records)
     };
     let Some(records) = records else {
         return Ok(());
     };
-    let stop = StoppedRequestEntry::of(&records, unix_time());
+    let new_entry = StoppedRequestEntry::from_records(&records, unix_time());
     let key = format!("{STOPPED_PREFIX}{fingerprint}");
-    let standing = store.get(&key).await?;
-    let expectation = match &standing {
+    let stored = store.get(&key).await?;
+    let expectation = match &stored {
         None => WriteExpectation::Absent,
         Some(entry) => {
             let known = serde_json::from_str::<StoppedRequestEntry>(&entry.value);
-            if known.is_ok_and(|known| known.covers(&stop)) {
+            if known.is_ok_and(|known| known.covers(&new_entry)) {
                 return Ok(());
             }
             WriteExpectation::At(entry.revision)
         }
     };
-    let text = serde_json::to_string(&stop);
+    let text = serde_json::to_string(&new_entry);
     let text = text.change_context_lazy(|| PlatformError::Malformed {
         system: "stopped request",
-        message: "cannot be written".to_owned(),
+        message: "cannot be serialised".to_owned(),
     })?;
     let lease = store.grant_lease(TRIAL_INTERVAL).await?;
     let written = store
@@ -96,10 +98,10 @@
         .await?;
     match written {
         CasOutcome::Written { .. } => Ok(()),
-        // Another node was faster: what it wrote is looked at again.
+        // Another node wrote first; the caller retries with the new entry.
         CasOutcome::Conflict { .. } => Err(Report::new(PlatformError::InDoubt {
             system: "stopped request",
-            message: "written by another node".to_owned(),
+            message: "was written by another node concurrently".to_owned(),
         })),
     }
 }
--- a/crates/forwarding/src/quarantine/trial.rs
+++ b/crates/forwarding/src/quarantine/trial.rs
@@ -1,5 +1,6 @@
-//! Trials of stopped requests: one run at one node of the fleet, so that a request which was stopped
-//! wrongly comes back into service by itself, and one that ends engines ends no more than one each time.
+//! Trials of stopped requests: at intervals, one node runs a stopped request once. A wrongly
+//! stopped request is thereby released without an operator, and a crashing one ends at most one
+//! engine per trial.
 
 use std::time::Duration;
 
@@ -9,26 +10,27 @@
 use error_stack::Report;
 
 use crate::context::Context;
-use crate::quarantine::state::TRIAL_HELD;
+use crate::quarantine::state::TRIAL_LEASE;
 
-/// Leading part of the keys that let one node try a request; the fingerprint follows.
+/// Prefix of the keys that grant a trial to one node; the fingerprint follows.
 const TRIAL_PREFIX: &str = "dalestand/quarantine/trial/";
 
-/// Time in which the key-value service must let a node try: the caller waits for it.
+/// Time limit for the key-value store to grant a trial, as the caller is waiting.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Shortest time after which the caller of a stopped request is to come back.
-const SHORTEST_REFUSAL: Duration = Duration::from_secs(1);
+/// Minimum retry delay given to the caller of a stopped request.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time until a stopped request may be tried, a second at least: until then it is refused.
+/// Retry delay to give to the caller of a stopped request: the time until the next trial, at least
+/// one second.
 pub(crate) fn retry_after(context: &Context, fingerprint: RequestFingerprint) -> Duration {
     let ledger = context.quarantine.ledger.borrow();
     let left = ledger.time_to_trial(context.now(), fingerprint);
-    left.unwrap_or_default().max(SHORTEST_REFUSAL)
+    left.unwrap_or_default().max(MIN_RETRY_AFTER)
 }
 
-/// Whether this node may have a stopped request run once.
-pub(crate) async fn may_try(context: &Context, fingerprint: RequestFingerprint) -> bool {
+/// Whether this node may run a stopped request once now.
+pub(crate) async fn acquire_trial(context: &Context, fingerprint: RequestFingerprint) -> bool {
     let Some(store) = context.quarantine.store.get() else {
         return false;
     };
@@ -38,11 +40,18 @@
     if !due.is_some_and(|left| left.is_zero()) {
         return false;
     }
-    if !quarantine.trials.borrow_mut().may_ask(now, fingerprint) {
+    if !quarantine
+        .trial_requests
+        .borrow_mut()
+        .may_request(now, fingerprint)
+    {
         return false;
     }
-    let granted =
-        dalestand_clock::timeout(GRANT_TIMEOUT, grant(context, &**store, fingerprint)).await;
+    let granted = dalestand_clock::timeout(
+        GRANT_TIMEOUT,
+        write_trial_key(context, &**store, fingerprint),
+    )
+    .await;
     match granted {
         Ok(Ok(is_granted)) => {
             if is_granted {
@@ -59,14 +68,14 @@
     }
 }
 
-/// Takes the key that lets one node of the fleet try.
-async fn grant(
+/// Tries to write the key that grants the trial to this node.
+async fn write_trial_key(
     context: &Context,
     store: &dyn KeyValue,
     fingerprint: RequestFingerprint,
 ) -> Result<bool, Report<PlatformError>> {
     let key = format!("{TRIAL_PREFIX}{fingerprint}");
-    let lease = store.grant_lease(TRIAL_HELD).await?;
+    let lease = store.grant_lease(TRIAL_LEASE).await?;
     let node = context.settings.node.as_str();
     let written = store
         .compare_and_swap(&key, WriteExpectation::Absent, Some(node), Some(lease))
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -15,10 +15,10 @@
 use dalestand_types::{PoolName, RequestRate};
 
 use crate::context::Context;
-use crate::permits::passage::Passage;
-use crate::quarantine::engine_end::{EndProof, ask_listener, record_engine_end};
-use crate::quarantine::evidence::{crashes, is_stopped};
-use crate::quarantine::run_watch::{RunWatch, Unfinished};
+use crate::permits::send_permission::SendPermission;
+use crate::quarantine::engine_end::{EndProof, check_listener, record_engine_end};
+use crate::quarantine::evidence::{crash_count, is_stopped};
+use crate::quarantine::run_watch::{RunWatch, UnfinishedReason};
 use crate::serve::class_counts::BusySlot;
 use crate::serve::engine_send::{CallContent, CallError, EngineCall, EngineReply, closed, send};
 use crate::serve::progress::{CallSignals, Progress};
@@ -87,8 +87,8 @@
     if let Some(closed) = closed(context, &engine, &content) {
         return withheld(context, progress, &call, closed);
     }
-    let passage = match Passage::for_request(context, engine.key).await {
-        Ok(passage) => passage,
+    let permission = match SendPermission::for_request(context, engine.key).await {
+        Ok(permission) => permission,
         Err(closed) => {
             return withheld(context, progress, &call, closed);
         }
@@ -140,7 +140,7 @@
             head,
             body: &progress.passed.body,
             content,
-            passage,
+            permission,
         },
     );
     let answered = timeout(call.patience, sent).await;
@@ -177,7 +177,7 @@
             )
         }
         Judged::Refused => {
-            watch.over();
+            watch.dismiss();
             let now = context.now();
             context.classes.note(&progress.class, |meter| {
                 meter.engine_refusals.count(now, 1.0)
@@ -185,29 +185,29 @@
             (AttemptEnd::Refused, "refused", Some(AttemptResult::Refused))
         }
         Judged::NotSent => {
-            watch.over();
+            watch.dismiss();
             (AttemptEnd::NotSent, "not sent", Some(AttemptResult::Silent))
         }
         Judged::NoListener => {
-            watch.over();
+            watch.dismiss();
             record_engine_end(context, engine.key, &engine.run, EndProof::NoListener);
             let silent = Some(AttemptResult::Silent);
             (AttemptEnd::NotSent, "no listener", silent)
         }
         Judged::Withheld => {
-            watch.over();
+            watch.dismiss();
             (AttemptEnd::NotSent, "withheld", None)
         }
         Judged::NoConnection => {
-            watch.over();
+            watch.dismiss();
             (AttemptEnd::NotSent, "no connection", None)
         }
         Judged::Broken => {
-            watch.unfinished(Unfinished::NoAnswer);
+            watch.record_unfinished(UnfinishedReason::NoAnswer);
             (AttemptEnd::Unknown, "broken", Some(AttemptResult::Failed))
         }
         Judged::Silent => {
-            watch.unfinished(Unfinished::Silent);
+            watch.record_unfinished(UnfinishedReason::Silent);
             (AttemptEnd::Unknown, "silent", Some(AttemptResult::Silent))
         }
     };
@@ -274,8 +274,8 @@
     let Some(former) = progress.tried.last().filter(|_| progress.runs > 0) else {
         return;
     };
-    if crashes(context, progress.fingerprint) + 1 >= STOP_AFTER_CRASHES {
-        ask_listener(context, pool, *former).await;
+    if crash_count(context, progress.fingerprint) + 1 >= STOP_AFTER_CRASHES {
+        check_listener(context, pool, *former).await;
     }
 }
 
--- a/crates/forwarding/src/serve/deliver.rs
+++ b/crates/forwarding/src/serve/deliver.rs
@@ -6,7 +6,7 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
-use crate::quarantine::run_watch::Unfinished;
+use crate::quarantine::run_watch::UnfinishedReason;
 use crate::serve::answer::promises_not_run;
 use crate::serve::attempt::{AttemptEnd, EngineAnswer};
 use crate::serve::held_bytes::HeldRoom;
@@ -56,13 +56,13 @@
     };
     match answer.body.collect(GATHERED_BYTES).await {
         Ok(body) => {
-            answer.watch.answered(&answer.body);
+            answer.watch.record_answer(&answer.body);
             room.resize(body.len());
             let whole = Served::Whole(answer.head, body, room);
             Some(whole).filter(|_| !is_false_promise)
         }
         Err(_) => {
-            answer.watch.unfinished(Unfinished::BrokenOff);
+            answer.watch.record_unfinished(UnfinishedReason::BrokenOff);
             let now = context.now();
             let mut router = context.router.borrow_mut();
             let engine = answer.choice.engine.key;
--- a/crates/forwarding/src/serve/engine_call.rs
+++ b/crates/forwarding/src/serve/engine_call.rs
@@ -9,7 +9,7 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
-use crate::permits::passage::Passage;
+use crate::permits::send_permission::SendPermission;
 use crate::serve::engine_send::{CallContent, EngineCall, send};
 
 /// Time limit of a call.
@@ -34,7 +34,7 @@
         head,
         body: &body,
         content: CallContent::Own,
-        passage: Passage::for_own_call(context, engine.key),
+        permission: SendPermission::for_internal_call(context, engine.key),
     };
     let exchange = async {
         // Who calls logs that nothing came, whatever kept it.
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -17,7 +17,7 @@
 
 use crate::context::Context;
 use crate::fleet::signals;
-use crate::permits::passage::Passage;
+use crate::permits::send_permission::SendPermission;
 
 /// What is sent, and where.
 pub(crate) struct EngineCall<'a> {
@@ -28,7 +28,7 @@
     pub(crate) body: &'a Bytes,
     pub(crate) content: CallContent,
     /// Leave for it.
-    pub(crate) passage: Passage<'a>,
+    pub(crate) permission: SendPermission<'a>,
 }
 
 /// What a call carries.
@@ -106,7 +106,7 @@
         head,
         body,
         content,
-        mut passage,
+        mut permission,
     } = call;
     // What leave is for, the call has.
     let closed = || {
@@ -122,9 +122,9 @@
     // Once it is on its way it is one of those that ask whether the engine takes calls again.
     let is_open = || {
         let is_open = closed().is_none_or(|closed| closed == ClosedFor::Returning)
-            && passage.holds(context.now());
+            && permission.is_valid(context.now());
         if is_open {
-            passage.used();
+            permission.mark_used();
         }
         is_open
     };
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -13,7 +13,7 @@
 
 use crate::context::Context;
 use crate::quarantine::evidence::is_stopped;
-use crate::quarantine::trial::{may_try, retry_after};
+use crate::quarantine::trial::{acquire_trial, retry_after};
 use crate::serve::account::{log_failed, log_served, log_unadmitted};
 use crate::serve::admit::admit;
 use crate::serve::admitted_plan::admitted_plan;
@@ -166,7 +166,7 @@
     if !is_stopped(context, Some(fingerprint)) {
         return None;
     }
-    progress.is_trial = may_try(context, fingerprint).await;
+    progress.is_trial = acquire_trial(context, fingerprint).await;
     let failure = Failure::EndsEngines(retry_after(context, fingerprint));
     (!progress.is_trial).then_some(failure)
 }
--- a/crates/forwarding/src/serve/prefill.rs
+++ b/crates/forwarding/src/serve/prefill.rs
@@ -13,8 +13,8 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
-use crate::permits::passage::Passage;
-use crate::quarantine::run_watch::Unfinished;
+use crate::permits::send_permission::SendPermission;
+use crate::quarantine::run_watch::UnfinishedReason;
 use crate::serve::attempt::{AttemptEnd, Call, EngineAnswer, attempt};
 use crate::serve::engine_send::{CallContent, EngineCall, send};
 use crate::serve::progress::Progress;
@@ -73,7 +73,7 @@
                 head,
                 body: &Bytes::new(),
                 content: CallContent::Own,
-                passage: Passage::for_own_call(&context, engine.key),
+                permission: SendPermission::for_internal_call(&context, engine.key),
             };
             let sent = send(&context, call);
             // An engine that cannot be reached, or wants no calls, frees the memory by itself after a time.
@@ -134,8 +134,8 @@
     let engine = answer.choice.engine.clone();
     let body = answer.body.collect(MAX_ANSWER_BYTES).await;
     match &body {
-        Ok(_) => answer.watch.over(),
-        Err(_) => answer.watch.unfinished(Unfinished::BrokenOff),
+        Ok(_) => answer.watch.dismiss(),
+        Err(_) => answer.watch.record_unfinished(UnfinishedReason::BrokenOff),
     }
     let memory = match body {
         Ok(body) if answer.head.status.is_success() => context.dialect.read_held_memory(&body),
--- a/crates/forwarding/src/serve/relay.rs
+++ b/crates/forwarding/src/serve/relay.rs
@@ -13,7 +13,7 @@
 
 use crate::context::Context;
 use crate::node::counts::InFlightGuard;
-use crate::quarantine::run_watch::Unfinished;
+use crate::quarantine::run_watch::UnfinishedReason;
 use crate::serve::attempt::EngineAnswer;
 use crate::serve::event_stream::EventSplitter;
 use crate::serve::forward::resume;
@@ -107,8 +107,11 @@
             let next = self.answer.body.next().await;
             self.answer.work.prompt_read();
             match &next {
-                None => self.answer.watch.answered(&self.answer.body),
-                Some(Err(_)) => self.answer.watch.unfinished(Unfinished::BrokenOff),
+                None => self.answer.watch.record_answer(&self.answer.body),
+                Some(Err(_)) => self
+                    .answer
+                    .watch
+                    .record_unfinished(UnfinishedReason::BrokenOff),
                 Some(Ok(_)) => {}
             }
             return next.map(|piece| piece.map_err(|_| RelayError::BrokenOff));
@@ -164,7 +167,7 @@
 
     /// What is left at the end of a whole body.
     fn rest(&mut self) -> Option<Result<Bytes, RelayError>> {
-        self.answer.watch.answered(&self.answer.body);
+        self.answer.watch.record_answer(&self.answer.body);
         let rest = self.splitter.take()?;
         self.ended = true;
         let rest = rest.pending();
@@ -199,9 +202,9 @@
             .borrow_mut()
             .health
             .note(now, failed, result);
-        self.answer.watch.unfinished(match result {
-            AttemptResult::Silent => Unfinished::Silent,
-            _ => Unfinished::BrokenOff,
+        self.answer.watch.record_unfinished(match result {
+            AttemptResult::Silent => UnfinishedReason::Silent,
+            _ => UnfinishedReason::BrokenOff,
         });
         // The former run ends before another begins.
         self.answer.body.abandon();
--- a/crates/quarantine/benches/fingerprint.rs
+++ b/crates/quarantine/benches/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What a request's fingerprint costs, by the length of its body; what noting a completion does.
+//! Cost of a request's fingerprint by body length, and of recording a completion.
 
 use std::hint::black_box;
 
--- a/crates/quarantine/src/completions.rs
+++ b/crates/quarantine/src/completions.rs
@@ -1,4 +1,4 @@
-//! Requests that completed a short time ago.
+//! Recently completed requests.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,45 +7,46 @@
 
 use crate::fingerprint::RequestFingerprint;
 
-/// For how long a completion speaks for a request. It protects requests that come often and are at
-/// several engines of a fleet that crashes as a whole: each comes more often than this. Longer would
-/// let a request run on that has begun to end engines, as after a change of their software.
-const COUNTS_FOR: Duration = Duration::from_secs(60);
+/// How long a completion clears a request of suspicion. A request that is sent often is present at
+/// several engines when many crash at once, but also completes more often than this. A longer
+/// window would delay stopping a request that has started to crash engines, for example after a
+/// software update.
+const COMPLETION_VALIDITY: Duration = Duration::from_secs(60);
 
-/// Completions that are kept: with 40 bytes each, 160 KB.
+/// Maximum number of completions kept: 160 KB at 40 bytes each.
 const MAX_COMPLETIONS: usize = 4_096;
 
-/// Completions, the newest of each request.
+/// Completions, with the latest time for each request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Completions {
-    newest: HashMap<RequestFingerprint, MonotonicTime>,
-    /// In the order in which they came; a request may stand here several times.
+    latest: HashMap<RequestFingerprint, MonotonicTime>,
+    /// Insertion order, for expiry; may contain a request several times.
     order: VecDeque<(RequestFingerprint, MonotonicTime)>,
 }
 
 impl Completions {
-    /// Notes that a request has completed.
-    pub(crate) fn note(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
-        self.newest.insert(fingerprint, now);
+    /// Records that a request has completed, and drops expired completions.
+    pub(crate) fn record(&mut self, now: MonotonicTime, fingerprint: RequestFingerprint) {
+        self.latest.insert(fingerprint, now);
         self.order.push_back((fingerprint, now));
-        while self.order.len() > MAX_COMPLETIONS || self.oldest_is_over(now) {
+        while self.order.len() > MAX_COMPLETIONS || self.oldest_has_expired(now) {
             let Some((oldest, at)) = self.order.pop_front() else {
                 return;
             };
-            if self.newest.get(&oldest) == Some(&at) {
-                self.newest.remove(&oldest);
+            if self.latest.get(&oldest) == Some(&at) {
+                self.latest.remove(&oldest);
             }
         }
     }
 
-    /// Whether a request has completed lately.
-    pub(crate) fn has(&self, now: MonotonicTime, fingerprint: RequestFingerprint) -> bool {
-        let newest = self.newest.get(&fingerprint);
-        newest.is_some_and(|at| now.since(*at) < COUNTS_FOR)
+    /// Whether a request has completed within [`COMPLETION_VALIDITY`].
+    pub(crate) fn contains(&self, now: MonotonicTime, fingerprint: RequestFingerprint) -> bool {
+        let latest = self.latest.get(&fingerprint);
+        latest.is_some_and(|at| now.since(*at) < COMPLETION_VALIDITY)
     }
 
-    fn oldest_is_over(&self, now: MonotonicTime) -> bool {
+    fn oldest_has_expired(&self, now: MonotonicTime) -> bool {
         let oldest = self.order.front();
-        oldest.is_some_and(|(_, at)| now.since(*at) >= COUNTS_FOR)
+        oldest.is_some_and(|(_, at)| now.since(*at) >= COMPLETION_VALIDITY)
     }
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,14 +1,15 @@
-//! What makes two requests the same one, though their ids, connections and nodes differ.
+//! Request fingerprints: equal for the same request whatever its id, connection and node.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a fingerprint: two of a million requests have the same with a chance of 1 in 10^26.
+/// Length of a fingerprint in bytes. Among a million requests, the chance of a collision is about 1
+/// in 10^26.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// The fleet's key. Under it, a fingerprint tells nothing of a body to whoever reads a log, a
-/// datagram or the key-value service and guesses at bodies.
+/// The fleet-wide hashing key. Without it, nobody who sees a fingerprint in a log, a datagram or
+/// the key-value store can test guesses about the request body.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FingerprintKey([u8; blake3::KEY_LEN]);
 
@@ -18,30 +19,30 @@
     }
 }
 
-/// The text is no key.
+/// The text is not a valid fingerprint key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a key of {} hexadecimal digits", 2 * blake3::KEY_LEN)]
+#[error("fingerprint key must have {} hexadecimal digits", 2 * blake3::KEY_LEN)]
 pub struct ParseKeyError;
 
 impl FingerprintKey {
-    /// A new key, drawn at random.
+    /// Generates a random key.
     pub fn generate() -> Self {
         Self(rand::random())
     }
 
-    /// The key that [`Self::to_text`] wrote.
+    /// Parses a key written by [`Self::to_text`].
     pub fn parse(text: &str) -> Result<Self, ParseKeyError> {
         let mut key = [0; blake3::KEY_LEN];
         hex::decode_to_slice(text, &mut key).map_err(|_| ParseKeyError)?;
         Ok(Self(key))
     }
 
-    /// The key as hexadecimal digits, for the fleet's other nodes.
+    /// Encodes the key as hexadecimal digits, for the other nodes of the fleet.
     pub fn to_text(&self) -> String {
         hex::encode(self.0)
     }
 
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn fingerprint(&self, identity: &RequestIdentity<'_>) -> RequestFingerprint {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         let fields = [
@@ -51,7 +52,7 @@
             identity.tenant.unwrap_or_default().as_bytes(),
         ];
         for field in fields {
-            // The length keeps a field from running into the next one.
+            // The length prefix keeps adjacent fields distinct.
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
@@ -62,27 +63,27 @@
     }
 }
 
-/// What stays the same when a request comes again.
+/// The properties that identify a request when it is sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestIdentity<'r> {
-    /// Its method.
+    /// HTTP method.
     pub method: &'r str,
-    /// The host it names.
+    /// Host that the request names.
     pub host: &'r str,
-    /// Its path and query.
+    /// Path and query.
     pub path: &'r str,
-    /// Its tenant, where callers have keys.
+    /// Name of the tenant; `None` where callers have no keys.
     pub tenant: Option<&'r str>,
-    /// Its body.
+    /// Request body.
     pub body: &'r [u8],
 }
 
-/// The same for each time that one request comes, at whatever node.
+/// Keyed hash of a request's identity, the same at every node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "FingerprintHalves", from = "FingerprintHalves")]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
-/// Two numbers take 18 bytes in a message, an array of bytes up to 35.
+/// Two integers serialise to 18 bytes, an array of bytes to up to 35.
 type FingerprintHalves = (u64, u64);
 
 impl From<RequestFingerprint> for FingerprintHalves {
@@ -98,13 +99,13 @@
     }
 }
 
-/// The text is no fingerprint.
+/// The text is not a valid fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a fingerprint of {} hexadecimal digits", 2 * FINGERPRINT_BYTES)]
+#[error("fingerprint must have {} hexadecimal digits", 2 * FINGERPRINT_BYTES)]
 pub struct ParseFingerprintError;
 
 impl RequestFingerprint {
-    /// The fingerprint that was written as hexadecimal digits.
+    /// Parses a fingerprint written as hexadecimal digits.
     pub fn parse(text: &str) -> Result<Self, ParseFingerprintError> {
         let mut fingerprint = [0; FINGERPRINT_BYTES];
         hex::decode_to_slice(text, &mut fingerprint).map_err(|_| ParseFingerprintError)?;
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,9 +1,9 @@
-//! Which requests ended which engines, and which of them are stopped.
+//! Attributes engine crashes to requests and decides which requests are stopped.
 //!
-//! The evidence is a set of pairs of a request and an engine's run. A pair counts once, however many
-//! nodes saw the crash and however often a message brings it, and sets merge in any order. A pair may
-//! be *cleared*, for good, once the request has completed: what is whole somewhere does not end each
-//! engine that runs it. What is stopped follows from the set alone, so nodes that know the same agree.
+//! The evidence is a set of (request, engine run) pairs. A pair counts once, however many nodes saw
+//! the crash and however often it is received, and sets merge in any order. A pair is *cleared*
+//! permanently once the request completes elsewhere, as that shows that it does not crash every
+//! engine. Which requests are stopped is a function of the set, so nodes with the same set agree.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,87 +15,91 @@
 use crate::fingerprint::RequestFingerprint;
 use crate::unfinished::EngineRunId;
 
-/// Engines that a request may end before it is stopped. One crash says nothing of the requests that
-/// were at the engine, and two are met by chance where engines crash in series.
+/// Number of engine crashes after which a request is stopped. One crash says nothing about any
+/// single request at the engine, and where many engines crash, an unrelated request may see two.
 pub const STOP_AFTER_CRASHES: usize = 3;
 
-/// A stopped request is tried once in this time, at one node of the fleet: the longest time for which
-/// the key-value service keeps what a node wrote, so that a trial's crash is kept until the next one.
+/// Interval between trials of a stopped request, each at one node of the fleet. Equals the longest
+/// lease of the key-value store, so the record of a trial's crash is kept until the next trial.
 pub const TRIAL_INTERVAL: Duration = Duration::from_secs(600);
 
-/// A stopped request that may be a bystander is tried for the first time after this time: engines that
-/// ended have restarted by then, and nodes need three seconds to count as connected again.
-const FIRST_TRIAL: Duration = Duration::from_secs(2);
+/// Delay before the first trial of a stopped request that may be a bystander: by then the crashed
+/// engines have restarted.
+const FIRST_TRIAL_DELAY: Duration = Duration::from_secs(2);
 
-/// For how long a crash is remembered, and a request stopped at most: six trials.
-const REMEMBERED_FOR: Duration = Duration::from_secs(3_600);
+/// How long a crash counts, and so the longest time for which a request stays stopped: six trials.
+const CRASH_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// Requests that are remembered: with 250 bytes each, half a megabyte.
+/// Maximum number of requests kept: 0.5 MB at 250 bytes each.
 const MAX_REQUESTS: usize = 2_048;
 
-/// Crashes that are remembered of one request.
-const MAX_CRASHES: usize = 16;
+/// Maximum number of crashes kept for one request.
+const MAX_CRASHES_PER_REQUEST: usize = 16;
 
-/// That an engine's run ended while a request was unfinished there, as nodes tell each other.
+/// An engine run that ended while a request was unfinished there, as exchanged between nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRecord {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// The engine's run.
+    /// The engine run.
     pub engine: EngineRunId,
-    /// How long ago the run ended, in milliseconds.
+    /// Time since the run ended, in milliseconds.
     pub age_ms: u32,
-    /// Whether the request has completed elsewhere, so that this crash does not count.
+    /// Whether the crash no longer counts, because the request has completed elsewhere or was
+    /// released.
     pub is_cleared: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Crash {
     engine: EngineRunId,
-    at: MonotonicTime,
+    crashed_at: MonotonicTime,
     is_cleared: bool,
 }
 
-/// What is remembered of one request.
+/// The crashes attributed to one request.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// By engine.
+    /// At most one for each engine run.
     crashes: Vec<Crash>,
 }
 
 impl Suspect {
-    fn counted(&self, now: MonotonicTime) -> impl Iterator<Item = &Crash> {
+    fn countable_crashes(&self, now: MonotonicTime) -> impl Iterator<Item = &Crash> {
         let crashes = self.crashes.iter();
-        crashes.filter(move |crash| !crash.is_cleared && now.since(crash.at) < REMEMBERED_FOR)
+        crashes
+            .filter(move |crash| !crash.is_cleared && now.since(crash.crashed_at) < CRASH_RETENTION)
     }
 
     fn expire(&mut self, now: MonotonicTime) {
         self.crashes
-            .retain(|crash| now.since(crash.at) < REMEMBERED_FOR);
+            .retain(|crash| now.since(crash.crashed_at) < CRASH_RETENTION);
     }
 
-    /// When its last crash was, if its crashes stop it.
+    /// Time of the last crash if the request is stopped.
     fn stopped_at(&self, now: MonotonicTime) -> Option<MonotonicTime> {
-        if self.counted(now).count() < STOP_AFTER_CRASHES {
+        if self.countable_crashes(now).count() < STOP_AFTER_CRASHES {
             return None;
         }
-        self.counted(now).map(|crash| crash.at).max()
+        self.countable_crashes(now)
+            .map(|crash| crash.crashed_at)
+            .max()
     }
 }
 
-/// What came of a record.
+/// Result of applying a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyOutcome {
-    /// It was known, or is too old to matter.
+    /// The record was known, or is too old to count.
     Known,
-    /// It is news.
+    /// The record was new.
     New,
-    /// It is news, and does not count: the request has completed at this node lately. Other nodes are
-    /// to hear of that.
+    /// The record was new, but does not count as the request completed at this node recently. Other
+    /// nodes have to be told.
     Cleared,
 }
 
-/// The evidence.
+/// The crash evidence known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     requests: HashMap<RequestFingerprint, Suspect>,
@@ -103,14 +107,14 @@
 }
 
 impl CrashLedger {
-    /// Takes a record in, of this node or of another one.
+    /// Applies a record from this node or another one.
     pub fn apply(&mut self, now: MonotonicTime, record: &CrashRecord) -> ApplyOutcome {
         let age = Duration::from_millis(u64::from(record.age_ms));
-        if age >= REMEMBERED_FOR {
+        if age >= CRASH_RETENTION {
             return ApplyOutcome::Known;
         }
-        let has_completed = self.completions.has(now, record.fingerprint);
-        self.make_room(now, record.fingerprint);
+        let has_completed = self.completions.contains(now, record.fingerprint);
+        self.evict_for(now, record.fingerprint);
         let suspect = self.requests.entry(record.fingerprint).or_default();
         suspect.expire(now);
         let known = suspect
@@ -118,20 +122,20 @@
             .iter_mut()
             .find(|crash| crash.engine == record.engine);
         if let Some(crash) = known {
-            let is_news = record.is_cleared && !crash.is_cleared;
+            let newly_cleared = record.is_cleared && !crash.is_cleared;
             crash.is_cleared |= record.is_cleared;
-            return if is_news {
+            return if newly_cleared {
                 ApplyOutcome::New
             } else {
                 ApplyOutcome::Known
             };
         }
-        if suspect.crashes.len() >= MAX_CRASHES {
+        if suspect.crashes.len() >= MAX_CRASHES_PER_REQUEST {
             return ApplyOutcome::Known;
         }
         suspect.crashes.push(Crash {
             engine: record.engine,
-            at: now.saturating_sub(age),
+            crashed_at: now.saturating_sub(age),
             is_cleared: record.is_cleared || has_completed,
         });
         if has_completed && !record.is_cleared {
@@ -141,17 +145,17 @@
         }
     }
 
-    /// Notes that a request has completed; yields the records that this clears.
+    /// Records that a request has completed, and returns the records that this clears.
     pub fn record_completion(
         &mut self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
     ) -> Vec<CrashRecord> {
-        self.completions.note(now, fingerprint);
+        self.completions.record(now, fingerprint);
         self.release(now, fingerprint)
     }
 
-    /// Clears what counts against a request; yields the records that this clears.
+    /// Clears all crashes of a request, and returns the records that this clears.
     pub fn release(
         &mut self,
         now: MonotonicTime,
@@ -160,11 +164,11 @@
         let Some(suspect) = self.requests.get_mut(&fingerprint) else {
             return Vec::new();
         };
-        let counting = suspect.crashes.iter_mut().filter(|one| !one.is_cleared);
-        counting
+        let uncleared = suspect.crashes.iter_mut().filter(|one| !one.is_cleared);
+        uncleared
             .map(|crash| {
                 crash.is_cleared = true;
-                record(now, fingerprint, crash)
+                to_record(now, fingerprint, crash)
             })
             .collect()
     }
@@ -175,8 +179,9 @@
         suspect.is_some_and(|suspect| suspect.stopped_at(now).is_some())
     }
 
-    /// Time until a stopped request may be tried once, zero if it may now; `None` if it is not stopped.
-    /// One that may be a bystander is tried soon, and ten times later after each trial that crashed.
+    /// Time until a stopped request may be tried once, zero if it may be tried now; `None` if it is
+    /// not stopped. A possible bystander is tried early, with a tenfold delay after each trial that
+    /// crashed an engine.
     pub fn time_to_trial(
         &self,
         now: MonotonicTime,
@@ -184,24 +189,24 @@
     ) -> Option<Duration> {
         let suspect = self.requests.get(&fingerprint)?;
         let stopped_at = suspect.stopped_at(now)?;
-        let pause = if self.is_doubtful(now, fingerprint, suspect) {
-            let trials = suspect.counted(now).count() - STOP_AFTER_CRASHES;
+        let delay = if self.may_be_bystander(now, fingerprint, suspect) {
+            let trials = suspect.countable_crashes(now).count() - STOP_AFTER_CRASHES;
             let factor = 10_u32.saturating_pow(u32::try_from(trials).unwrap_or(u32::MAX));
-            FIRST_TRIAL.saturating_mul(factor).min(TRIAL_INTERVAL)
+            FIRST_TRIAL_DELAY.saturating_mul(factor).min(TRIAL_INTERVAL)
         } else {
             TRIAL_INTERVAL
         };
-        Some(pause.saturating_sub(now.since(stopped_at)))
+        Some(delay.saturating_sub(now.since(stopped_at)))
     }
 
-    /// The requests that are stopped, with the engines that they ended, oldest first.
+    /// The stopped requests with their crashes, in order of their last crash, oldest first.
     pub fn stopped(&self, now: MonotonicTime) -> Vec<(RequestFingerprint, Vec<CrashRecord>)> {
         let requests = self.requests.iter();
         let stopped = requests.filter(|(_, suspect)| suspect.stopped_at(now).is_some());
         let mut stopped: Vec<_> = stopped
             .map(|(fingerprint, suspect)| {
-                let crashes = suspect.counted(now);
-                let records = crashes.map(|crash| record(now, *fingerprint, crash));
+                let crashes = suspect.countable_crashes(now);
+                let records = crashes.map(|crash| to_record(now, *fingerprint, crash));
                 (*fingerprint, records.collect::<Vec<_>>())
             })
             .collect();
@@ -212,26 +217,26 @@
         stopped
     }
 
-    /// Crashes that count against a request.
+    /// Number of crashes that count against a request.
     pub fn crash_count(&self, now: MonotonicTime, fingerprint: RequestFingerprint) -> usize {
         let suspect = self.requests.get(&fingerprint);
-        suspect.map_or(0, |suspect| suspect.counted(now).count())
+        suspect.map_or(0, |suspect| suspect.countable_crashes(now).count())
     }
 
-    /// Requests that are remembered.
+    /// Number of requests with crashes on record.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether there are no crashes on record.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Whether each crash of a request has another explanation: a request that was near two crashes or
-    /// more was there, too. Then it may be a bystander that comes often, or was resumed where the guilty
-    /// one was.
-    fn is_doubtful(
+    /// Whether every crash of a request may be due to another request with at least two crashes.
+    /// The request may then be a bystander that is sent often, or that was retried at the engine
+    /// that the culprit crashed next.
+    fn may_be_bystander(
         &self,
         now: MonotonicTime,
         fingerprint: RequestFingerprint,
@@ -239,37 +244,44 @@
     ) -> bool {
         let is_explained = |crash: &Crash| {
             let mut others = self.requests.iter();
-            others.any(|(other, by)| {
-                let mut near = by.counted(now);
+            others.any(|(other, other_suspect)| {
+                let mut crashes = other_suspect.countable_crashes(now);
                 *other != fingerprint
-                    && near.any(|one| one.engine == crash.engine)
-                    && by.counted(now).count() > 1
+                    && crashes.any(|one| one.engine == crash.engine)
+                    && other_suspect.countable_crashes(now).count() > 1
             })
         };
-        suspect.counted(now).all(is_explained)
+        suspect.countable_crashes(now).all(is_explained)
     }
 
-    /// Makes room for one more request: the one with the fewest crashes goes, the oldest of these, so
-    /// that many requests which were near one crash don't push out one that is stopped.
-    fn make_room(&mut self, now: MonotonicTime, for_request: RequestFingerprint) {
-        if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&for_request) {
+    /// Evicts one request if the ledger is full: the one with the fewest crashes, and the oldest
+    /// among those. Many requests with a single crash therefore never evict a stopped one.
+    fn evict_for(&mut self, now: MonotonicTime, incoming: RequestFingerprint) {
+        if self.requests.len() < MAX_REQUESTS || self.requests.contains_key(&incoming) {
             return;
         }
-        let least = self.requests.iter().min_by_key(|(fingerprint, suspect)| {
-            let newest = suspect.counted(now).map(|crash| crash.at).max();
-            (suspect.counted(now).count(), newest, **fingerprint)
+        let evicted = self.requests.iter().min_by_key(|(fingerprint, suspect)| {
+            let newest = suspect
+                .countable_crashes(now)
+                .map(|crash| crash.crashed_at)
+                .max();
+            (
+                suspect.countable_crashes(now).count(),
+                newest,
+                **fingerprint,
+            )
         });
-        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+        if let Some(fingerprint) = evicted.map(|(fingerprint, _)| *fingerprint) {
             self.requests.remove(&fingerprint);
         }
     }
 }
 
-fn record(now: MonotonicTime, fingerprint: RequestFingerprint, crash: &Crash) -> CrashRecord {
+fn to_record(now: MonotonicTime, fingerprint: RequestFingerprint, crash: &Crash) -> CrashRecord {
     CrashRecord {
         fingerprint,
         engine: crash.engine,
-        age_ms: u32::try_from(now.since(crash.at).as_millis()).unwrap_or(u32::MAX),
+        age_ms: u32::try_from(now.since(crash.crashed_at).as_millis()).unwrap_or(u32::MAX),
         is_cleared: crash.is_cleared,
     }
 }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,15 +1,16 @@
-//! Requests that end the engines that run them ("queries of death").
+//! Detection of requests that crash the engines that run them ("queries of death").
 //!
-//! A caller's request that crashes an engine is sent to another one, and comes again at other nodes
-//! under other ids: unless nodes know it again, it takes engine after engine.
+//! Without it, such a request is retried at another engine, or sent again by its caller under
+//! another id and to another node, and crashes one engine after the other. A request to which
+//! enough crashes are attributed is *stopped*: nodes refuse it, apart from occasional trials.
 //!
-//! * [`FingerprintKey`] gives each request a fingerprint that is the same wherever it comes.
-//! * [`UnfinishedRuns`] holds what may become evidence: runs without a whole answer, and engines that
-//!   ended.
-//! * [`CrashLedger`] holds the evidence, as a set that nodes merge, and tells what is stopped.
-//! * [`StoppedRequestEntry`] is what outlives the nodes.
+//! * [`FingerprintKey`] computes the fingerprint by which nodes recognise a request.
+//! * [`UnfinishedRuns`] matches runs without a complete answer with engines that ended.
+//! * [`CrashLedger`] holds the resulting evidence, as a set that nodes merge, and decides which
+//!   requests are stopped.
+//! * [`StoppedRequestEntry`] is the form in which the key-value store keeps a stopped request.
 //!
-//! Everything here is pure: times come in as values, and nothing is sent.
+//! This crate does no I/O and has no clock: callers pass the time in.
 
 mod completions;
 mod fingerprint;
--- a/crates/quarantine/src/stopped_entry.rs
+++ b/crates/quarantine/src/stopped_entry.rs
@@ -1,5 +1,5 @@
-//! What the key-value service keeps of a stopped request, so that it stays stopped when every node is
-//! lost.
+//! Entries of the key-value store for stopped requests, which keep them stopped across a restart of
+//! all nodes.
 
 use std::time::Duration;
 
@@ -9,22 +9,23 @@
 use crate::ledger::CrashRecord;
 use crate::unfinished::EngineRunId;
 
-/// A stopped request, as the value of a key that ends with its fingerprint.
+/// A stopped request, stored under a key that ends with its fingerprint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoppedRequestEntry {
-    /// The engines that ended under it.
+    /// The engine runs that ended while the request was unfinished there.
     pub engines: Vec<EngineRunId>,
-    /// When the last of them did, in milliseconds since the start of 1970.
+    /// Time of the last crash, in milliseconds since the Unix epoch.
     pub last_crash_unix_ms: u64,
-    /// Whether an operator let it run again.
+    /// Whether an operator has released the request.
     #[serde(default)]
     pub is_released: bool,
 }
 
 impl StoppedRequestEntry {
-    /// What the records of one request come to at `unix_time`.
-    pub fn of(records: &[CrashRecord], unix_time: Duration) -> Self {
+    /// Creates the entry for the crash records of one request. `unix_time` is the current time
+    /// since the Unix epoch.
+    pub fn from_records(records: &[CrashRecord], unix_time: Duration) -> Self {
         let newest = records.iter().map(|record| record.age_ms).min();
         let unix_ms = u64::try_from(unix_time.as_millis()).unwrap_or(u64::MAX);
         Self {
@@ -34,7 +35,8 @@
         }
     }
 
-    /// The records at `unix_time`. A clock that was set back makes them younger by as much.
+    /// Converts the entry to crash records as of `unix_time`. If the clock was set back, they
+    /// appear younger by the same amount.
     pub fn records(
         &self,
         fingerprint: RequestFingerprint,
@@ -50,7 +52,7 @@
         })
     }
 
-    /// Whether this tells all that `newer` does.
+    /// Whether this entry contains all engine runs of `newer`.
     pub fn covers(&self, newer: &Self) -> bool {
         let mut engines = newer.engines.iter();
         engines.all(|engine| self.engines.contains(engine))
--- a/crates/quarantine/src/unfinished.rs
+++ b/crates/quarantine/src/unfinished.rs
@@ -1,8 +1,8 @@
-//! Runs that ended without a whole answer, until it is known whether their engines ended.
+//! Matches runs without a complete answer with the ends of their engines.
 //!
-//! A broken call is no crash: connections are reset, answers break off, engines are cut off. Only
-//! together with the end of its engine does an unfinished run become evidence, whichever of the two
-//! is learnt first.
+//! A broken call alone is not evidence of a crash: connections are reset and networks fail. An
+//! unfinished run becomes evidence only if its engine ended too, in whichever order a node learns
+//! of the two.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 
 use crate::fingerprint::RequestFingerprint;
 
-/// Unfinished runs that are kept: those of 256 engines of 16 slots that end at once.
+/// Maximum number of unfinished runs window: 256 engines with 16 slots each.
 const MAX_RUNS: usize = 4_096;
 
-/// Ended engines that are kept.
-const MAX_ENGINES: usize = 1_024;
+/// Maximum number of ended engines window.
+const MAX_ENDED_ENGINES: usize = 1_024;
 
-/// A number for an engine's run that all nodes agree on.
+/// Identifier of an engine run, that is, of one start of an engine process; the same at all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct EngineRunId(pub u64);
@@ -30,26 +30,27 @@
     ended_at: MonotonicTime,
 }
 
-/// Unfinished runs and ended engines of a short time.
+/// Recently seen unfinished runs and ended engines.
 #[derive(Clone, Debug)]
 pub struct UnfinishedRuns {
-    kept: Duration,
+    window: Duration,
     runs: VecDeque<UnfinishedRun>,
-    ended: VecDeque<(EngineRunId, MonotonicTime)>,
+    ended_engines: VecDeque<(EngineRunId, MonotonicTime)>,
 }
 
 impl UnfinishedRuns {
-    /// Nothing yet. A run and the end of its engine belong together if they are learnt within `kept`
-    /// of each other.
-    pub fn new(kept: Duration) -> Self {
+    /// Creates an empty collection. A run and the end of its engine are matched if they are learnt
+    /// within `window` of each other.
+    pub fn new(window: Duration) -> Self {
         Self {
-            kept,
+            window,
             runs: VecDeque::new(),
-            ended: VecDeque::new(),
+            ended_engines: VecDeque::new(),
         }
     }
 
-    /// Notes a run that ended without a whole answer. Whether its engine is known to have ended.
+    /// Records a run that ended without a complete answer. Returns whether its engine is known to
+    /// have ended.
     pub fn record_unfinished(
         &mut self,
         now: MonotonicTime,
@@ -71,8 +72,8 @@
         false
     }
 
-    /// Notes that an engine has ended; yields the requests under which it did, each once. None if its
-    /// end is known already.
+    /// Records that an engine has ended. Returns the requests that were unfinished there, without
+    /// duplicates; empty if the end was known already.
     pub fn record_engine_end(
         &mut self,
         now: MonotonicTime,
@@ -82,10 +83,10 @@
         if self.has_ended(engine) {
             return Vec::new();
         }
-        if self.ended.len() >= MAX_ENGINES {
-            self.ended.pop_front();
+        if self.ended_engines.len() >= MAX_ENDED_ENGINES {
+            self.ended_engines.pop_front();
         }
-        self.ended.push_back((engine, now));
+        self.ended_engines.push_back((engine, now));
         let at_engine = self.runs.iter().filter(|run| run.engine == engine);
         let mut requests: Vec<_> = at_engine.map(|run| run.fingerprint).collect();
         requests.sort_unstable();
@@ -96,17 +97,21 @@
 
     /// Whether an engine is known to have ended.
     pub fn has_ended(&self, engine: EngineRunId) -> bool {
-        self.ended.iter().any(|(ended, _)| *ended == engine)
+        self.ended_engines.iter().any(|(ended, _)| *ended == engine)
     }
 
     fn expire(&mut self, now: MonotonicTime) {
-        let kept = self.kept;
-        let is_old = |at: MonotonicTime| now.since(at) > kept;
+        let window = self.window;
+        let is_old = |at: MonotonicTime| now.since(at) > window;
         while self.runs.front().is_some_and(|run| is_old(run.ended_at)) {
             self.runs.pop_front();
         }
-        while self.ended.front().is_some_and(|(_, at)| is_old(*at)) {
-            self.ended.pop_front();
+        while self
+            .ended_engines
+            .front()
+            .is_some_and(|(_, at)| is_old(*at))
+        {
+            self.ended_engines.pop_front();
         }
     }
 }
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What is stopped, from the evidence of crashes.
+//! Which requests the crash evidence stops, and for how long.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -92,14 +92,14 @@
     for record in here.record_completion(START, request(1)) {
         there.apply(START, &record);
     }
-    // A datagram that was overtaken brings the crashes again.
+    // A delayed datagram delivers the same crashes again.
     for engine in 1..=3 {
         there.apply(START, &crash(request(1), engine));
     }
     assert_eq!(stopped(&here).len() + stopped(&there).len(), 0);
 }
 
-/// Requests that come often are at many engines when a fleet crashes as a whole.
+/// Protects requests that are sent often, which are present at many engines when a fleet crashes.
 #[rstest]
 fn a_request_that_completed_lately_is_not_suspected() {
     let mut ledger = CrashLedger::default();
@@ -119,8 +119,8 @@
     assert!(ledger.is_stopped(longer_after, request(1)));
 }
 
-/// A request that comes often was wherever one of two guilty ones was. It is tried soon; the guilty
-/// ones are, too, and ten times later after each crash.
+/// A frequent request was present at every crash that two culprits caused. All three are tried
+/// early, with a tenfold delay after each further crash.
 #[rstest]
 fn a_request_whose_crashes_others_explain_is_tried_soon() {
     let mut ledger = CrashLedger::default();
@@ -136,14 +136,14 @@
     let soon = START + Duration::from_secs(20);
     ledger.record_completion(soon, request(9));
     assert!(!ledger.is_stopped(soon, request(9)));
-    // Nobody else was there now.
+    // No other request explains these crashes any more.
     assert_eq!(
         ledger.time_to_trial(START, request(1)),
         Some(TRIAL_INTERVAL)
     );
 }
 
-/// Bystanders that come once were near one crash each: they cast no doubt.
+/// Bystanders that are sent once have one crash each and do not make the culprit doubtful.
 #[rstest]
 fn bystanders_that_come_once_do_not_explain_a_crash() {
     let mut ledger = CrashLedger::default();
@@ -222,7 +222,7 @@
         ledger.apply(START, &crash(request(1), engine));
     }
     let stopped = ledger.stopped(START);
-    let mut stored = StoppedRequestEntry::of(&stopped[0].1, now);
+    let mut stored = StoppedRequestEntry::from_records(&stopped[0].1, now);
     let mut restarted = CrashLedger::default();
     let later = now + Duration::from_secs(10);
     for record in stored.records(request(1), later) {
@@ -237,25 +237,25 @@
     assert!(!restarted.is_stopped(START, request(1)));
 }
 
-const KEPT: Duration = Duration::from_secs(5);
+const WINDOW: Duration = Duration::from_secs(5);
 
 #[rstest]
 fn a_run_counts_whichever_is_learnt_first() {
-    let mut runs = UnfinishedRuns::new(KEPT);
+    let mut runs = UnfinishedRuns::new(WINDOW);
     assert!(!runs.record_unfinished(START, EngineRunId(1), request(1)));
     assert!(!runs.record_unfinished(START, EngineRunId(1), request(1)));
     assert!(!runs.record_unfinished(START, EngineRunId(2), request(2)));
     assert_eq!(runs.record_engine_end(START, EngineRunId(1)), [request(1)]);
     assert!(runs.record_unfinished(START, EngineRunId(1), request(3)));
-    // It has ended once.
+    // The engine end is reported only once.
     assert!(runs.record_engine_end(START, EngineRunId(1)).is_empty());
 }
 
 #[rstest]
 fn a_run_that_ended_long_before_its_engine_does_not_count() {
-    let mut runs = UnfinishedRuns::new(KEPT);
+    let mut runs = UnfinishedRuns::new(WINDOW);
     runs.record_unfinished(START, EngineRunId(1), request(1));
-    let later = START + KEPT + Duration::from_millis(1);
+    let later = START + WINDOW + Duration::from_millis(1);
     assert!(runs.record_engine_end(later, EngineRunId(1)).is_empty());
 }
 
@@ -269,7 +269,7 @@
 }
 
 proptest! {
-    /// Datagrams are lost, doubled and overtaken; what two nodes both know decides the same.
+    /// Nodes agree although datagrams are lost, duplicated and reordered.
     #[test]
     fn nodes_that_know_the_same_stop_the_same(
         (first, second) in records().prop_flat_map(|records| {
@@ -287,7 +287,8 @@
         prop_assert_eq!(stopped(&here), stopped(&there));
     }
 
-    /// A request that ends each engine that runs it is stopped after three runs, whoever is beside it.
+    /// A request that crashes every engine is stopped after [`STOP_AFTER_CRASHES`] runs, whichever
+    /// requests run beside it.
     #[test]
     fn a_request_that_ends_engines_is_stopped_after_three_runs(
         beside in proptest::collection::vec(proptest::collection::vec(1_u64..30, 0..6), 12),
@@ -307,11 +308,9 @@
     }
 }
 
-/// How often an innocent request is stopped: nine engines crash in turn, eight in each of three waves,
-/// each under 12 requests that come once, and under four that come again and again. A broken request
-/// is tried up to three times more (resumed, and returned by its caller), and each of its runs meets
-/// another crash with a chance of one in five. None of those that come often is stopped; of those that
-/// come once seven in a thousand are, after four runs that all met a crash.
+/// Bounds how often innocent requests are stopped when many engines crash: three waves of eight
+/// crashes, each with 12 requests sent once and four sent again and again. A broken request is
+/// retried up to three times, and each retry meets another crash with probability 1/5.
 #[rstest]
 fn innocent_requests_are_hardly_ever_stopped_by_mass_crashes() {
     let mut random = StdRng::seed_from_u64(7);
