--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -75,7 +75,7 @@
 
     fn set_tenants_over_share(&self, context: &Context) {
         self.tenants_over_share.reset();
-        for (pool, tenants) in context.tenant_shares.tenants_over_share(context.now()) {
+        for (pool, tenants) in context.tenant_shares.limited_tenants(context.now()) {
             let gauge = self.tenants_over_share.with_label_values(&[pool.as_str()]);
             gauge.set(tenants as i64);
         }
--- a/crates/forwarding/src/serve/tenant_shares.rs
+++ b/crates/forwarding/src/serve/tenant_shares.rs
@@ -158,7 +158,7 @@
     }
 
     /// Tenants that are over their share, by pool: each once a priority, and all small ones as one.
-    pub(crate) fn tenants_over_share(&self, now: MonotonicTime) -> BTreeMap<PoolName, usize> {
+    pub(crate) fn limited_tenants(&self, now: MonotonicTime) -> BTreeMap<PoolName, usize> {
         let classes = self.classes.borrow();
         let mut cut = BTreeMap::new();
         for ((pool, _), tenants) in classes.iter() {
