--- a/crates/forwarding/tests/serving.rs
+++ b/crates/forwarding/tests/serving.rs
@@ -1,4 +1,4 @@
-//! A node before engines that fail: what callers and engines see.
+//! Behaviour towards callers and engines when engines fail.
 
 mod figures;
 #[allow(
@@ -42,8 +42,8 @@
     answer(stream, "200 OK", "x-id: another\r\n", "another's answer");
 }
 
-/// A stream of five events; the engine resumes after the event that the request names, and breaks off
-/// within its third.
+/// Streams five events, starting after the event that the request names. Breaks off within the
+/// third event sent.
 fn breaking_stream(head: &str, stream: &mut TcpStream) {
     let last = head
         .lines()
@@ -72,8 +72,8 @@
     let _ = stream.write_all(b"0\r\n\r\n");
 }
 
-/// Time limit of requests in tests that do not rest on it: a busy machine may give an engine's thread no time for
-/// longer than a second.
+/// Time limit of requests in tests that do not depend on it: longer than an engine's thread may be
+/// starved on a loaded machine.
 const LIMIT_MS: u64 = 10_000;
 
 async fn node(kind: &str, attempts: u32, scripts: &[Script]) -> (TestNode, Vec<TestEngine>) {
@@ -91,7 +91,7 @@
 }
 
 #[actix_rt::test]
-async fn a_node_without_a_configuration_promises_that_nothing_ran() {
+async fn a_node_without_a_configuration_answers_503() {
     let node = TestNode::start().await;
     let answer = node.request("1", "/r/x").await;
     assert_eq!(status(&answer), "503");
@@ -103,7 +103,7 @@
 }
 
 #[actix_rt::test]
-async fn a_route_leads_to_an_engine_and_no_route_leads_nowhere() {
+async fn a_request_with_a_route_reaches_an_engine_and_others_get_404() {
     let (node, engines) = node("once", 1, &[sound]).await;
     assert_eq!(
         status(&get(node.ready, "host: a\r\n", "/ready").await),
@@ -135,10 +135,10 @@
     #[case] first: Script,
     #[case] expected: &str,
 ) {
-    // The engine that fails is found first or not at all: its own requests are counted.
+    // Requests are sent until one reaches the failing engine.
     let (node, engines) = node(kind, attempts, &[first, sound]).await;
-    // On a busy machine a sound engine may say nothing for longer than most tests' objective, and a call that is
-    // made elsewhere for that is no attempt that this test counts.
+    // A loaded machine may delay the sound engine beyond the objective of most tests; a retry due
+    // to that would be counted here by mistake.
     node.declare_patient(2, kind, attempts, LIMIT_MS);
     node.has_in_force(2).await;
     for request in 0..20 {
@@ -159,7 +159,7 @@
     panic!("the first engine was never asked");
 }
 
-/// Keys that are taken away are refused as soon as the declaration says so; none reaches an engine.
+/// A revoked key is refused as soon as the declaration changes, and no key is sent to an engine.
 #[actix_rt::test]
 async fn callers_are_served_by_their_keys() {
     let (node, engines) = node("once", 1, &[sound]).await;
@@ -183,13 +183,13 @@
     }
 }
 
-/// A node that lost the store refuses keys after the bound where the settings ask for it, as not run,
-/// and serves them otherwise; without keys nothing changes.
+/// Without the store, keys are refused after the configured bound if the settings ask for that, and
+/// accepted otherwise. Callers without keys are unaffected.
 #[rstest]
 #[case::fail_closed(true, "503")]
 #[case::fail_open(false, "200")]
 #[actix_rt::test]
-async fn keys_hold_without_the_store_as_the_settings_say(
+async fn keys_are_handled_without_the_store_as_the_settings_say(
     #[case] fail_closed: bool,
     #[case] expected: &str,
 ) {
@@ -199,7 +199,7 @@
     let engine = TestEngine::start(sound);
     node.list("e0", &engine, "ready");
     node.settle().await;
-    // The store answers, with nothing new: the declaration is confirmed again and again.
+    // Each successful read of the store confirms the declaration, even without a change.
     actix_rt::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(status(&node.request_with_key("1", "key-one").await), "200");
     node.store.set_away(true);
@@ -213,7 +213,7 @@
 }
 
 #[actix_rt::test]
-async fn a_request_is_answered_at_its_limit_with_what_is_known() {
+async fn a_request_that_may_have_run_gets_504_at_its_time_limit() {
     let (node, _engines) = node("once", 1, &[silent]).await;
     node.declare(2, "once", 1, 1_000);
     node.has_in_force(2).await;
@@ -225,14 +225,13 @@
     assert!(took >= Duration::from_millis(950) && took < Duration::from_millis(1_500));
 }
 
-/// Answers after a time that is far beyond the objective and within the limit.
+/// Answers far beyond the objective, but within the time limit.
 fn late(head: &str, stream: &mut TcpStream) {
     thread::sleep(Duration::from_millis(450));
     sound(head, stream);
 }
 
-/// Found beside engines that drain: of two engines one was left, busy, and a request was taken from it
-/// after 100 ms to go to another, which there was not.
+/// Guards against abandoning a slow engine when no other engine is left to take the request.
 #[rstest]
 #[case::alone("repeatable", &[late as Script])]
 #[case::stream_alone("resumable-stream", &[late as Script])]
@@ -247,7 +246,7 @@
 }
 
 #[actix_rt::test]
-async fn an_engine_that_leaves_gets_nothing_more() {
+async fn a_draining_or_deleted_engine_gets_no_requests() {
     let (node, engines) = node("repeatable", 2, &[sound, sound]).await;
     node.list("e0", &engines[0], "draining");
     node.settle().await;
@@ -274,10 +273,10 @@
     assert_eq!(engines[0].heads().len(), before);
 }
 
-/// Found on a large site: when the store came back, 120 of 136 engines' entries had lapsed, and the
-/// other 16 got all requests until the 120 had written theirs again.
+/// Guards against overloading the few engines whose entries are rewritten first after an outage of
+/// the store in which most entries lapsed.
 #[actix_rt::test]
-async fn engines_whose_entries_lapsed_with_the_store_are_served_until_they_had_time_to_return() {
+async fn engines_whose_entries_lapsed_with_the_store_are_used_until_they_had_time_to_return() {
     let (node, engines) = node("repeatable", 2, &[sound, sound]).await;
     node.store.set_away(true);
     node.settle().await;
@@ -292,10 +291,10 @@
     serves_without_the_first(&node, &engines).await;
 }
 
-/// Found on the same day: the store was silent, so that no call failed, and the watch that had waited
-/// through the outage reported 120 ends at once.
+/// The same if the outage causes no failed call, but a watch then reports the end of many entries
+/// at once.
 #[actix_rt::test]
-async fn engines_that_go_all_at_once_are_served_until_they_had_time_to_return() {
+async fn engines_whose_entries_end_all_at_once_are_used_until_they_had_time_to_return() {
     let (node, engines) = node("repeatable", 2, &[sound, sound]).await;
     node.store.hold_watches(true);
     for engine in ["engines/e0", "engines/e1"] {
@@ -325,7 +324,7 @@
 }
 
 #[actix_rt::test]
-async fn a_stream_is_taken_up_without_a_gap_or_a_piece_twice() {
+async fn a_stream_is_resumed_without_gaps_or_duplicates() {
     let (node, engines) = node("resumable-stream", 3, &[breaking_stream, breaking_stream]).await;
     node.declare_patient(2, "resumable-stream", 3, LIMIT_MS);
     node.has_in_force(2).await;
@@ -345,7 +344,7 @@
 }
 
 #[actix_rt::test]
-async fn a_stream_that_may_run_once_breaks_off_where_its_engine_does() {
+async fn a_stream_that_may_run_only_once_is_not_resumed() {
     let (node, engines) = node("stream", 2, &[breaking_stream, breaking_stream]).await;
     let answer = node.request("1", "/r/x").await;
     assert!(answer.contains("piece 2") && !answer.contains("piece 3"));
@@ -357,7 +356,7 @@
     assert_eq!(runs, 1);
 }
 
-/// Two events and the engine's end come to the node at once.
+/// Sends two events and closes, so that both arrive at the node together.
 fn ending_after_two_events(head: &str, stream: &mut TcpStream) {
     let id = id_of(head);
     let events = ["id: 1\ndata: piece 1\n\n", "id: 2\ndata: piece 2\n\n"];
@@ -370,8 +369,8 @@
     let _ = stream.shutdown(std::net::Shutdown::Both);
 }
 
-/// Seen on busy machines: what came together with an engine's end was dropped, as the server ends a connection
-/// without writing what it holds for it.
+/// Guards against losing data that arrives together with the end of the engine's connection: the
+/// server closes a connection without writing what it has buffered.
 #[actix_rt::test]
 async fn events_that_come_together_with_the_engines_end_reach_the_caller() {
     let (node, _engines) = node("stream", 1, &[ending_after_two_events]).await;
--- a/crates/forwarding/tests/slow_readers.rs
+++ b/crates/forwarding/tests/slow_readers.rs
@@ -1,9 +1,8 @@
-//! Callers that ask for long answers and do not read them, beside ordinary ones.
+//! Callers that request long answers and do not read them, beside ordinary callers.
 //!
-//! Found by reading, not seen by users: whole answers were gathered for each caller without a bound on their sum, so
-//! that 500 callers which read nothing held up to 500 MiB at a node of 120 to 512 MB. Over loopback the kernel takes
-//! most of them; the bound itself is proved beside `HeldBytes`. Here ordinary callers are served meanwhile, and what
-//! was held is given back.
+//! Guards against unbounded memory for buffered answers. Over loopback the kernel buffers most of
+//! the data, so the limit itself is tested with `HeldBytes`; this test checks that ordinary callers
+//! are served in time and that the memory is released.
 
 #[allow(
     dead_code,
@@ -23,16 +22,16 @@
 /// Callers that read nothing.
 const SLOW_CALLERS: usize = 500;
 
-/// Length of their answers: just gathered.
+/// Length of their answers: just short enough to be buffered.
 const LONG_ANSWER: usize = 1_000_000;
 
-/// What a node may hold for them: a quarter of what it may take for all its work, and what connections hold.
+/// Maximum number of bytes that a node may hold for them.
 const MOST_HELD_MIB: usize = 16;
 
 /// Requests of ordinary callers.
 const ORDINARY: usize = 100;
 
-/// Longest time that 99 in 100 of them may take: the objective of the route.
+/// Bound on the 99th percentile of their latency: the objective of the route.
 const OBJECTIVE: Duration = Duration::from_millis(100);
 
 static LONG: LazyLock<Vec<u8>> = LazyLock::new(|| vec![b'x'; LONG_ANSWER]);
@@ -46,12 +45,12 @@
         "HTTP/1.1 200 OK\r\nx-id: {}\r\ncontent-length: {LONG_ANSWER}\r\n\r\n",
         id_of(head)
     );
-    // The node may have gone away.
+    // Write errors are ignored, as the node may have closed the connection.
     let _ = stream.write_all(head.as_bytes());
     let _ = stream.write_all(&LONG);
 }
 
-/// The highest figure of a node's bytes held while callers are slow.
+/// Bytes of buffered answers that a node holds now.
 async fn held(node: &TestNode) -> usize {
     let figures = get(node.metrics, "host: a.example\r\n", "/metrics").await;
     let line = figures
@@ -61,7 +60,7 @@
 }
 
 #[actix_rt::test]
-async fn callers_that_do_not_read_are_held_little_and_slow_nobody() {
+async fn slow_readers_use_bounded_memory_and_delay_no_other_callers() {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 1, 20_000);
     let engines: Vec<TestEngine> = (0..8).map(|_| TestEngine::start(long_or_short)).collect();
@@ -94,7 +93,7 @@
     assert!(most <= MOST_HELD_MIB << 20, "{most} bytes held");
     assert!(p99 <= OBJECTIVE, "{p99:?}");
     drop(slow);
-    // What was held for callers that have gone is given back.
+    // The memory is released after the callers have disconnected.
     for _ in 0..50 {
         if held(&node).await == 0 {
             return;
--- a/crates/forwarding/tests/tenant_shares.rs
+++ b/crates/forwarding/tests/tenant_shares.rs
@@ -1,10 +1,6 @@
-//! Tenants that compete for too little room.
+//! Tenants that compete for too little capacity.
 //!
-//! Seen: five nodes and four engines with room for 200 requests a second; one tenant asks 400, three ask 20 each.
-//! The three were served 0.40, 0.21 and 0.15 of what they asked, far under their fair share of 50, and the big one
-//! 0.46.
-//! Cause: of whose a request is, nothing but the engine was told.
-//! Proof: the same load here.
+//! Guards against one tenant's overload taking capacity from tenants within their fair share.
 
 #[allow(
     dead_code,
@@ -21,36 +17,38 @@
 
 use support::{TestEngine, TestNode, answer, id_of};
 
-/// Requests that an engine works on at once. With [`WORK`] four engines have room for 200 a second.
+/// Requests that an engine works on at once. With [`WORK`], four engines serve 200 requests per
+/// second.
 const SLOTS: u32 = 4;
 
 /// Requests that wait at an engine for one of its slots.
 const QUEUE: u32 = 4;
 
-/// Time that an engine takes for one.
+/// Time that an engine takes for a request.
 const WORK: Duration = Duration::from_millis(80);
 
-/// Room of the engines together, in requests a second.
+/// Capacity of all engines, in requests per second.
 const ROOM_PER_S: f64 = 200.0;
 
-/// Requests a second of the big tenant, which is far over its fair share of 140.
+/// Requests per second of the big tenant, far over its fair share of 140.
 const BIG_PER_S: u32 = 400;
 
-/// Requests a second of each small one, far under a quarter of the room.
+/// Requests per second of each small tenant, far under a quarter of the capacity.
 const SMALL_PER_S: u32 = 20;
 
 const SMALL: [&str; 3] = ["small-1", "small-2", "small-3"];
 
-/// Share of the requests of a tenant under its fair share that is to be served.
+/// Share of the requests of a tenant under its fair share that has to be served.
 const SERVED: f64 = 0.95;
 
-/// Part of what they leave that the big one is to be served; the rest is lost while nodes find out how much there is.
+/// Fraction of the remaining capacity that the big tenant has to be served. The rest is lost while
+/// nodes find out how much there is.
 const REST_USED: f64 = 0.9;
 
-/// Time for which the small ones ask alone: nodes know them then.
+/// Time for which only the small tenants send requests, so that nodes learn their demand.
 const CALM: Duration = Duration::from_secs(1);
 
-/// Time for which all ask.
+/// Time for which all tenants send requests.
 const STORM: Duration = Duration::from_secs(5);
 
 /// Requests at one engine.
@@ -60,10 +58,10 @@
     at_work: u32,
 }
 
-/// Requests at engines, by their ports.
+/// Requests at engines, by port.
 static HELD: LazyLock<Mutex<HashMap<u16, Held>>> = LazyLock::new(Mutex::default);
 
-/// Rung when an engine is done with one.
+/// Notified when an engine has finished a request.
 static DONE: Condvar = Condvar::new();
 
 fn is_queued(port: u16) -> bool {
@@ -88,7 +86,7 @@
     DONE.notify_all();
 }
 
-/// Works on [`SLOTS`] requests at once, keeps [`QUEUE`] waiting and refuses further ones.
+/// Works on [`SLOTS`] requests at once, queues [`QUEUE`] and refuses further ones.
 fn bounded(head: &str, stream: &mut TcpStream) {
     let port = stream.local_addr().expect("an address").port();
     let id = id_of(head);
@@ -115,7 +113,7 @@
 
 type Outcomes = Arc<Mutex<HashMap<&'static str, Outcome>>>;
 
-/// Asks at all nodes in turn, evenly, for `lasts`.
+/// Sends requests to all nodes in turn at an even rate, for `lasts`.
 async fn ask(
     nodes: Arc<[SocketAddr]>,
     tenant: &'static str,
@@ -143,7 +141,7 @@
     futures_util::future::join_all(asked).await;
 }
 
-/// Callers have a thread of their own, as nodes share one here.
+/// Callers get a thread of their own, because all nodes share this one.
 async fn storm(nodes: Arc<[SocketAddr]>) -> HashMap<&'static str, Outcome> {
     let (done, outcome) = tokio::sync::oneshot::channel();
     thread::spawn(move || {
@@ -188,7 +186,7 @@
     for (place, engine) in engines.iter().enumerate() {
         first.list(&format!("e{place}"), engine, "ready");
     }
-    // Nodes find each other by their entries.
+    // Nodes need a moment to find each other by their entries.
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     let outcomes = storm(nodes.into()).await;
     for tenant in SMALL {
--- a/crates/forwarding/tests/unknown_headers.rs
+++ b/crates/forwarding/tests/unknown_headers.rs
@@ -1,4 +1,4 @@
-//! Answers with headers that this build does not know.
+//! Answers with unknown headers.
 
 #[allow(
     dead_code,
@@ -11,10 +11,10 @@
 
 use support::{TestEngine, TestNode, answer, get, id_of, status};
 
-/// Names that an engine makes up, more than are logged.
+/// Unknown header names sent by an engine: more than are logged.
 const MADE_UP: usize = 100;
 
-/// Answers with headers that nobody knows, one of them long.
+/// Answers with unknown headers, one of them long.
 fn saying_new_things(head: &str, stream: &mut TcpStream) {
     let mut headers = format!(
         "x-id: {}\r\nx-new-{}: secret\r\n",
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -122,7 +122,7 @@
 /// A frequent request was present at every crash that two culprits caused. All three are tried
 /// early, with a tenfold delay after each further crash.
 #[rstest]
-fn a_request_whose_crashes_others_explain_is_tried_soon() {
+fn a_possible_bystander_is_tried_early() {
     let mut ledger = CrashLedger::default();
     for engine in 1..=6 {
         ledger.apply(START, &crash(request(1 + engine % 2), engine));
@@ -158,7 +158,7 @@
 }
 
 #[rstest]
-fn many_requests_near_one_crash_do_not_push_out_one_that_is_stopped() {
+fn many_requests_with_one_crash_do_not_evict_a_stopped_one() {
     let mut ledger = CrashLedger::default();
     for engine in 1..=3 {
         ledger.apply(START, &crash(request(0), engine));
@@ -177,7 +177,7 @@
 #[case::caller("POST", "a.example", "/r/1", Some("curators"), b"body")]
 #[case::body("POST", "a.example", "/r/1", None, b"bodY")]
 #[case::field_run_into_the_next("POST", "a.example/", "r/1", None, b"body")]
-fn what_differs_has_another_fingerprint(
+fn different_requests_have_different_fingerprints(
     #[case] method: &str,
     #[case] host: &str,
     #[case] path: &str,
@@ -200,7 +200,7 @@
 }
 
 #[rstest]
-fn another_key_gives_other_fingerprints() {
+fn fingerprints_depend_on_the_key() {
     let identity = RequestIdentity {
         method: "POST",
         host: "a.example",
@@ -215,7 +215,7 @@
 }
 
 #[rstest]
-fn what_is_stored_stops_the_request_at_a_node_that_starts() {
+fn a_stored_entry_stops_the_request_at_a_restarted_node() {
     let now = Duration::from_secs(1_000_000);
     let mut ledger = CrashLedger::default();
     for engine in 1..=3 {
@@ -240,7 +240,7 @@
 const WINDOW: Duration = Duration::from_secs(5);
 
 #[rstest]
-fn a_run_counts_whichever_is_learnt_first() {
+fn a_run_is_matched_with_its_engine_end_in_either_order() {
     let mut runs = UnfinishedRuns::new(WINDOW);
     assert!(!runs.record_unfinished(START, EngineRunId(1), request(1)));
     assert!(!runs.record_unfinished(START, EngineRunId(1), request(1)));
@@ -252,7 +252,7 @@
 }
 
 #[rstest]
-fn a_run_that_ended_long_before_its_engine_does_not_count() {
+fn a_run_that_ended_long_before_its_engine_is_not_matched() {
     let mut runs = UnfinishedRuns::new(WINDOW);
     runs.record_unfinished(START, EngineRunId(1), request(1));
     let later = START + WINDOW + Duration::from_millis(1);
@@ -271,7 +271,7 @@
 proptest! {
     /// Nodes agree although datagrams are lost, duplicated and reordered.
     #[test]
-    fn nodes_that_know_the_same_stop_the_same(
+    fn nodes_with_the_same_records_stop_the_same_requests(
         (first, second) in records().prop_flat_map(|records| {
             let doubled = records.iter().chain(&records).copied().collect::<Vec<_>>();
             (Just(records), Just(doubled).prop_shuffle())
@@ -290,7 +290,7 @@
     /// A request that crashes every engine is stopped after [`STOP_AFTER_CRASHES`] runs, whichever
     /// requests run beside it.
     #[test]
-    fn a_request_that_ends_engines_is_stopped_after_three_runs(
+    fn a_request_that_crashes_engines_is_stopped_after_three_runs(
         beside in proptest::collection::vec(proptest::collection::vec(1_u64..30, 0..6), 12),
     ) {
         let mut ledger = CrashLedger::default();
