--- a/crates/forwarding/src/serve/accept.rs
+++ b/crates/forwarding/src/serve/accept.rs
@@ -64,8 +64,8 @@
     }))
 }
 
-/// The class under which a request is counted: its pool and priority. Every declared route has a
-/// pool.
+/// The class under which a request is counted: its pool and priority. The empty name is a fallback
+/// only, as every declared route has a pool.
 fn class_key(route: &RouteTerms, caller: &Caller, pools: &[PoolName]) -> ClassKey {
     let of_tenant = caller.tenant().and_then(|tenant| tenant.priority);
     let pool = pools.first().or(route.pools.first().map(|part| &part.pool));
--- a/crates/forwarding/src/serve/answer.rs
+++ b/crates/forwarding/src/serve/answer.rs
@@ -117,7 +117,7 @@
     )
 }
 
-/// Creates an answer whose body is streaming_answer.
+/// Creates an answer whose body is streamed.
 pub(crate) fn streaming_answer<S>(head: &ResponseHead, length: Option<u64>, stream: S) -> Answer
 where
     S: Stream<Item = Result<Bytes, AnswerStreamError>> + 'static,
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -110,7 +110,7 @@
     let slot = BusySlot::occupy(&context.classes, &progress.class);
     let mut work = WorkGuard::new(context, &engine, call.choice.unread_tokens, &parts, slot);
     if call.purpose == CallPurpose::Run {
-        // From now on the request counts among those at engines instead.
+        // From now on the request counts among those at engines, so its reservation ends.
         progress.reservation = None;
     }
     count_prefill(context, progress, call.choice.unread_tokens);
--- a/crates/forwarding/src/serve/retries.rs
+++ b/crates/forwarding/src/serve/retries.rs
@@ -11,7 +11,7 @@
 use crate::serve::attempt::is_blocked;
 use crate::serve::progress::Progress;
 
-/// Pauses between the retries of a refused request that fit into its objective.
+/// Number of pauses between retries that fit into a request's objective.
 const PAUSES_PER_OBJECTIVE: u32 = 4;
 
 /// Engines that a request tries without a pause. If two refuse because they are full, most others
--- a/crates/forwarding/tests/admission.rs
+++ b/crates/forwarding/tests/admission.rs
@@ -21,7 +21,7 @@
 use support::{TestEngine, TestNode, answer, id_of};
 
 /// Requests that an engine holds. By its entry it works on four, so it queues three times as many.
-const HOLDS: usize = 16;
+const ENGINE_CAPACITY: usize = 16;
 
 /// Time that an engine takes for a request, for each request it holds.
 const WORK: Duration = Duration::from_millis(25);
@@ -36,12 +36,12 @@
 const AT_ONCE: usize = 6;
 
 /// Rounds in which nodes learn that the pool is short of capacity.
-const ROUNDS_UNKNOWN: usize = 20;
+const WARM_UP_ROUNDS: usize = 20;
 
 const ROUNDS: usize = 60;
 
 /// Share of calls that engines may refuse while the pool is short: the required bound.
-const REFUSED_SHARE: f64 = 0.05;
+const MAX_REFUSED_SHARE: f64 = 0.05;
 
 /// Requests held by each engine, by its port.
 static HELD: Mutex<Option<HashMap<u16, usize>>> = Mutex::new(None);
@@ -60,10 +60,10 @@
     let id = id_of(head);
     let held = change_held(port, |held| {
         let before = *held;
-        *held = (before + 1).min(HOLDS);
+        *held = (before + 1).min(ENGINE_CAPACITY);
         before
     });
-    if held < HOLDS {
+    if held < ENGINE_CAPACITY {
         thread::sleep(WORK * (held as u32 + 1));
         change_held(port, |held| {
             *held -= 1;
@@ -119,7 +119,7 @@
     let mut sent = Vec::new();
     let (mut calls_before, mut refused_before) = (0, 0);
     for round in 0..ROUNDS {
-        if round == ROUNDS_UNKNOWN {
+        if round == WARM_UP_ROUNDS {
             calls_before = calls(&engines);
             refused_before = REFUSED.load(Ordering::Relaxed);
         }
@@ -140,7 +140,7 @@
     let mut outcomes: HashMap<(&str, String), usize> = HashMap::new();
     for (round, path, answer) in sent {
         let answer = answer.await.expect("no panic");
-        if round >= ROUNDS_UNKNOWN {
+        if round >= WARM_UP_ROUNDS {
             *outcomes
                 .entry((path, status(&answer).to_owned()))
                 .or_default() += 1;
@@ -155,12 +155,12 @@
     let served = count("/urgent/x", "200") + count("/rest/x", "200");
     let refused = REFUSED.load(Ordering::Relaxed) - refused_before;
     let share = refused as f64 / (calls(&engines) - calls_before) as f64;
-    assert!(share < REFUSED_SHARE, "{share}: {outcomes:?}");
+    assert!(share < MAX_REFUSED_SHARE, "{share}: {outcomes:?}");
     assert_eq!(count("/urgent/x", "503"), 0, "{outcomes:?}");
     assert!(
         count("/rest/x", "503") > 0,
         "the pool was short: {outcomes:?}"
     );
-    let asked = (ROUNDS - ROUNDS_UNKNOWN) * nodes.len() * AT_ONCE;
-    assert!(served * 2 > asked, "places are used: {outcomes:?}");
+    let asked = (ROUNDS - WARM_UP_ROUNDS) * nodes.len() * AT_ONCE;
+    assert!(served * 2 > asked, "the capacity is used: {outcomes:?}");
 }
--- a/crates/forwarding/tests/call_budget.rs
+++ b/crates/forwarding/tests/call_budget.rs
@@ -78,12 +78,12 @@
         let node = &nodes[place % nodes.len()];
         let headers = format!("x-id: {place}\r\nhost: a.example\r\nx-prompt: 20000\r\n");
         get(node.callers, &headers, "/r/x").await;
-        // Gives engines that refused time to be called again.
+        // After this time, engines that refused may be called again.
         actix_rt::time::sleep(Duration::from_millis(25)).await;
     }
     let beyond = calls_beyond_the_first(&engines, &refuses);
     // Nodes use this fraction of the budget at most.
     let spent = f64::from(SLACK) * 0.95;
     assert!(beyond as f64 <= spent, "{beyond} calls beyond the first");
-    assert!(beyond > 0, "the budget is there to be used");
+    assert!(beyond > 0, "the budget is used");
 }
--- a/crates/forwarding/tests/crashing_requests.rs
+++ b/crates/forwarding/tests/crashing_requests.rs
@@ -28,18 +28,18 @@
 const STOPPED_PREFIX: &str = "dalestand/quarantine/stopped/";
 
 /// Path of the request that crashes engines.
-const DEADLY: &str = "/r/deadly";
+const CRASHING_PATH: &str = "/r/deadly";
 
 /// Path of a request that takes a while.
-const SLOW: &str = "/r/slow";
+const SLOW_PATH: &str = "/r/slow";
 
 /// Starts the answer to the crashing request and never ends it; answers all others.
-fn dying(head: &str, stream: &mut TcpStream) {
+fn crashing_or_sound(head: &str, stream: &mut TcpStream) {
     let id = id_of(head);
-    if head.contains(SLOW) {
+    if head.contains(SLOW_PATH) {
         thread::sleep(Duration::from_millis(60));
     }
-    if !head.contains(DEADLY) {
+    if !head.contains(CRASHING_PATH) {
         answer(stream, "200 OK", &format!("x-id: {id}\r\n"), "whole");
         return;
     }
@@ -51,7 +51,9 @@
 
 /// Starts engines that crash shortly after they start to run the crashing request.
 fn engines(node: &TestNode, count: usize) -> Vec<TestEngine> {
-    let engines: Vec<TestEngine> = (0..count).map(|_| TestEngine::start(dying)).collect();
+    let engines: Vec<TestEngine> = (0..count)
+        .map(|_| TestEngine::start(crashing_or_sound))
+        .collect();
     for (place, engine) in engines.iter().enumerate() {
         node.list(&format!("e{place}"), engine, "ready");
     }
@@ -59,32 +61,37 @@
 }
 
 /// Crashes engines that run the crashing request; runs until dropped.
-async fn end_engines(engines: &[TestEngine]) {
+async fn crash_engines(engines: &[TestEngine]) {
     loop {
         let runs_it = |engine: &&TestEngine| {
-            !engine.has_crashed() && engine.heads().iter().any(|head| head.contains(DEADLY))
+            !engine.has_crashed()
+                && engine
+                    .heads()
+                    .iter()
+                    .any(|head| head.contains(CRASHING_PATH))
         };
         engines.iter().filter(runs_it).for_each(TestEngine::crash);
         actix_rt::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-fn crashed(engines: &[TestEngine]) -> usize {
+fn crashed_count(engines: &[TestEngine]) -> usize {
     engines.iter().filter(|engine| engine.has_crashed()).count()
 }
 
 /// Sends the crashing request repeatedly, to the nodes in turn and under new ids.
-async fn send_deadly(nodes: &[&TestNode], engines: &[TestEngine]) {
+async fn send_crashing_request(nodes: &[&TestNode], engines: &[TestEngine]) {
     let arrivals = async {
         for arrival in 0..ARRIVALS {
             let node = nodes[arrival % nodes.len()];
-            node.request(&format!("deadly-{arrival}"), DEADLY).await;
+            node.request(&format!("deadly-{arrival}"), CRASHING_PATH)
+                .await;
             node.settle().await;
         }
     };
     tokio::select! {
         () = arrivals => {}
-        () = end_engines(engines) => {}
+        () = crash_engines(engines) => {}
     }
 }
 
@@ -106,9 +113,9 @@
     node.declare(1, kind, attempts, 1_000);
     let engines = engines(&node, 2 * ARRIVALS);
     node.settle().await;
-    send_deadly(&[&node], &engines).await;
-    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
-    let refused = node.request("again", DEADLY).await;
+    send_crashing_request(&[&node], &engines).await;
+    assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES);
+    let refused = node.request("again", CRASHING_PATH).await;
     assert_eq!(status(&refused), "503", "{refused}");
     assert!(refused.contains("retry-after: "), "{refused}");
     let other = node.request("other", "/r/other").await;
@@ -124,8 +131,8 @@
     let third = first.start_beside("node-3").await;
     // Nodes need a moment to find each other by their entries.
     actix_rt::time::sleep(Duration::from_millis(1_500)).await;
-    send_deadly(&[&first, &second, &third], &engines).await;
-    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
+    send_crashing_request(&[&first, &second, &third], &engines).await;
+    assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES);
 }
 
 #[actix_rt::test]
@@ -134,11 +141,11 @@
     first.declare(1, "once", 1, 1_000);
     let engines = engines(&first, ARRIVALS);
     first.settle().await;
-    send_deadly(&[&first], &engines).await;
+    send_crashing_request(&[&first], &engines).await;
     let later = first.start_beside("node-2").await;
     later.settle().await;
-    send_deadly(&[&later], &engines).await;
-    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
+    send_crashing_request(&[&later], &engines).await;
+    assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES);
 }
 
 /// A node learns of stopped requests from the other nodes if the key-value store has no entries for
@@ -150,14 +157,14 @@
     first.declare(1, "once", 1, 1_000);
     let engines = engines(&first, ARRIVALS);
     first.settle().await;
-    send_deadly(&[&first], &engines).await;
+    send_crashing_request(&[&first], &engines).await;
     assert!(first.store.entries(STOPPED_PREFIX).is_empty());
     let later = first.start_beside("node-2").await;
     // Nodes need a moment to find each other by their entries, and repeat stopped requests every
     // second.
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
-    send_deadly(&[&later], &engines).await;
-    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
+    send_crashing_request(&[&later], &engines).await;
+    assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES);
 }
 
 /// Crashing engines also end other requests, but only the crashing request is present at each
@@ -170,17 +177,17 @@
     node.settle().await;
     for arrival in 0..ARRIVALS {
         let id = format!("deadly-{arrival}");
-        let deadly = async {
+        let crashing = async {
             tokio::select! {
-                _ = node.request(&id, DEADLY) => {}
-                () = end_engines(&engines) => {}
+                _ = node.request(&id, CRASHING_PATH) => {}
+                () = crash_engines(&engines) => {}
             }
         };
         let beside = node.request("beside", "/r/beside");
-        let ((), beside) = tokio::join!(deadly, beside);
+        let ((), beside) = tokio::join!(crashing, beside);
         assert_eq!(status(&beside), "200", "{beside}");
     }
-    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES);
+    assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES);
 }
 
 /// Engines crash for unrelated reasons while they run the same frequent request.
@@ -202,7 +209,7 @@
                 actix_rt::time::sleep(Duration::from_millis(2)).await;
             }
         };
-        let ((), answer) = tokio::join!(crash_first, node.request(&id, SLOW));
+        let ((), answer) = tokio::join!(crash_first, node.request(&id, SLOW_PATH));
         assert_eq!(status(&answer), "200", "{arrival}: {answer}");
         node.settle().await;
     }
@@ -214,17 +221,17 @@
     node.declare(1, "once", 1, 1_000);
     let engines = engines(&node, ARRIVALS);
     node.settle().await;
-    send_deadly(&[&node], &engines).await;
+    send_crashing_request(&[&node], &engines).await;
     let stopped = node.store.entries(STOPPED_PREFIX);
     let (key, value) = stopped.first().expect("a stopped request");
     let released = value.replace("\"is_released\":false", "\"is_released\":true");
     node.store.write(key, Some(&released));
     node.settle().await;
     tokio::select! {
-        _ = node.request("released", DEADLY) => {}
-        () = end_engines(&engines) => {}
+        _ = node.request("released", CRASHING_PATH) => {}
+        () = crash_engines(&engines) => {}
     }
-    assert_eq!(crashed(&engines), STOP_AFTER_CRASHES + 1);
+    assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES + 1);
 }
 
 /// Guards against refusing a frequent request for good because it was present at engines that
@@ -234,7 +241,7 @@
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     for round in 0..STOP_AFTER_CRASHES {
-        let engine = TestEngine::start(dying);
+        let engine = TestEngine::start(crashing_or_sound);
         let name = format!("both-{round}");
         node.list(&name, &engine, "ready");
         node.settle().await;
@@ -244,25 +251,27 @@
             }
             engine.crash();
         };
-        let (slow_id, deadly_id) = (format!("slow-{round}"), format!("deadly-{round}"));
-        let deadly = node.request(&deadly_id, DEADLY);
-        let slow = node.request(&slow_id, SLOW);
-        let ((), _, slow) = tokio::join!(crash, deadly, slow);
-        assert_eq!(status(&slow), "502", "it ended with its engine: {slow}");
+        let (slow_id, crashing_id) = (format!("slow-{round}"), format!("deadly-{round}"));
+        let crashing = node.request(&crashing_id, CRASHING_PATH);
+        let slow = node.request(&slow_id, SLOW_PATH);
+        let ((), _, slow) = tokio::join!(crash, crashing, slow);
+        assert_eq!(status(&slow), "502", "its engine crashed: {slow}");
         node.store.write(&format!("engines/{name}"), None);
         node.settle().await;
     }
     let engines = engines(&node, ARRIVALS);
     node.settle().await;
-    let refused = node.request("slow-refused", SLOW).await;
+    let refused = node.request("slow-refused", SLOW_PATH).await;
     assert_eq!(status(&refused), "503", "{refused}");
     // Delay of the first trial of a possible bystander.
     actix_rt::time::sleep(Duration::from_millis(2_100)).await;
     for arrival in 0..3 {
-        let served = node.request(&format!("slow-back-{arrival}"), SLOW).await;
+        let served = node
+            .request(&format!("slow-back-{arrival}"), SLOW_PATH)
+            .await;
         assert_eq!(status(&served), "200", "{served}");
     }
     // The completed trials have cleared the other request, so the crashing one is the only suspect.
-    send_deadly(&[&node], &engines).await;
-    assert_eq!(crashed(&engines), 0);
+    send_crashing_request(&[&node], &engines).await;
+    assert_eq!(crashed_count(&engines), 0);
 }
--- a/crates/forwarding/tests/engine_limits.rs
+++ b/crates/forwarding/tests/engine_limits.rs
@@ -21,12 +21,12 @@
 /// Rate limit of the engines in these tests, in requests per second.
 const LIMIT: f64 = 2.0;
 
-/// An engine may get [`FACTOR`] times its limit in a window, plus [`EXTRA`] requests: the required
+/// An engine may get [`FACTOR`] times its limit in a window, plus [`BURST`] requests: the required
 /// bound.
 const FACTOR: f64 = 1.5;
 
 /// See [`FACTOR`].
-const EXTRA: f64 = 5.0;
+const BURST: f64 = 5.0;
 
 /// Share of the limit that has to be used if there are enough requests.
 const USED_SHARE: f64 = 0.5;
@@ -38,7 +38,7 @@
 const LIMIT_ENDS: usize = 4;
 
 /// Time for nodes to exchange an engine's signals.
-const TOLD: Duration = Duration::from_millis(500);
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 
 /// Requests sent together.
 const AT_ONCE: usize = 4;
@@ -107,7 +107,7 @@
 }
 
 fn allowed() -> f64 {
-    FACTOR * LIMIT * WINDOW.as_secs_f64() + EXTRA
+    FACTOR * LIMIT * WINDOW.as_secs_f64() + BURST
 }
 
 /// Lists engines and sends each one request, so that the node learns their limits. The entries are
@@ -152,7 +152,7 @@
     first.settle().await;
     first.request("first", "/r/x").await;
     first.list("other", &other, "ready");
-    actix_rt::time::sleep(TOLD).await;
+    actix_rt::time::sleep(PROPAGATION_TIME).await;
     // The relays that issue permits have to know each other, which `fleet` waits for.
     let before = requests(&in_need);
     let answers = send_for_a_window(&[&first, &second, &third], "").await;
@@ -161,7 +161,7 @@
     let used = USED_SHARE * LIMIT * WINDOW.as_secs_f64();
     assert!(arrived as f64 >= used, "{arrived} requests only");
     let unserved = answers.iter().find(|answer| status(answer) != "200");
-    assert_eq!(unserved, None, "each request has the other engine");
+    assert_eq!(unserved, None, "the other engine can take every request");
 }
 
 /// Announces a limit until [`LIMIT_ENDS`] requests have come after the first.
@@ -182,9 +182,9 @@
     first.list("in-need", &in_need, "ready");
     first.settle().await;
     first.request("first", "/r/x").await;
-    actix_rt::time::sleep(TOLD).await;
+    actix_rt::time::sleep(PROPAGATION_TIME).await;
     send_for_a_window(&[&first, &second, &third], "").await;
-    actix_rt::time::sleep(TOLD).await;
+    actix_rt::time::sleep(PROPAGATION_TIME).await;
     for node in [&first, &second, &third] {
         for place in 0..AT_ONCE {
             let answer = node.request(&format!("after-{place}"), "/r/x").await;
@@ -246,7 +246,7 @@
     node.settle().await;
     let answers = send_for_a_window(&[&node], "").await;
     let unserved = answers.iter().find(|answer| status(answer) != "200");
-    assert_eq!(unserved, None, "each request has the other engine");
+    assert_eq!(unserved, None, "the other engine can take every request");
 }
 
 #[actix_rt::test]
--- a/crates/forwarding/tests/engine_signals.rs
+++ b/crates/forwarding/tests/engine_signals.rs
@@ -238,7 +238,7 @@
     for place in 0..engines.len() {
         node.request(&format!("first-{place}"), "/r/x").await;
     }
-    assert_eq!(calls(), engines.len(), "each has refused once");
+    assert_eq!(calls(), engines.len(), "each engine has refused once");
     let answers = send_series(&node, "later", Duration::from_millis(300)).await;
     assert_eq!(calls(), engines.len());
     for answer in &answers {
@@ -357,6 +357,10 @@
         async move { node.request(&format!("crowd-{place}"), "/r/x").await }
     });
     let answers = futures_util::future::join_all(crowd).await;
-    assert_eq!(resting.heads().len(), 2, "one asks whether it is over");
+    assert_eq!(
+        resting.heads().len(),
+        2,
+        "one call probes whether it is over"
+    );
     assert!(answers.iter().all(|answer| status(answer) == "503"));
 }
--- a/crates/forwarding/tests/not_run.rs
+++ b/crates/forwarding/tests/not_run.rs
@@ -21,7 +21,7 @@
 use support::{Script, TestEngine, TestNode, answer, id_of};
 
 /// Statuses that guarantee that a request has not run.
-const PROMISES: [&str; 4] = ["408", "421", "429", "503"];
+const NOT_RUN_STATUSES: [&str; 4] = ["408", "421", "429", "503"];
 
 /// Time limit of the route.
 const LIMIT_MS: u64 = 600;
@@ -122,10 +122,10 @@
 #[case::whole(whole, false)]
 #[case::failed(failed, false)]
 #[case::out_of_time(out_of_time, false)]
-#[case::unavailable_without_a_promise(unavailable, false)]
-#[case::unavailable_without_a_promise_at_length(unavailable_at_length, false)]
-#[case::too_many_without_a_promise(too_many, false)]
-#[case::timed_out_without_a_promise(timed_out, false)]
+#[case::unavailable_without_a_report(unavailable, false)]
+#[case::unavailable_without_a_report_at_length(unavailable_at_length, false)]
+#[case::too_many_without_a_report(too_many, false)]
+#[case::timed_out_without_a_report(timed_out, false)]
 #[case::refused(refusing, true)]
 #[case::closed(closing, false)]
 #[case::silent(silent, false)]
@@ -139,7 +139,7 @@
 #[actix_rt::test]
 async fn not_run_is_reported_only_if_the_engine_reported_it(
     #[case] script: Script,
-    #[case] is_promised: bool,
+    #[case] is_not_run_reported: bool,
     #[values("once", "stream")] kind: &str,
 ) {
     let node = TestNode::start().await;
@@ -150,13 +150,17 @@
     let told = node.request("request", "/r/x").await;
     let status = told.split(' ').nth(1).unwrap_or("none");
     assert_eq!(ending.heads().len(), 1, "it reached the engine");
-    assert_eq!(PROMISES.contains(&status), is_promised, "{told}");
+    assert_eq!(
+        NOT_RUN_STATUSES.contains(&status),
+        is_not_run_reported,
+        "{told}"
+    );
 }
 
 /// A request that may have run is not sent to another engine.
 #[rstest]
 #[case::failed(failed)]
-#[case::unavailable_without_a_promise(unavailable)]
+#[case::unavailable_without_a_report(unavailable)]
 #[case::closed(closing)]
 #[case::silent(silent)]
 #[case::half_a_head(half_a_head)]
--- a/crates/forwarding/tests/prompts.rs
+++ b/crates/forwarding/tests/prompts.rs
@@ -36,7 +36,7 @@
     assert_eq!(status(&third), "200", "{third}");
 }
 
-fn reading_but_not_running(head: &str, stream: &mut TcpStream) {
+fn prefilling_but_not_running(head: &str, stream: &mut TcpStream) {
     if head.contains("x-prefill: 1") {
         sound(head, stream);
     } else {
@@ -76,14 +76,14 @@
 
 /// Number of nodes after which the chance that none of them calls a given one of two equal engines
 /// first is one in a million.
-const MOST_NODES: usize = 20;
+const MAX_NODES: usize = 20;
 
 /// Guards against prefilling a prompt again because the first decode engine was full.
 #[actix_rt::test]
 async fn another_engine_uses_the_kv_cache_that_a_full_one_refused() {
     // Equal engines are chosen at random: half of the nodes call the full one first.
-    for _ in 0..MOST_NODES {
-        if is_refused_and_goes_on().await {
+    for _ in 0..MAX_NODES {
+        if continues_after_refusal().await {
             return;
         }
     }
@@ -92,7 +92,7 @@
 
 /// Sends a prompt to a node with two equal decode engines, one of them full, and checks that it is
 /// prefilled once and answered. Returns whether the full engine was called.
-async fn is_refused_and_goes_on() -> bool {
+async fn continues_after_refusal() -> bool {
     let node = TestNode::start().await;
     node.declare_prompts(1, "stream", 1, 1_000);
     let scripts: [Script; 4] = [sound, sound, refusing, sound];
@@ -125,7 +125,7 @@
     let roles = [
         "prefill", "prefill", "prefill", "decode", "decode", "decode",
     ];
-    let engines = roles.map(|_| TestEngine::start(reading_but_not_running));
+    let engines = roles.map(|_| TestEngine::start(prefilling_but_not_running));
     for (place, (engine, role)) in engines.iter().zip(roles).enumerate() {
         node.list(&format!("e{place}"), engine, &format!("ready {role}"));
     }
@@ -138,10 +138,10 @@
     let heads: Vec<String> = engines.iter().flat_map(TestEngine::heads).collect();
     let mut sends: HashMap<(String, bool), u32> = HashMap::new();
     for head in heads.iter().filter(|head| head.starts_with("GET /r/x")) {
-        let is_reading = head.contains("x-prefill: 1");
-        *sends.entry((id_of(head), is_reading)).or_default() += 1;
+        let is_prefill = head.contains("x-prefill: 1");
+        *sends.entry((id_of(head), is_prefill)).or_default() += 1;
     }
     let repeated: u32 = sends.values().map(|sends| sends - 1).sum();
-    assert!(repeated > 0, "some sends are repeated");
-    assert!(repeated <= SLACK, "{repeated} sends repeated");
+    assert!(repeated > 0, "some sends are retries");
+    assert!(repeated <= SLACK, "{repeated} retries");
 }
--- a/crates/forwarding/tests/room.rs
+++ b/crates/forwarding/tests/room.rs
@@ -16,7 +16,7 @@
 use support::{TestEngine, TestNode, get, sound};
 
 /// First attempts per second in the report.
-fn asked(report: &RoomReport) -> f32 {
+fn first_attempts_per_s(report: &RoomReport) -> f32 {
     let classes = report.pools.iter().flat_map(|pool| &pool.classes);
     classes.map(|class| class.figures.asked_per_s).sum()
 }
@@ -129,10 +129,10 @@
     for node in &nodes {
         let knows = holds_within(Duration::from_secs(1), async || {
             // The rate decays by half in 1.4 s.
-            asked(&node.room().await) > 0.5 * BURST_PER_S
+            first_attempts_per_s(&node.room().await) > 0.5 * BURST_PER_S
         });
         assert!(knows.await, "{:?}", node.room().await);
-        let asked = asked(&node.room().await);
+        let asked = first_attempts_per_s(&node.room().await);
         assert!(asked <= 1.01 * BURST_PER_S, "counted twice: {asked}");
     }
 }
@@ -141,7 +141,7 @@
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Sends requests to a node one after the other, 20 per second, until the test ends.
-fn call_steadily(node: &Rc<TestNode>) {
+fn send_steadily(node: &Rc<TestNode>) {
     let node = Rc::clone(node);
     actix_rt::spawn(async move {
         let mut interval = actix_rt::time::interval(REQUEST_INTERVAL);
@@ -162,13 +162,13 @@
         relay = relay.or(is_relay.then_some(place));
     }
     let lost = nodes.swap_remove(relay.expect("a relay"));
-    nodes.iter().for_each(call_steadily);
+    nodes.iter().for_each(send_steadily);
     let expected = nodes.len() as f32 / REQUEST_INTERVAL.as_secs_f32();
     let near = |asked: f32| (0.85 * expected..1.15 * expected).contains(&asked);
     let agree = async || {
         let mut agree = true;
         for node in &nodes {
-            agree &= near(asked(&node.room().await));
+            agree &= near(first_attempts_per_s(&node.room().await));
         }
         agree
     };
@@ -178,7 +178,7 @@
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     for node in &nodes {
         let report = node.room().await;
-        let asked = asked(&report);
+        let asked = first_attempts_per_s(&report);
         assert!(near(asked), "{asked} where {expected} are; {report:?}");
     }
 }
--- a/crates/forwarding/tests/slow_readers.rs
+++ b/crates/forwarding/tests/slow_readers.rs
@@ -26,7 +26,7 @@
 const LONG_ANSWER: usize = 1_000_000;
 
 /// Maximum number of bytes that a node may hold for them.
-const MOST_HELD_MIB: usize = 16;
+const MAX_HELD_MIB: usize = 16;
 
 /// Requests of ordinary callers.
 const ORDINARY: usize = 100;
@@ -77,20 +77,20 @@
         stream.write_all(head.as_bytes()).await.expect("written");
         slow.push(stream);
     }
-    let mut most = 0;
+    let mut max_held = 0;
     let mut took = Vec::new();
     for place in 0..ORDINARY {
         let begun = Instant::now();
         let answered = node.request(&format!("ordinary-{place}"), "/r/x").await;
         took.push(begun.elapsed());
         assert!(answered.starts_with("HTTP/1.1 200"), "{answered}");
-        most = most.max(held(&node).await);
+        max_held = max_held.max(held(&node).await);
         actix_rt::time::sleep(Duration::from_millis(10)).await;
     }
     took.sort();
     let p99 = took[ORDINARY * 99 / 100 - 1];
-    println!("held at most {most} bytes, p99 of ordinary callers {p99:?}");
-    assert!(most <= MOST_HELD_MIB << 20, "{most} bytes held");
+    println!("held at most {max_held} bytes, p99 of ordinary callers {p99:?}");
+    assert!(max_held <= MAX_HELD_MIB << 20, "{max_held} bytes held");
     assert!(p99 <= OBJECTIVE, "{p99:?}");
     drop(slow);
     // The memory is released after the callers have disconnected.
--- a/crates/forwarding/tests/tenant_shares.rs
+++ b/crates/forwarding/tests/tenant_shares.rs
@@ -43,13 +43,13 @@
 
 /// Fraction of the remaining capacity that the big tenant has to be served. The rest is lost while
 /// nodes find out how much there is.
-const REST_USED: f64 = 0.9;
+const REST_SERVED: f64 = 0.9;
 
 /// Time for which only the small tenants send requests, so that nodes learn their demand.
-const CALM: Duration = Duration::from_secs(1);
+const WARM_UP: Duration = Duration::from_secs(1);
 
 /// Time for which all tenants send requests.
-const STORM: Duration = Duration::from_secs(5);
+const OVERLOAD: Duration = Duration::from_secs(5);
 
 /// Requests at one engine.
 #[derive(Default)]
@@ -114,7 +114,7 @@
 type Outcomes = Arc<Mutex<HashMap<&'static str, Outcome>>>;
 
 /// Sends requests to all nodes in turn at an even rate, for `lasts`.
-async fn ask(
+async fn send_requests(
     nodes: Arc<[SocketAddr]>,
     tenant: &'static str,
     per_s: u32,
@@ -142,7 +142,7 @@
 }
 
 /// Callers get a thread of their own, because all nodes share this one.
-async fn storm(nodes: Arc<[SocketAddr]>) -> HashMap<&'static str, Outcome> {
+async fn run_load(nodes: Arc<[SocketAddr]>) -> HashMap<&'static str, Outcome> {
     let (done, outcome) = tokio::sync::oneshot::channel();
     thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread()
@@ -152,7 +152,7 @@
         let outcomes = runtime.block_on(async {
             let outcomes = Outcomes::default();
             let ask = |tenant, per_s, lasts| {
-                ask(
+                send_requests(
                     Arc::clone(&nodes),
                     tenant,
                     per_s,
@@ -160,10 +160,10 @@
                     Arc::clone(&outcomes),
                 )
             };
-            let small = SMALL.map(|tenant| ask(tenant, SMALL_PER_S, CALM + STORM));
+            let small = SMALL.map(|tenant| ask(tenant, SMALL_PER_S, WARM_UP + OVERLOAD));
             let big = async {
-                tokio::time::sleep(CALM).await;
-                ask("big", BIG_PER_S, STORM).await;
+                tokio::time::sleep(WARM_UP).await;
+                ask("big", BIG_PER_S, OVERLOAD).await;
             };
             futures_util::future::join(futures_util::future::join_all(small), big).await;
             let outcomes = outcomes.lock().expect("no panic");
@@ -188,7 +188,7 @@
     }
     // Nodes need a moment to find each other by their entries.
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
-    let outcomes = storm(nodes.into()).await;
+    let outcomes = run_load(nodes.into()).await;
     for tenant in SMALL {
         let share = outcomes[tenant].served_share();
         assert!(share >= SERVED, "{tenant}: {share}");
@@ -196,5 +196,5 @@
     let of_small = f64::from(SMALL_PER_S) * SMALL.len() as f64;
     let rest = (ROOM_PER_S - of_small) / f64::from(BIG_PER_S);
     let big = outcomes["big"].served_share();
-    assert!(big >= rest * REST_USED, "big: {big} of {rest}");
+    assert!(big >= rest * REST_SERVED, "big: {big} of {rest}");
 }
--- a/crates/forwarding/tests/unknown_headers.rs
+++ b/crates/forwarding/tests/unknown_headers.rs
@@ -12,16 +12,16 @@
 use support::{TestEngine, TestNode, answer, get, id_of, status};
 
 /// Unknown header names sent by an engine: more than are logged.
-const MADE_UP: usize = 100;
+const UNKNOWN_HEADERS: usize = 100;
 
 /// Answers with unknown headers, one of them long.
-fn saying_new_things(head: &str, stream: &mut TcpStream) {
+fn answer_with_unknown_headers(head: &str, stream: &mut TcpStream) {
     let mut headers = format!(
         "x-id: {}\r\nx-new-{}: secret\r\n",
         id_of(head),
         "y".repeat(8_000)
     );
-    for place in 0..MADE_UP / 2 {
+    for place in 0..UNKNOWN_HEADERS / 2 {
         headers.push_str(&format!("x-new-{}-{place}: secret\r\n", id_of(head)));
     }
     answer(stream, "200 OK", &headers, "whole");
@@ -31,7 +31,7 @@
 async fn unknown_headers_are_counted_and_change_nothing() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
-    let engine = TestEngine::start(saying_new_things);
+    let engine = TestEngine::start(answer_with_unknown_headers);
     node.list("engine", &engine, "ready");
     node.has_heard_of(1).await;
     for place in 0..2 {
@@ -41,7 +41,7 @@
     let figures = get(node.metrics, "host: a.example\r\n", "/metrics").await;
     let counted = format!(
         "dalestand_unknown_headers_total{{sender=\"engine\"}} {}",
-        MADE_UP + 2
+        UNKNOWN_HEADERS + 2
     );
     assert!(figures.lines().any(|line| line == counted), "{figures}");
 }
--- a/crates/quarantine/src/unfinished.rs
+++ b/crates/quarantine/src/unfinished.rs
@@ -12,10 +12,10 @@
 
 use crate::fingerprint::RequestFingerprint;
 
-/// Maximum number of unfinished runs window: 256 engines with 16 slots each.
+/// Maximum number of unfinished runs kept: 256 engines with 16 slots each.
 const MAX_RUNS: usize = 4_096;
 
-/// Maximum number of ended engines window.
+/// Maximum number of ended engines kept.
 const MAX_ENDED_ENGINES: usize = 1_024;
 
 /// Identifier of an engine run, that is, of one start of an engine process; the same at all nodes.
