--- a/crates/forwarding/src/permits/requester.rs
+++ b/crates/forwarding/src/permits/requester.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use dalestand_dissemination::{Message, PermitAnswer, PermitNeed, PermitRequest, Relay};
-use dalestand_routing::shared_rate::{PERMIT_LIFE, Permit};
-use dalestand_routing::staged::{ClosedFor, EngineKey};
+use dalestand_routing::shared_rate::{PERMIT_LIFETIME, Permit};
+use dalestand_routing::staged::{ClosedReason, EngineKey};
 use dalestand_types::MonotonicTime;
 use tokio::sync::oneshot;
 
@@ -29,7 +29,7 @@
 pub(super) async fn acquire_permit(
     context: &Context,
     engine: EngineKey,
-) -> Result<Permit, ClosedFor> {
+) -> Result<Permit, ClosedReason> {
     if let Some(permit) = take_held_permit(context, engine) {
         return Ok(permit);
     }
@@ -45,7 +45,7 @@
         let now = context.now();
         let router = context.router.borrow();
         let closed = router.signals.closed(now, engine);
-        closed.unwrap_or(ClosedFor::Limit(now))
+        closed.unwrap_or(ClosedReason::Limit(now))
     })
 }
 
@@ -116,8 +116,8 @@
     context.metrics.permit("granted");
     let now = context.now();
     let mut router = context.router.borrow_mut();
-    let wallet = &mut router.signals.permits;
-    wallet.add(now, engine, permits, requested_at + PERMIT_LIFE);
+    let held = &mut router.signals.permits;
+    held.add(now, engine, permits, requested_at + PERMIT_LIFETIME);
 }
 
 fn close_engine(context: &Context, engine: EngineKey, time: Duration) {
@@ -138,7 +138,7 @@
     {
         let mut requests = context.permits.pending.borrow_mut();
         if requests.len() >= CLEANUP_THRESHOLD {
-            requests.retain(|_, pending| sent_at.since(pending.sent_at) < PERMIT_LIFE);
+            requests.retain(|_, pending| sent_at.since(pending.sent_at) < PERMIT_LIFETIME);
         }
         requests.insert(number, pending);
     }
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -1,6 +1,6 @@
 //! Admission to pools that are short of capacity: requests wait for a slot or are refused.
 //!
-//! `PoolRoom` of `dalestand_routing` decides; this module supplies the load of the pool and carries
+//! `dalestand_routing::overload::PoolAdmission` decides; this module supplies the load of the pool and carries
 //! out the decisions.
 
 use std::rc::Rc;
@@ -8,8 +8,9 @@
 
 use dalestand_clock::timeout;
 use dalestand_routing::ClassFigures;
-use dalestand_routing::room::{
-    Arrival, PoolLoad, ReturnSlot, RoomDecision, RoomRequest, ShareStanding, WaitNumber,
+use dalestand_routing::overload::{
+    AdmissionDecision, AdmissionOutcome, AdmissionRequest, PoolLoad, RetryAfterSlot, ShareStanding,
+    WaiterId,
 };
 use dalestand_routing::staged::{Stage, TimeBounds};
 use dalestand_telemetry::{Event, log_event};
@@ -63,19 +64,19 @@
     let decision = state
         .admission
         .borrow_mut()
-        .arrives(now, &request, own_taken);
-    match decision.arrival {
-        Arrival::Ungated => Ok(Admission::Unrestricted),
-        Arrival::Placed => {
+        .decide(now, &request, own_taken);
+    match decision.outcome {
+        AdmissionOutcome::Ungated => Ok(Admission::Unrestricted),
+        AdmissionOutcome::Placed => {
             let reservation = Reservation(state);
             record_decision(context, progress, &decision, "placed", Duration::ZERO);
             Ok(Admission::Reserved(reservation, Duration::ZERO))
         }
-        Arrival::Refused(slot) => {
+        AdmissionOutcome::Refused(slot) => {
             record_decision(context, progress, &decision, "refused", Duration::ZERO);
             Err(no_room_failure(slot))
         }
-        Arrival::Waits(id, max_wait) => {
+        AdmissionOutcome::Queued(id, max_wait) => {
             let waiter = Waiter::new(context, &state, id, &progress.class);
             spawn_release_loop(context, &state, pool, stage);
             let reservation = waiter.wait(max_wait).await;
@@ -89,21 +90,21 @@
             let slot = state
                 .admission
                 .borrow_mut()
-                .refused(context.now(), &request);
+                .retry_slot(context.now(), &request);
             Err(no_room_failure(slot))
         }
     }
 }
 
-fn no_room_failure(slot: ReturnSlot) -> Failure {
-    Failure::NoRoom(slot.told())
+fn no_room_failure(slot: RetryAfterSlot) -> Failure {
+    Failure::NoRoom(slot.delay())
 }
 
-fn admission_request(state: &PoolState, progress: &Progress) -> RoomRequest {
+fn admission_request(state: &PoolState, progress: &Progress) -> AdmissionRequest {
     let (_, priority) = progress.class;
     let attempt_rates = state.first_attempts_per_s.borrow();
     let more_urgent = attempt_rates.iter().filter(|(class, _)| *class < priority);
-    RoomRequest {
+    AdmissionRequest {
         priority,
         standing: progress
             .share
@@ -113,7 +114,7 @@
             objective: Duration::from_millis(progress.route.objective_ms),
         },
         expected: progress.expected.unwrap_or_default(),
-        urgent_per_s: more_urgent.map(|(_, per_s)| *per_s).sum(),
+        more_urgent_per_s: more_urgent.map(|(_, per_s)| *per_s).sum(),
     }
 }
 
@@ -130,7 +131,7 @@
     let (load, attempt_rates) = pool_load(context, now, pool, stage);
     state.first_attempts_per_s.replace(attempt_rates);
     let mut admission = state.admission.borrow_mut();
-    if admission.look(now, &load) {
+    if admission.update(now, &load) {
         let event = if admission.is_short() {
             Event::PoolShort
         } else {
@@ -158,14 +159,14 @@
     let fleet = context.fleet();
     let router = context.router.borrow();
     let engines = fleet.pool(pool).iter();
-    let engines =
-        engines.filter(|engine| engine.stage == stage && !router.health.is_silent(now, engine.key));
+    let engines = engines
+        .filter(|engine| engine.stage == stage && !router.health.is_unresponsive(now, engine.key));
     for engine in engines {
         load.engines += 1;
         load.slots += engine.slots;
         load.taken += router.work.total(engine.key).requests;
     }
-    load.taken_age = router.work.mean_age(now, |_| true);
+    load.taken_age = router.work.mean_report_age(now, |_| true);
     let own = context.classes.figures(now);
     let own = own.iter().filter(|((of, _), _)| of == pool);
     let attempt_rates = own.clone();
@@ -176,7 +177,7 @@
     let sums = context.sums.classes.borrow();
     let all = sums.totals().iter().filter(|((of, _), _)| of == pool);
     load.all = sum_figures(all.map(|(_, figures)| figures));
-    load.heard = sums.heard(now).map(|(_, age)| age).min();
+    load.figures_age = sums.heard(now).map(|(_, age)| age).min();
     (load, attempt_rates)
 }
 
@@ -245,7 +246,7 @@
 struct Waiter {
     context: Rc<Context>,
     state: Rc<PoolState>,
-    number: WaitNumber,
+    number: WaiterId,
     class: ClassKey,
     receiver: oneshot::Receiver<Reservation>,
 }
@@ -254,7 +255,7 @@
     fn new(
         context: &Rc<Context>,
         state: &Rc<PoolState>,
-        number: WaitNumber,
+        number: WaiterId,
         class: &ClassKey,
     ) -> Self {
         let (sender, receiver) = oneshot::channel();
@@ -278,7 +279,7 @@
 impl Drop for Waiter {
     fn drop(&mut self) {
         self.state.waiters.borrow_mut().remove(&self.number);
-        self.state.admission.borrow_mut().leaves(self.number);
+        self.state.admission.borrow_mut().remove(self.number);
         self.context.classes.update(&self.class, |meter| {
             meter.waiting = meter.waiting.saturating_sub(1);
         });
@@ -289,7 +290,7 @@
 fn record_decision(
     context: &Context,
     progress: &mut Progress,
-    decision: &RoomDecision,
+    decision: &AdmissionDecision,
     outcome: &'static str,
     waited: Duration,
 ) {
--- a/crates/forwarding/src/serve/answer_stream.rs
+++ b/crates/forwarding/src/serve/answer_stream.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use dalestand_clock::{timeout, timeout_at};
-use dalestand_routing::staged::{AttemptResult, patience};
+use dalestand_routing::staged::{AttemptResult, response_timeout};
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::PoolName;
 use futures_util::stream::{self, Stream};
@@ -139,7 +139,7 @@
                     }
                 }
                 Err(_) => {
-                    if let Err(error) = self.resume_elsewhere(AttemptResult::Silent).await {
+                    if let Err(error) = self.resume_elsewhere(AttemptResult::NoResponse).await {
                         return Some(Err(error));
                     }
                 }
@@ -193,7 +193,7 @@
         let objective = Duration::from_millis(route.objective_ms) * FIRST_EVENT_FACTOR;
         let since_sent = self.answer.sent_at.elapsed();
         let expected_s = self.answer.choice.expected_s;
-        patience(expected_s, objective.max(MIN_PAUSE_TIMEOUT)).saturating_sub(since_sent)
+        response_timeout(expected_s, objective.max(MIN_PAUSE_TIMEOUT)).saturating_sub(since_sent)
     }
 
     /// Resumes the stream at another engine after the last event sent to the caller.
@@ -204,9 +204,9 @@
             .router
             .borrow_mut()
             .health
-            .note(now, failed, result);
+            .record(now, failed, result);
         self.answer.watch.record_unfinished(match result {
-            AttemptResult::Silent => UnfinishedReason::Silent,
+            AttemptResult::NoResponse => UnfinishedReason::Silent,
             _ => UnfinishedReason::BrokenOff,
         });
         // Ends the previous run before another one starts.
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -10,8 +10,8 @@
 use dalestand_edge::routed::EngineTerms;
 use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
 use dalestand_quarantine::STOP_AFTER_CRASHES;
-use dalestand_routing::staged::{AttemptResult, ClosedFor, EngineChoice, EngineKey};
-use dalestand_routing::{CallArrival, CallPurpose, RepeatedSend};
+use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
+use dalestand_routing::{CallOutcome, CallPurpose, RepeatedSend};
 use dalestand_types::{PoolName, RequestRate};
 
 use crate::context::Context;
@@ -158,7 +158,7 @@
             let result = if exchange.head.status.is_server_error() {
                 AttemptResult::Failed
             } else {
-                AttemptResult::Sound(took)
+                AttemptResult::Success(took)
             };
             work.record_started();
             if let Some(tenant) = progress.tenant.clone()
@@ -199,13 +199,13 @@
             (
                 AttemptOutcome::NotSent,
                 "not sent",
-                Some(AttemptResult::Silent),
+                Some(AttemptResult::NoResponse),
             )
         }
         Verdict::NoListener => {
             watch.dismiss();
             record_engine_end(context, engine.key, &engine.run, EndProof::NoListener);
-            let silent = Some(AttemptResult::Silent);
+            let silent = Some(AttemptResult::NoResponse);
             (AttemptOutcome::NotSent, "no listener", silent)
         }
         Verdict::Withheld => {
@@ -229,14 +229,14 @@
             (
                 AttemptOutcome::Unknown,
                 "silent",
-                Some(AttemptResult::Silent),
+                Some(AttemptResult::NoResponse),
             )
         }
     };
     if let Some(result) = result {
         let now = context.now();
         let mut router = context.router.borrow_mut();
-        router.health.note(now, engine.key, result);
+        router.health.record(now, engine.key, result);
     }
     if call.purpose == CallPurpose::Run
         && matches!(outcome, AttemptOutcome::Refused | AttemptOutcome::NotSent)
@@ -246,12 +246,12 @@
     if call.purpose == CallPurpose::Run && matches!(outcome, AttemptOutcome::Answered(_)) {
         count_usage(context, progress);
     }
-    let arrival = match &outcome {
-        AttemptOutcome::Answered(_) => CallArrival::TakenUp,
-        AttemptOutcome::Refused | AttemptOutcome::Unknown => CallArrival::NotTakenUp,
-        AttemptOutcome::NotSent => CallArrival::NotArrived,
+    let call_outcome = match &outcome {
+        AttemptOutcome::Answered(_) => CallOutcome::Accepted,
+        AttemptOutcome::Refused | AttemptOutcome::Unknown => CallOutcome::NotAccepted,
+        AttemptOutcome::NotSent => CallOutcome::NotDelivered,
     };
-    let is_free = progress.call_counts.came_out(call.purpose, arrival);
+    let is_free = progress.call_counts.record(call.purpose, call_outcome);
     if let Some(send) = retry.filter(|_| is_free) {
         context.budget.borrow_mut().give_back(call.pool, send);
     }
@@ -265,7 +265,7 @@
     context: &Context,
     progress: &mut Progress,
     call: &Call<'_>,
-    closed: ClosedFor,
+    closed: ClosedReason,
 ) -> AttemptOutcome {
     let (no_time, signals) = (Duration::ZERO, closed.into());
     let record = progress.record(call.purpose, &call.choice, "withheld", no_time, signals);
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -13,7 +13,7 @@
 use dalestand_edge::routed::AnswerFacts;
 use dalestand_edge::unknown_headers::UnknownSender;
 use dalestand_engine_link::{Exchange, LinkTarget, SendError};
-use dalestand_routing::staged::{CallEnd, ClosedFor, EngineKey, ReturningCall, StagedEngine};
+use dalestand_routing::staged::{ClosedReason, EngineKey, ProbeCall, ProbeOutcome, StagedEngine};
 use dalestand_types::{EngineSignals, PoolName};
 
 use crate::context::Context;
@@ -51,8 +51,8 @@
     }
 
     /// Whether the call may be sent even though the engine is closed.
-    fn bypasses(&self, closed: ClosedFor) -> bool {
-        *self == Self::Internal && closed == ClosedFor::Draining
+    fn bypasses(&self, closed: ClosedReason) -> bool {
+        *self == Self::Internal && closed == ClosedReason::Draining
     }
 }
 
@@ -80,7 +80,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
     /// The engine is closed to the call; nothing was sent.
-    Closed(ClosedFor),
+    Closed(ClosedReason),
     /// The exchange failed.
     Link(SendError),
 }
@@ -90,7 +90,7 @@
     context: &Context,
     engine: &StagedEngine,
     content: &CallContent,
-) -> Option<ClosedFor> {
+) -> Option<ClosedReason> {
     let router = context.router.borrow();
     let closed = router.signals.closed(context.now(), engine.key);
     closed.filter(|closed| !content.bypasses(*closed))
@@ -113,7 +113,7 @@
     // A rate limit does not close the engine to this call, as the call holds a permission.
     let closed = || {
         let closed = closed_reason(context, engine, &content);
-        closed.filter(|closed| !matches!(closed, ClosedFor::Limit(_)))
+        closed.filter(|closed| !matches!(closed, ClosedReason::Limit(_)))
     };
     if let Some(closed) = closed() {
         return Err(CallError::Closed(closed));
@@ -124,7 +124,7 @@
     // After a backoff, the call is itself one of the probes, so the limit on probes does not close
     // the engine to it.
     let is_open = || {
-        let is_open = closed().is_none_or(|closed| closed == ClosedFor::Returning)
+        let is_open = closed().is_none_or(|closed| closed == ClosedReason::Probing)
             && permission.is_valid(context.now());
         if is_open {
             permission.mark_used();
@@ -135,7 +135,7 @@
     let sent = link.send_while(target, max_connections, head, body, is_open);
     let exchange = sent.await.map_err(|error| match error {
         SendError::Withheld => {
-            CallError::Closed(closed().unwrap_or(ClosedFor::Limit(context.now())))
+            CallError::Closed(closed().unwrap_or(ClosedReason::Limit(context.now())))
         }
         error => CallError::Link(error),
     })?;
@@ -163,30 +163,30 @@
 /// accepted answer, the probe counts as not accepted.
 struct Probe<'a> {
     context: &'a Context,
-    call: Option<ReturningCall>,
+    call: Option<ProbeCall>,
 }
 
 impl<'a> Probe<'a> {
     fn new(context: &'a Context, engine: EngineKey) -> Self {
         let now = context.now();
-        let call = context.router.borrow_mut().signals.called(now, engine);
+        let call = context.router.borrow_mut().signals.begin_call(now, engine);
         Self { context, call }
     }
 
     fn accepted(mut self) {
-        self.end(CallEnd::TakenUp);
+        self.end(ProbeOutcome::Accepted);
     }
 
-    fn end(&mut self, end: CallEnd) {
+    fn end(&mut self, end: ProbeOutcome) {
         if let Some(call) = self.call.take() {
             let mut router = self.context.router.borrow_mut();
-            router.signals.came_out(call, end);
+            router.signals.finish_probe(call, end);
         }
     }
 }
 
 impl Drop for Probe<'_> {
     fn drop(&mut self) {
-        self.end(CallEnd::NotTakenUp);
+        self.end(ProbeOutcome::NotAccepted);
     }
 }
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -231,7 +231,7 @@
         let now = context.now();
         let mut router = context.router.borrow_mut();
         let holder = held.engine.key;
-        router.health.note(now, holder, AttemptResult::Refused);
+        router.health.record(now, holder, AttemptResult::Refused);
     }
     match outcome {
         // No engine is left that can use the KV cache.
@@ -267,7 +267,7 @@
 /// Updates the estimate of how long engines take to start an answer.
 fn record_decode_start(context: &Context, answer: &EngineAnswer) {
     let mut router = context.router.borrow_mut();
-    let starts = &mut router.starts;
+    let starts = &mut router.decode_start_times;
     let transfer_s = answer.choice.expected_s - starts.expected_s(answer.not_started_before);
     let took_s = answer.sent_at.elapsed().as_secs_f64();
     starts.observe(answer.not_started_before, took_s - transfer_s);
--- a/crates/forwarding/src/serve/plan.rs
+++ b/crates/forwarding/src/serve/plan.rs
@@ -2,7 +2,7 @@
 
 use dalestand_clock::BootInstant;
 use dalestand_routing::staged::{
-    EngineChoice, EnginePool, Expectation, PromptPlan, Stage, StagedRouter,
+    EngineChoice, EnginePool, LatencyEstimate, PromptPlan, Stage, StagedRouter,
 };
 use dalestand_types::PoolName;
 
@@ -21,7 +21,7 @@
     /// The first call.
     pub(crate) step: Step,
     /// Estimated latency, where engines serve prompts.
-    pub(crate) expected: Option<Expectation>,
+    pub(crate) expected: Option<LatencyEstimate>,
 }
 
 /// The first call of a plan.
@@ -84,14 +84,14 @@
     let plan = if may_split {
         router.plan_prompt(now, zone, engines, &request)?
     } else {
-        PromptPlan::Whole(router.choose_whole(now, zone, engines, &request)?)
+        PromptPlan::Colocated(router.choose_colocated(now, zone, engines, &request)?)
     };
-    let load_age = router.work.mean_age(now, |_| true);
+    let load_age = router.work.mean_report_age(now, |_| true);
     context.metrics.chosen(began.elapsed(), load_age);
-    let expected = Some(plan.expectation());
+    let expected = Some(plan.latency_estimate());
     let step = match plan {
-        PromptPlan::Whole(choice) => Step::Whole(choice),
-        PromptPlan::Split { prefill, .. } => Step::Prefill(prefill),
+        PromptPlan::Colocated(choice) => Step::Whole(choice),
+        PromptPlan::Disaggregated { prefill, .. } => Step::Prefill(prefill),
     };
     if progress.calls.is_empty() {
         record_demand(context, &router, pool, &step);
@@ -109,7 +109,7 @@
     let (Step::Whole(choice) | Step::Prefill(choice)) = step;
     let tokens = choice.unread_tokens;
     let key = choice.engine.key;
-    let prefill_s = |tokens| router.speeds.expected_s(key, Stage::Decode, tokens);
+    let prefill_s = |tokens| router.prefill_speeds.expected_s(key, Stage::Decode, tokens);
     let colocated_s = prefill_s(f64::from(tokens)) - prefill_s(0.0);
     let place = if colocated_s > DISAGGREGATION_THRESHOLD_S {
         PrefillPlace::Disaggregated
--- a/crates/forwarding/src/serve/pool_admissions.rs
+++ b/crates/forwarding/src/serve/pool_admissions.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use dalestand_routing::room::{PoolRoom, RoomAccount, WaitNumber};
+use dalestand_routing::overload::{PoolAdmission, RoomAccount, WaiterId};
 use dalestand_types::{MonotonicTime, PoolName};
 use tokio::sync::oneshot;
 
@@ -18,8 +18,8 @@
 /// Admission state of one pool.
 #[derive(Default)]
 pub(super) struct PoolState {
-    pub(super) admission: RefCell<PoolRoom>,
-    pub(super) waiters: RefCell<HashMap<WaitNumber, oneshot::Sender<Reservation>>>,
+    pub(super) admission: RefCell<PoolAdmission>,
+    pub(super) waiters: RefCell<HashMap<WaiterId, oneshot::Sender<Reservation>>>,
     pub(super) refreshed_at: Cell<Option<MonotonicTime>>,
     /// Rate of first attempts at this node, by priority.
     pub(super) first_attempts_per_s: RefCell<Vec<(u8, f64)>>,
@@ -32,7 +32,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.0.admission.borrow_mut().sent();
+        self.0.admission.borrow_mut().note_sent();
     }
 }
 
--- a/crates/forwarding/src/serve/prefill.rs
+++ b/crates/forwarding/src/serve/prefill.rs
@@ -151,11 +151,13 @@
     let now = context.now();
     let mut router = context.router.borrow_mut();
     let Some(memory) = memory else {
-        router.health.note(now, engine.key, AttemptResult::Failed);
+        router.health.record(now, engine.key, AttemptResult::Failed);
         return PrefillOutcome::Failed;
     };
     let took_s = answer.sent_at.elapsed().as_secs_f64();
-    router.speeds.observe(engine.key, tokens_ahead, took_s);
+    router
+        .prefill_speeds
+        .observe(engine.key, tokens_ahead, took_s);
     PrefillOutcome::Held(Box::new(PrefilledPrompt {
         context: Rc::clone(context),
         pool: pool.clone(),
--- a/crates/forwarding/src/serve/response_timeout.rs
+++ b/crates/forwarding/src/serve/response_timeout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use dalestand_routing::staged::{EngineChoice, StagedEngine, patience};
+use dalestand_routing::staged::{EngineChoice, StagedEngine, response_timeout};
 use dalestand_types::PoolName;
 
 use crate::context::Context;
@@ -45,7 +45,10 @@
     } else {
         objective
     };
-    left.min(patience(choice.expected_s, minimum.max(MIN_TIMEOUT)))
+    left.min(response_timeout(
+        choice.expected_s,
+        minimum.max(MIN_TIMEOUT),
+    ))
 }
 
 /// Whether another engine could take a request that is at `current`; if not, abandoning it would
@@ -58,5 +61,5 @@
 ) -> bool {
     let fleet = context.fleet();
     let router = context.router.borrow();
-    router.has_other(context.now(), fleet.pool(pool), current, &progress.tried)
+    router.has_alternative(context.now(), fleet.pool(pool), current, &progress.tried)
 }
--- a/crates/forwarding/src/serve/tenant_shares.rs
+++ b/crates/forwarding/src/serve/tenant_shares.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use dalestand_routes::{Caller, RouteTable};
-use dalestand_routing::room::ShareStanding;
-use dalestand_routing::room::shares::{PoolShares, TenantShare};
-use dalestand_routing::room::shortage::{PoolTries, RoomUnit};
-use dalestand_routing::room::tenant_meters::TenantMeters;
+use dalestand_routing::overload::ShareStanding;
+use dalestand_routing::overload::shares::{PoolShares, TenantShare};
+use dalestand_routing::overload::shortage::{AttemptRates, CapacityUnit};
+use dalestand_routing::overload::tenant_meters::TenantMeters;
 use dalestand_routing::staged::EnginePool;
 use dalestand_routing::{TenantCode, TenantFigures};
 use dalestand_types::{MonotonicTime, PoolName, Revision};
@@ -78,7 +78,7 @@
         let totals = sums.tenants.borrow();
         let age = totals.heard(now).map(|(_, age)| age).min();
         ShareStatus {
-            standing: tenants.shares.admit(now, *tenant, rand::random()),
+            standing: tenants.shares.classify(now, *tenant, rand::random()),
             share,
             age,
         }
@@ -142,9 +142,9 @@
             let slots: f64 = engines.iter().map(|engine| f64::from(engine.slots)).sum();
             let busy_slots = busy_slots(sums, &class.0);
             let serves_prompts = engines.serves_prompts();
-            let unit = RoomUnit::of_pool(serves_prompts, busy_slots, slots);
-            let tries = PoolTries {
-                has_spare_slots: RoomUnit::has_spare_slots(serves_prompts, busy_slots, slots),
+            let unit = CapacityUnit::of_pool(serves_prompts, busy_slots, slots);
+            let tries = AttemptRates {
+                has_idle_slots: CapacityUnit::has_idle_slots(serves_prompts, busy_slots, slots),
                 ..attempt_rates(sums, class)
             };
             let totals = sums.tenants.borrow();
@@ -160,7 +160,9 @@
     pub(crate) fn needs_refresh(&self, now: MonotonicTime) -> bool {
         let classes = self.classes.borrow();
         now.since(self.refreshed_at.get()) >= MIN_REFRESH_INTERVAL
-            && !classes.values().any(|tenants| tenants.shares.acts(now))
+            && !classes
+                .values()
+                .any(|tenants| tenants.shares.is_enforced(now))
     }
 
     /// Number of tenants over their share by pool. A tenant counts once for each priority; all
@@ -169,7 +171,7 @@
         let classes = self.classes.borrow();
         let mut limited = BTreeMap::new();
         for ((pool, _), tenants) in classes.iter() {
-            *limited.entry(pool.clone()).or_default() += tenants.shares.tenants_cut(now);
+            *limited.entry(pool.clone()).or_default() += tenants.shares.limited_tenants(now);
         }
         limited
     }
@@ -211,13 +213,13 @@
 
 /// Start and failure rates of a class. Requests refused for being over a share are excluded, as
 /// they would keep the class short.
-fn attempt_rates(sums: &FleetSums, class: &ClassKey) -> PoolTries {
+fn attempt_rates(sums: &FleetSums, class: &ClassKey) -> AttemptRates {
     let classes = sums.classes.borrow();
     let figures = classes.total(class).copied().unwrap_or_default();
     let refused = f64::from(figures.refused_per_s) - f64::from(figures.over_share_per_s);
-    PoolTries {
+    AttemptRates {
         begun_per_s: f64::from(figures.begun_per_s),
         failed_per_s: refused.max(0.0),
-        has_spare_slots: false,
+        has_idle_slots: false,
     }
 }
--- a/crates/forwarding/src/serve/work_guard.rs
+++ b/crates/forwarding/src/serve/work_guard.rs
@@ -34,11 +34,15 @@
     ) -> Self {
         {
             let mut router = context.router.borrow_mut();
-            router.work.sent(engine.key, unread_tokens);
+            router.work.record_sent(engine.key, unread_tokens);
             let now = context.now();
-            router.unreported.sent(now, engine.stage, unread_tokens);
+            router
+                .unreported
+                .record_sent(now, engine.stage, unread_tokens);
             if !parts.is_empty() {
-                router.parts.sent(engine.key, engine.memory_tokens, parts);
+                router
+                    .parts
+                    .record_sent(engine.key, engine.memory_tokens, parts);
                 let mut placements = context.placements.borrow_mut();
                 placements.push(engine.key, PlacementState::Sent, parts);
             }
@@ -59,7 +63,11 @@
     /// Records that the answer has started, or never will.
     pub(crate) fn record_started(&mut self) {
         if !std::mem::replace(&mut self.has_started, true) {
-            self.context.router.borrow_mut().work.begun(self.engine);
+            self.context
+                .router
+                .borrow_mut()
+                .work
+                .record_started(self.engine);
         }
     }
 
@@ -72,7 +80,7 @@
     pub(crate) fn record_prefilled(&mut self) {
         if !std::mem::replace(&mut self.is_prefilled, true) && !self.parts.is_empty() {
             let mut router = self.context.router.borrow_mut();
-            let changed = router.parts.read(self.engine, &self.parts);
+            let changed = router.parts.confirm_cached(self.engine, &self.parts);
             drop(router);
             // Peers know already which parts were cached before; the last part is unique to this
             // request.
@@ -91,7 +99,7 @@
             return;
         }
         let mut router = self.context.router.borrow_mut();
-        router.work.read(self.engine, tokens);
+        router.work.record_prefilled(self.engine, tokens);
         drop(router);
         if tokens >= NOTIFY_THRESHOLD_TOKENS {
             self.context.work_changed.notify_one();
@@ -109,7 +117,7 @@
     fn drop(&mut self) {
         if !self.is_prefilled && !self.parts.is_empty() {
             let mut router = self.context.router.borrow_mut();
-            let changed = router.parts.not_read(self.engine, &self.parts);
+            let changed = router.parts.remove_unconfirmed(self.engine, &self.parts);
             drop(router);
             if changed {
                 let mut placements = self.context.placements.borrow_mut();
@@ -118,6 +126,10 @@
         }
         self.remove_unread_tokens();
         self.record_started();
-        self.context.router.borrow_mut().work.ended(self.engine);
+        self.context
+            .router
+            .borrow_mut()
+            .work
+            .record_ended(self.engine);
     }
 }
