--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,14 +1,14 @@
 //! Serves opaque requests by routes: choice of engines, attempts, retries, streams.
 //!
-//! * [`serve`]: one request, from its route to the last byte of its answer. Decisions are those of
-//!   `dalestand_routing::staged`.
+//! * [`serve`]: serving of one request, from its route to the last byte of its answer. Engines are
+//!   chosen by `dalestand_routing::staged`.
 //! * [`fleet`]: engines and nodes, as the key-value service and relays tell.
 //! * [`fleet_sums`]: what all nodes count together of pools, tenants and engines.
 //! * [`spread`]: fleet-wide state on its way between nodes.
 //! * [`roles`]: the lease under which one node acts for all, and the engines' roles.
 //! * [`duties`]: what else that node does for all.
-//! * [`permits`]: leave to send requests to engines that take only so many.
-//! * [`quarantine`]: requests that end the engines that run them.
+//! * [`permits`]: permits for engines with a request rate limit.
+//! * [`quarantine`]: requests that crash the engines that run them.
 //! * [`node`]: settings, start, reload, stop, figures.
 //!
 //! The platform's words come in through the traits of `dalestand_edge::routed`.
--- a/crates/forwarding/src/quarantine/evidence.rs
+++ b/crates/forwarding/src/quarantine/evidence.rs
@@ -57,7 +57,7 @@
     observed.insert(fingerprint);
 }
 
-/// Applies crash records received from other nodes or read from the key-value store.
+/// Applies crash records received from other nodes or read from the key-value service.
 pub(crate) fn apply_records(context: &Context, records: &[CrashRecord]) {
     for record in records {
         if apply(context, record) == ApplyOutcome::Cleared {
--- a/crates/forwarding/src/quarantine/fleet_key.rs
+++ b/crates/forwarding/src/quarantine/fleet_key.rs
@@ -1,5 +1,5 @@
-//! Loads quarantine data from the key-value store at startup: the stopped requests, and the fleet's
-//! fingerprint key. The first node to find no key creates it.
+//! Loads quarantine data from the key-value service at startup: the stopped requests, and the
+//! fleet's fingerprint key. The first node to find no key creates it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,8 +19,8 @@
 /// Key under which the fingerprint key is stored.
 const FLEET_KEY: &str = "dalestand/quarantine/key";
 
-/// Maximum delay before a retry. A starting node has to load the key and the stopped requests within
-/// the minimum time after which it counts as connected (3 s).
+/// Maximum delay before a retry. A starting node has to load the key and the stopped requests
+/// within the minimum time after which it counts as connected (3 s).
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Loads or creates the fingerprint key, and loads the stopped requests. Retries until this
--- a/crates/forwarding/src/quarantine/mod.rs
+++ b/crates/forwarding/src/quarantine/mod.rs
@@ -4,7 +4,7 @@
 //! A crashing request may be sent again to any node at any time, so evidence has to outlive the
 //! request that produced it and reach all nodes. Nodes send each other new crash records. Relays
 //! also repeat the records of stopped requests, for nodes that were disconnected, and the key-value
-//! store keeps these records for the case that all nodes restart.
+//! service keeps these records for the case that all nodes restart.
 
 pub(crate) mod engine_end;
 mod engine_run_id;
--- a/crates/forwarding/src/quarantine/operator.rs
+++ b/crates/forwarding/src/quarantine/operator.rs
@@ -1,5 +1,5 @@
-//! Operator commands for stopped requests. They use the key-value store directly, so no node has to
-//! be running.
+//! Operator commands for stopped requests. They use the key-value service directly, so no node has
+//! to be running.
 
 use dalestand_edge::{CasOutcome, KeyValue, PlatformError, WriteExpectation};
 use dalestand_quarantine::{RequestFingerprint, StoppedRequestEntry};
@@ -7,8 +7,8 @@
 
 use crate::quarantine::stopped_entries::STOPPED_PREFIX;
 
-/// Lists the stopped requests in the key-value store by fingerprint. Released requests are included
-/// until their entries expire.
+/// Lists the stopped requests in the key-value service by fingerprint. Released requests are
+/// included until their entries expire.
 pub async fn stopped_requests(
     store: &dyn KeyValue,
 ) -> Result<Vec<(RequestFingerprint, StoppedRequestEntry)>, Report<PlatformError>> {
--- a/crates/forwarding/src/quarantine/state.rs
+++ b/crates/forwarding/src/quarantine/state.rs
@@ -21,7 +21,7 @@
 
 /// Maximum time between the end of an unfinished run and the detected end of its engine for the two
 /// to be matched. An engine's entry lapses after three missed heartbeats (1.5 s); nodes learn of it
-/// up to 0.5 s later, or 2 s after an outage of the key-value store.
+/// up to 0.5 s later, or 2 s after an outage of the key-value service.
 const MATCH_WINDOW: Duration = Duration::from_secs(5);
 
 /// Transmission of crash records to other nodes: at most 1 KB in a message. The queue holds the
@@ -41,16 +41,16 @@
     pub(super) ledger: RefCell<CrashLedger>,
     /// Crash records of this node that are still to be sent to other nodes.
     pub(crate) outgoing_records: RefCell<RepeatedNews<CrashRecord>>,
-    /// Requests of which this node saw a crash. It stores them in the key-value store once they are
-    /// stopped.
+    /// Requests of which this node saw a crash. It stores them in the key-value service once they
+    /// are stopped.
     pub(super) observed_here: RefCell<HashSet<RequestFingerprint>>,
-    /// Stopped requests that are still to be written to the key-value store.
+    /// Stopped requests that are still to be written to the key-value service.
     pub(super) pending_writes: RefCell<BTreeSet<RequestFingerprint>>,
     /// Notified when [`Self::pending_writes`] gets an entry.
     pub(super) write_queued: Notify,
     /// Limits how often this node requests a trial.
     pub(super) trial_requests: RefCell<TrialRequests>,
-    /// The key-value store, which grants trials to one node at a time; set once at startup.
+    /// The key-value service, which grants trials to one node at a time; set once at startup.
     pub(crate) store: OnceCell<Rc<dyn KeyValue>>,
     /// Engines for which a listener check is running.
     pub(super) listener_checks: RefCell<HashSet<EngineKey>>,
@@ -79,7 +79,7 @@
         self.key.get()
     }
 
-    /// Queues all stopped requests seen here for writing, because the key-value store lost its
+    /// Queues all stopped requests seen here for writing, because the key-value service lost its
     /// leases and with them the entries.
     pub(crate) fn rewrite_stored(&self) {
         let seen = self.observed_here.borrow();
@@ -91,7 +91,7 @@
 }
 
 /// Earliest time of the next trial request for each stopped request. Without this limit, the
-/// key-value store would get a call for each arrival of the request.
+/// key-value service would get a call for each arrival of the request.
 #[derive(Debug, Default)]
 pub(crate) struct TrialRequests(HashMap<RequestFingerprint, MonotonicTime>);
 
--- a/crates/forwarding/src/quarantine/stopped_entries.rs
+++ b/crates/forwarding/src/quarantine/stopped_entries.rs
@@ -1,4 +1,4 @@
-//! Entries for stopped requests in the key-value store, which keep them stopped if all nodes
+//! Entries for stopped requests in the key-value service, which keep them stopped if all nodes
 //! restart.
 
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 /// Delay before a retry after a failed write.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Applies an entry of the key-value store if it belongs to a stopped request, and returns its
+/// Applies an entry of the key-value service if it belongs to a stopped request, and returns its
 /// crash records. A deleted entry means nothing: it expired, or was lost by the store.
 pub(crate) fn apply_stored(context: &Context, key: &str, value: Option<&str>) -> Vec<CrashRecord> {
     let (Some(text), Some(value)) = (key.strip_prefix(STOPPED_PREFIX), value) else {
@@ -36,7 +36,7 @@
     records
 }
 
-/// Writes stopped requests to the key-value store as they are queued; runs until dropped.
+/// Writes stopped requests to the key-value service as they are queued; runs until dropped.
 pub(crate) async fn persist_stopped_requests(context: Rc<Context>, store: Rc<dyn KeyValue>) {
     let quarantine = &context.quarantine;
     loop {
--- a/crates/forwarding/src/quarantine/trial.rs
+++ b/crates/forwarding/src/quarantine/trial.rs
@@ -15,7 +15,7 @@
 /// Prefix of the keys that grant a trial to one node; the fingerprint follows.
 const TRIAL_PREFIX: &str = "dalestand/quarantine/trial/";
 
-/// Time limit for the key-value store to grant a trial, as the caller is waiting.
+/// Time limit for the key-value service to grant a trial, as the caller is waiting.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Minimum retry delay given to the caller of a stopped request.
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -1,7 +1,7 @@
 //! Admission to pools that are short of capacity: requests wait for a slot or are refused.
 //!
-//! `dalestand_routing::overload::PoolAdmission` decides; this module supplies the load of the pool and carries
-//! out the decisions.
+//! `dalestand_routing::overload::PoolAdmission` decides; this module supplies the load of the pool
+//! and carries out the decisions.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/forwarding/tests/crashing_requests.rs
+++ b/crates/forwarding/tests/crashing_requests.rs
@@ -24,7 +24,7 @@
 /// How often the same request is sent.
 const ARRIVALS: usize = 9;
 
-/// Prefix of the stopped requests in the key-value store.
+/// Prefix of the stopped requests in the key-value service.
 const STOPPED_PREFIX: &str = "dalestand/quarantine/stopped/";
 
 /// Path of the request that crashes engines.
@@ -148,8 +148,8 @@
     assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES);
 }
 
-/// A node learns of stopped requests from the other nodes if the key-value store has no entries for
-/// them.
+/// A node learns of stopped requests from the other nodes if the key-value service has no entries
+/// for them.
 #[actix_rt::test]
 async fn nodes_repeat_what_is_stopped_to_those_that_start_later() {
     let first = TestNode::start().await;
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -9,7 +9,7 @@
 const FINGERPRINT_BYTES: usize = 16;
 
 /// The fleet-wide hashing key. Without it, nobody who sees a fingerprint in a log, a datagram or
-/// the key-value store can test guesses about the request body.
+/// the key-value service can test guesses about the request body.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FingerprintKey([u8; blake3::KEY_LEN]);
 
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -20,7 +20,7 @@
 pub const STOP_AFTER_CRASHES: usize = 3;
 
 /// Interval between trials of a stopped request, each at one node of the fleet. Equals the longest
-/// lease of the key-value store, so the record of a trial's crash is kept until the next trial.
+/// lease of the key-value service, so the record of a trial's crash is kept until the next trial.
 pub const TRIAL_INTERVAL: Duration = Duration::from_secs(600);
 
 /// Delay before the first trial of a stopped request that may be a bystander: by then the crashed
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -8,7 +8,7 @@
 //! * [`UnfinishedRuns`] matches runs without a complete answer with engines that ended.
 //! * [`CrashLedger`] holds the resulting evidence, as a set that nodes merge, and decides which
 //!   requests are stopped.
-//! * [`StoppedRequestEntry`] is the form in which the key-value store keeps a stopped request.
+//! * [`StoppedRequestEntry`] is the form in which the key-value service keeps a stopped request.
 //!
 //! This crate does no I/O and has no clock: callers pass the time in.
 
--- a/crates/quarantine/src/stopped_entry.rs
+++ b/crates/quarantine/src/stopped_entry.rs
@@ -1,5 +1,5 @@
-//! Entries of the key-value store for stopped requests, which keep them stopped across a restart of
-//! all nodes.
+//! Entries of the key-value service for stopped requests, which keep them stopped across a restart
+//! of all nodes.
 
 use std::time::Duration;
 
