--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use dalestand_clock::BootInstant;
-use dalestand_dissemination::LONGEST_CARRIED;
+use dalestand_dissemination::MAX_RELAYED_DECLARATION_BYTES;
 use dalestand_edge::{Listing, WatchEvent};
 use dalestand_routes::RouteTable;
 use dalestand_telemetry::{Event, log_event};
@@ -13,7 +13,7 @@
 use crate::fleet::follow::Follower;
 
 /// Brings a declaration into force, unless a newer one is.
-pub(crate) fn take(context: &Context, text: &str) {
+pub(crate) fn apply(context: &Context, text: &str) {
     let read = context.form.read_configuration(text);
     let table = read.and_then(|file| {
         RouteTable::new(file).map_err(|faults| {
@@ -30,11 +30,11 @@
     };
     let (revision, routes) = (table.revision().0, table.route_count());
     if context.set_table(table) {
-        let text = (text.len() <= LONGEST_CARRIED).then(|| DeclarationText {
+        let text = (text.len() <= MAX_RELAYED_DECLARATION_BYTES).then(|| DeclarationText {
             revision,
             text: Rc::from(text),
         });
-        context.spread.declaration.replace(text);
+        context.dissemination.declaration.replace(text);
         log_event!(context.logger, Event::ConfigurationInForce,
             "revision" => revision, "routes" => routes);
     }
@@ -48,11 +48,11 @@
         self.0.declaration_confirmed(called_at);
     }
 
-    fn listed(&self, listing: Listing, _regained: bool) {
+    fn listed(&self, listing: Listing, _after_outage: bool) {
         let key = self.0.form.configuration_key();
         let entries = listing.entries.iter();
         for entry in entries.filter(|entry| entry.key == key) {
-            take(&self.0, &entry.value);
+            apply(&self.0, &entry.value);
         }
     }
 
@@ -60,7 +60,7 @@
         let key = self.0.form.configuration_key();
         for event in events.iter().filter(|event| event.key == key) {
             if let Some(value) = &event.value {
-                take(&self.0, value);
+                apply(&self.0, value);
             }
         }
     }
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -13,13 +13,13 @@
 use dalestand_types::Revision;
 
 use crate::context::Context;
+use crate::dissemination::notice_queue::NoticeSource;
+use crate::dissemination::recent_changes::ChangeSource;
 use crate::fleet::entry_text;
 use crate::fleet::follow::Follower;
 use crate::fleet::restored_entries::RESTORED_ENTRIES_LAPSE;
-use crate::fleet::signals::take_start;
+use crate::fleet::signals::apply_start;
 use crate::quarantine::engine_end::{EndProof, record_engine_end};
-use crate::spread::notice_queue::NoticeSource;
-use crate::spread::recent_changes::ChangeSource;
 
 /// Relays ask for changes of engines' entries again after up to this time for each relay, at random.
 /// Whichever asks first tells the others within 25 ms, so that the fleet hears of a change after a few
@@ -51,24 +51,24 @@
 const READ_CHANGES_SENT: usize = 256;
 
 /// Takes changed entries in; what is newer than what was known is brought into force.
-pub(crate) fn take(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
+pub(crate) fn merge(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
     let records = match source {
         ChangeSource::Store => records,
-        ChangeSource::Listing | ChangeSource::Relay => {
-            context.spread.without_held(context.now(), records)
-        }
+        ChangeSource::Listing | ChangeSource::Relay => context
+            .dissemination
+            .without_withheld(context.now(), records),
     };
-    let mut entries = context.spread.entries.borrow_mut();
+    let mut entries = context.dissemination.entries.borrow_mut();
     let taken = records
         .into_iter()
-        .filter(|record| entries.take(record.clone()));
+        .filter(|record| entries.insert_if_newer(record.clone()));
     let taken: Vec<EntryRecord> = taken.collect();
     drop(entries);
-    apply(context, taken, source);
+    apply_changes(context, taken, source);
 }
 
 /// Brings changed entries into force at this node, and has them sent to other nodes.
-pub(crate) fn apply(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
+pub(crate) fn apply_changes(context: &Context, records: Vec<EntryRecord>, source: ChangeSource) {
     if records.is_empty() {
         return;
     }
@@ -116,8 +116,12 @@
 /// not: relays read for themselves, and members are sent what differs, at the pace that their links bear.
 fn pass_on(context: &Context, records: &[EntryRecord], source: ChangeSource) {
     let is_first = source == ChangeSource::Listing && records.len() > READ_CHANGES_SENT;
-    if !is_first && context.spread.role(context.now()).is_relay {
-        context.spread.changes.borrow_mut().push(records, source);
+    if !is_first && context.dissemination.role(context.now()).is_relay {
+        context
+            .dissemination
+            .changes
+            .borrow_mut()
+            .push(records, source);
     }
 }
 
@@ -153,14 +157,14 @@
     let (engine, born) = (EngineKey::of(&entry.run), entry.born.unwrap_or_default());
     let known = context.router.borrow().signals.started_at_ms(engine);
     if source == ChangeSource::Store || born > known {
-        take_start(context, engine, born, NoticeSource::Entry);
+        apply_start(context, engine, born, NoticeSource::Entry);
     }
 }
 
 /// Counts an entry that names no engine, and logs it once: another writer may write it again and again.
 fn note_unreadable(context: &Context, key: &str, error: &str) {
     context.metrics.entry_unreadable();
-    let mut logged = context.spread.unreadable_entries.borrow_mut();
+    let mut logged = context.dissemination.unreadable_entries.borrow_mut();
     if logged.len() < MOST_UNREADABLE_LOGGED && logged.insert(key.to_owned()) {
         log_event!(context.logger, Event::EngineUnreadable, "key" => key, "error" => error);
     }
@@ -187,12 +191,14 @@
 }
 
 /// Takes a whole reading of the key-value service in.
-fn take_listing(context: &Context, revision: u64, records: Vec<EntryRecord>) {
-    let records = context.spread.without_held(context.now(), records);
-    let mut entries = context.spread.entries.borrow_mut();
-    let changes = entries.take_listing(revision, records);
+fn apply_listing(context: &Context, revision: u64, records: Vec<EntryRecord>) {
+    let records = context
+        .dissemination
+        .without_withheld(context.now(), records);
+    let mut entries = context.dissemination.entries.borrow_mut();
+    let changes = entries.apply_listing(revision, records);
     drop(entries);
-    apply(context, changes, ChangeSource::Listing);
+    apply_changes(context, changes, ChangeSource::Listing);
 }
 
 /// Takes engines' entries from the key-value service.
@@ -232,14 +238,14 @@
         let records = records.filter(|record| record.value.is_some());
         let records: Vec<EntryRecord> = records.collect();
         self.listed.borrow_mut().extend_from_slice(&records);
-        take(&self.context, records, ChangeSource::Listing);
+        merge(&self.context, records, ChangeSource::Listing);
     }
 
-    fn listed(&self, listing: Listing, regained: bool) {
+    fn listed(&self, listing: Listing, after_outage: bool) {
         let records = std::mem::take(&mut *self.listed.borrow_mut());
         let context = Rc::clone(&self.context);
-        if !regained {
-            take_listing(&context, listing.revision.0, records);
+        if !after_outage {
+            apply_listing(&context, listing.revision.0, records);
             return;
         }
         // Entries lapse while the service is away and are written again when it is back: what is
@@ -247,14 +253,16 @@
         actix_rt::spawn(async move {
             sleep(LAPSED_ENTRIES_RETURN).await;
             let held = {
-                let entries = context.spread.entries.borrow();
-                let held = records.iter().filter(|record| entries.had_gone(record));
+                let entries = context.dissemination.entries.borrow();
+                let held = records
+                    .iter()
+                    .filter(|record| entries.was_removed_in_earlier_era(record));
                 held.cloned().collect::<Vec<_>>()
             };
-            take_listing(&context, listing.revision.0, records);
+            apply_listing(&context, listing.revision.0, records);
             // Those that do not lapse are engines like any other.
             sleep(RESTORED_ENTRIES_LAPSE).await;
-            take(&context, held, ChangeSource::Listing);
+            merge(&context, held, ChangeSource::Listing);
         });
     }
 
@@ -269,9 +277,9 @@
         });
         let records: Vec<EntryRecord> = records.collect();
         if !is_lapse(&context, &records) {
-            take(&context, records, ChangeSource::Store);
-            let mut entries = context.spread.entries.borrow_mut();
-            entries.followed_to(newest.unwrap_or_default());
+            merge(&context, records, ChangeSource::Store);
+            let mut entries = context.dissemination.entries.borrow_mut();
+            entries.advance_complete_to(newest.unwrap_or_default());
             return;
         }
         // A watch that waited through an outage learns at its end which entries lapsed. By their
@@ -279,18 +287,18 @@
         let (present, gone) = records
             .into_iter()
             .partition(|record| record.value.is_some());
-        take(&context, present, ChangeSource::Store);
+        merge(&context, present, ChangeSource::Store);
         let wait = LAPSED_ENTRIES_RETURN.min(context.settings.engine_drain() / 2);
         actix_rt::spawn(async move {
             sleep(wait).await;
-            take(&context, gone, ChangeSource::Store);
-            let mut entries = context.spread.entries.borrow_mut();
-            entries.followed_to(newest.unwrap_or_default());
+            merge(&context, gone, ChangeSource::Store);
+            let mut entries = context.dissemination.entries.borrow_mut();
+            entries.advance_complete_to(newest.unwrap_or_default());
         });
     }
 
     fn gather(&self) -> Duration {
-        let relays = self.context.spread.other_relays().len() as u32 + 1;
+        let relays = self.context.dissemination.other_relays().len() as u32 + 1;
         let longest = (ENGINES_GATHERED_PER_RELAY * relays).min(ENGINES_GATHERED);
         longest.mul_f64(rand::random_range(0.0..1.0))
     }
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -9,12 +9,12 @@
 use dalestand_types::{EngineSignals, LimitSignal, MonotonicTime, RequestRate};
 
 use crate::context::Context;
+use crate::dissemination::notice_queue::{EngineNotice, NoticeSource};
 use crate::quarantine::engine_end::{EndProof, record_engine_end};
-use crate::spread::notice_queue::{EngineNotice, NoticeSource};
 
 /// Takes in what an answer says of its engine. `request_sent_at` is when the request went out that it takes up,
 /// if it takes one up.
-pub(crate) fn take(
+pub(crate) fn apply_answer(
     context: &Context,
     engine: &StagedEngine,
     said: EngineSignals,
@@ -23,7 +23,7 @@
     take_limit(context, engine, said.limit, request_sent_at);
     if said.drains {
         let born = context.router.borrow().signals.started_at_ms(engine.key);
-        take_drain(context, engine.key, born, NoticeSource::OwnAnswer);
+        apply_drain(context, engine.key, born, NoticeSource::OwnAnswer);
     }
     if let Some(backoff) = said.backoff {
         let now = context.now();
@@ -65,7 +65,7 @@
 }
 
 /// Takes in an engine's limit that another node heard, unless it was another start of it that named it.
-pub(crate) fn take_told_limit(context: &Context, limit: &EngineLimit, source: NoticeSource) {
+pub(crate) fn apply_reported_limit(context: &Context, limit: &EngineLimit, source: NoticeSource) {
     let engine = EngineKey(limit.start.engine);
     let Some(run) = name(context, engine) else {
         return;
@@ -114,7 +114,7 @@
     };
     log_event!(context.logger, Event::EngineLimit, "engine" => run,
         "limit" => text(change.current), "former" => text(change.previous), "source" => ?source);
-    let notices = &context.spread.notices;
+    let notices = &context.dissemination.notices;
     notices.push(EngineNotice::Limit(engine), source);
 }
 
@@ -125,7 +125,7 @@
 
 /// Takes an engine out that has said to this node or to another that it drains, unless it was another start
 /// of it that did.
-pub(crate) fn take_drain(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
+pub(crate) fn apply_drain(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
     let known_born = context.router.borrow().signals.started_at_ms(engine);
     if born != known_born && born != 0 && known_born != 0 {
         return;
@@ -141,14 +141,14 @@
         born,
     };
     context
-        .spread
+        .dissemination
         .notices
         .push(EngineNotice::Drains(start), source);
 }
 
 /// Notes when an engine started. Where it had started before, nothing holds that was known of it. Of what
 /// other nodes tell only a later start counts: messages of the former one may be on their way.
-pub(crate) fn take_start(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
+pub(crate) fn apply_start(context: &Context, engine: EngineKey, born: u64, source: NoticeSource) {
     let known = context.router.borrow().signals.started_at_ms(engine);
     let is_told = source != NoticeSource::Entry;
     if born == known || born == 0 || (is_told && born < known) {
@@ -175,7 +175,7 @@
         born,
     };
     context
-        .spread
+        .dissemination
         .notices
         .push(EngineNotice::Started(start), source);
 }
--- a/crates/forwarding/src/permits/grants.rs
+++ b/crates/forwarding/src/permits/grants.rs
@@ -10,10 +10,10 @@
 use tokio::net::UdpSocket;
 
 use crate::context::Context;
-use crate::fleet::signals::take_told_limit;
+use crate::dissemination::notice_queue::NoticeSource;
+use crate::dissemination::transmit::send;
+use crate::fleet::signals::apply_reported_limit;
 use crate::permits::issuer::{IssuerLocation, issuer_of};
-use crate::spread::notice_queue::NoticeSource;
-use crate::spread::transmit::send;
 
 /// Retry delay for a node that mistook this one for the issuer; nodes agree on the issuer within a
 /// second.
@@ -28,7 +28,7 @@
 ) {
     let engine = EngineKey(request.limit.start.engine);
     // The requesting node may have learnt of the limit, or of a new value, before this one.
-    take_told_limit(context, &request.limit, NoticeSource::Member);
+    apply_reported_limit(context, &request.limit, NoticeSource::Member);
     let is_issuer = issuer_of(context, engine) == IssuerLocation::Local;
     let rate = known_rate(context, engine).or(request.limit.rate);
     let grant = match (rate, request.need) {
--- a/crates/forwarding/src/permits/requester.rs
+++ b/crates/forwarding/src/permits/requester.rs
@@ -9,11 +9,11 @@
 use tokio::sync::oneshot;
 
 use crate::context::Context;
+use crate::dissemination::transmit::send;
 use crate::fleet::signals::known_limit;
 use crate::permits::grants;
 use crate::permits::issuer::{IssuerLocation, issuer_of};
 use crate::permits::state::PendingRequest;
-use crate::spread::transmit::send;
 
 /// How long a request waits for a permit: a node with a CPU quota answers within 100 ms, and the
 /// round trip between regions takes some tens of milliseconds.
@@ -160,7 +160,7 @@
     let number = state.last_request_number.get() + 1;
     state.last_request_number.set(number);
     let request = PermitRequest {
-        node: context.spread.node,
+        node: context.dissemination.node,
         number,
         need,
         limit: known_limit(context, engine),
--- a/crates/forwarding/src/quarantine/state.rs
+++ b/crates/forwarding/src/quarantine/state.rs
@@ -13,7 +13,7 @@
 use dalestand_types::MonotonicTime;
 use tokio::sync::Notify;
 
-use crate::spread::repeated_news::{RepeatTerms, RepeatedNews};
+use crate::dissemination::retransmit_queue::{RetransmitPolicy, RetransmitQueue};
 
 /// Lease of a trial, held by one node. Longer than callers wait for an answer, and than other nodes
 /// need to learn of a crash.
@@ -27,10 +27,10 @@
 /// Transmission of crash records to other nodes: at most 1 KB in a message. The queue holds the
 /// records of 64 engines with 16 slots that crash at once; a dropped record is one of many for its
 /// crash.
-const CRASH_RECORD_TERMS: RepeatTerms = RepeatTerms {
-    repeats: 3,
-    per_message: 32,
-    waiting: 1_024,
+const CRASH_RECORD_POLICY: RetransmitPolicy = RetransmitPolicy {
+    transmissions: 3,
+    max_per_message: 32,
+    max_queued: 1_024,
 };
 
 /// Quarantine state of one node.
@@ -40,7 +40,7 @@
     pub(super) unfinished: RefCell<UnfinishedRuns>,
     pub(super) ledger: RefCell<CrashLedger>,
     /// Crash records of this node that are still to be sent to other nodes.
-    pub(crate) outgoing_records: RefCell<RepeatedNews<CrashRecord>>,
+    pub(crate) outgoing_records: RefCell<RetransmitQueue<CrashRecord>>,
     /// Requests of which this node saw a crash. It stores them in the key-value service once they
     /// are stopped.
     pub(super) observed_here: RefCell<HashSet<RequestFingerprint>>,
@@ -62,7 +62,7 @@
             key: OnceCell::new(),
             unfinished: RefCell::new(UnfinishedRuns::new(MATCH_WINDOW)),
             ledger: RefCell::default(),
-            outgoing_records: RefCell::new(RepeatedNews::new(CRASH_RECORD_TERMS)),
+            outgoing_records: RefCell::new(RetransmitQueue::new(CRASH_RECORD_POLICY)),
             observed_here: RefCell::default(),
             pending_writes: RefCell::default(),
             write_queued: Notify::new(),
--- a/crates/forwarding/src/serve/accept.rs
+++ b/crates/forwarding/src/serve/accept.rs
@@ -46,7 +46,7 @@
     let class = class_key(&route, &caller, &pools);
     let now = context.now();
     if let Some(pool) = pools.first() {
-        context.budget.borrow_mut().request(now, pool);
+        context.budget.borrow_mut().record_request(now, pool);
     }
     context
         .classes
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -152,7 +152,7 @@
     };
     let is_accepted = content != CallContent::Internal && !reply.facts.refused;
     let request_sent_at = is_accepted.then_some(sent_at);
-    signals::take(context, engine, reply.signals(), request_sent_at);
+    signals::apply_answer(context, engine, reply.signals(), request_sent_at);
     if reply.is_matching && !reply.facts.refused {
         probe.accepted();
     }
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -12,6 +12,7 @@
 use dalestand_types::PoolName;
 
 use crate::context::Context;
+use crate::dissemination::own_figures::on_shortage;
 use crate::quarantine::evidence::is_stopped;
 use crate::quarantine::trial::{acquire_trial, retry_after};
 use crate::serve::accept::accept;
@@ -30,7 +31,6 @@
 use crate::serve::retries::{
     CALLS_BEFORE_PAUSE, may_retry, pause_before_retry, should_wait_for_slot,
 };
-use crate::spread::own_figures::room_is_short;
 
 /// Number of refusals after which the prefilled KV cache is assumed to be gone. An engine refuses
 /// alike when it is full and when it cannot fetch the cache, but two engines chosen as least busy
@@ -119,7 +119,7 @@
             shares.count_started(now, tenant, progress.unread_tokens);
         }
         (Some(((pool, _), _)), Some(Failure::OverShare(_))) => context.metrics.over_share(pool),
-        (Some(_), Some(failure)) if failure.retry_after().is_some() => room_is_short(context, now),
+        (Some(_), Some(failure)) if failure.retry_after().is_some() => on_shortage(context, now),
         (Some(_) | None, _) => {}
     }
 }
--- a/crates/forwarding/src/serve/response_timeout.rs
+++ b/crates/forwarding/src/serve/response_timeout.rs
@@ -34,7 +34,7 @@
         return left;
     }
     let now = context.now();
-    if context.budget.borrow_mut().left(now, pool) < RESERVED_RETRIES
+    if context.budget.borrow_mut().available(now, pool) < RESERVED_RETRIES
         || !has_other_engine(context, progress, pool, &choice.engine)
     {
         return left;
--- a/crates/forwarding/src/serve/retries.rs
+++ b/crates/forwarding/src/serve/retries.rs
@@ -30,13 +30,13 @@
         return false;
     }
     let share = current_share(context, progress);
-    share.is_none_or(|share| share.part() >= 1.0) && may_retry(context, progress)
+    share.is_none_or(|share| share.fraction_within() >= 1.0) && may_retry(context, progress)
 }
 
 /// Whether the tenant asks for more than its share. Retries are then left to other tenants, unless
 /// an engine may have prefilled the prompt.
 fn is_over_share(context: &Context, progress: &Progress) -> bool {
-    current_share(context, progress).is_some_and(|share| share.part() < 1.0)
+    current_share(context, progress).is_some_and(|share| share.fraction_within() < 1.0)
 }
 
 /// The share of the request's tenant, while shares are enforced.
@@ -67,5 +67,5 @@
         return true;
     };
     let now = context.now();
-    context.budget.borrow_mut().left(now, pool) >= 1.0
+    context.budget.borrow_mut().available(now, pool) >= 1.0
 }
--- a/crates/forwarding/src/serve/work_guard.rs
+++ b/crates/forwarding/src/serve/work_guard.rs
@@ -86,7 +86,7 @@
             // request.
             if changed {
                 let mut placements = self.context.placements.borrow_mut();
-                placements.push(self.engine, PlacementState::Read, &self.parts);
+                placements.push(self.engine, PlacementState::Prefilled, &self.parts);
             }
         }
         self.remove_unread_tokens();
@@ -121,7 +121,7 @@
             drop(router);
             if changed {
                 let mut placements = self.context.placements.borrow_mut();
-                placements.push(self.engine, PlacementState::NotRead, &self.parts);
+                placements.push(self.engine, PlacementState::NotPrefilled, &self.parts);
             }
         }
         self.remove_unread_tokens();
