--- a/crates/forwarding/tests/engine_restarts.rs
+++ b/crates/forwarding/tests/engine_restarts.rs
@@ -1,4 +1,4 @@
-//! Engines that start again under the name that they had, and entries that name no engine.
+//! Engines that restart under the same name, and unreadable engine entries.
 
 #[allow(
     dead_code,
@@ -14,8 +14,8 @@
 use rstest::rstest;
 use support::{TestEngine, TestNode, answer, id_of};
 
-/// Path of the request that ends engines.
-const DEADLY: &str = "/r/deadly";
+/// Path of the request that crashes engines.
+const CRASHING_PATH: &str = "/r/crashing";
 
 fn succeeding(head: &str, stream: &mut TcpStream) {
     let id = id_of(head);
@@ -33,9 +33,9 @@
     answer(stream, "503 Service Unavailable", &headers, "");
 }
 
-/// Begins the answer to the deadly request and never ends it.
-fn dying(head: &str, stream: &mut TcpStream) {
-    if !head.contains(DEADLY) {
+/// Starts to answer the crashing request and never finishes.
+fn never_finishing(head: &str, stream: &mut TcpStream) {
+    if !head.contains(CRASHING_PATH) {
         return succeeding(head, stream);
     }
     let id = id_of(head);
@@ -48,20 +48,20 @@
 }
 
 #[rstest]
-#[case::drains(draining)]
-#[case::wants_no_calls(backing_off)]
+#[case::draining(draining)]
+#[case::backing_off(backing_off)]
 #[actix_rt::test]
-async fn nothing_that_a_former_start_said_holds(#[case] script: support::Script) {
+async fn announcements_of_a_previous_start_are_void(#[case] script: support::Script) {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
-    let former = TestEngine::start(script);
-    node.list("e", &former, "ready born 1000");
+    let previous = TestEngine::start(script);
+    node.list("e", &previous, "ready born 1000");
     node.settle().await;
     node.request("1", "/r/x").await;
-    node.list("e", &former, "ready born 1000");
+    node.list("e", &previous, "ready born 1000");
     node.settle().await;
     assert_eq!(status(&node.request("2", "/r/x").await), "503");
-    assert_eq!(former.heads().len(), 1);
+    assert_eq!(previous.heads().len(), 1);
     let later = TestEngine::start(succeeding);
     node.list("e", &later, "ready born 2000");
     node.settle().await;
@@ -69,55 +69,59 @@
 }
 
 #[actix_rt::test]
-async fn connections_to_a_former_start_are_not_used() {
+async fn connections_to_a_previous_start_are_not_reused() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     let engine = TestEngine::start(succeeding);
     node.list("e", &engine, "ready born 1000");
     node.settle().await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
-    // Another process listens at the same address; the former one's connections hang open.
+    // A new process listens at the same address; connections to the previous one stay open.
     node.list("e", &engine, "ready born 2000");
     node.settle().await;
     assert_eq!(status(&node.request("2", "/r/x").await), "200");
-    assert_eq!(engine.accepted(), 2, "a connection for each start");
+    assert_eq!(engine.accepted(), 2, "one connection per start");
 }
 
 #[actix_rt::test]
-async fn each_start_that_a_request_ends_counts() {
+async fn crashes_of_each_start_are_counted() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     let mut ended = 0;
     for start in 1..=6 {
-        let engine = TestEngine::start(dying);
+        let engine = TestEngine::start(never_finishing);
         node.list("e", &engine, &format!("ready born {start}000"));
         node.settle().await;
-        let id = format!("deadly-{start}");
-        let deadly = node.request(&id, DEADLY);
+        let id = format!("crashing-{start}");
+        let request = node.request(&id, CRASHING_PATH);
         let ends = async {
             for _ in 0..40 {
                 actix_rt::time::sleep(Duration::from_millis(5)).await;
-                if engine.heads().iter().any(|head| head.contains(DEADLY)) {
+                if engine
+                    .heads()
+                    .iter()
+                    .any(|head| head.contains(CRASHING_PATH))
+                {
                     engine.crash();
                     return 1;
                 }
             }
             0
         };
-        let (_, crashed) = tokio::join!(deadly, ends);
+        let (_, crashed) = tokio::join!(request, ends);
         ended += crashed;
         node.settle().await;
     }
-    assert_eq!(ended, 3, "starts under one name are told apart");
+    assert_eq!(ended, 3, "starts of one engine are distinguished");
 }
 
 #[rstest]
-#[case::no_bytes("")]
+#[case::empty("")]
 #[case::no_state("127.0.0.1:1")]
-#[case::no_address("somewhere ready")]
-#[case::no_time("127.0.0.1:1 ready born soon")]
+#[case::invalid_address("somewhere ready")]
+#[case::invalid_time("127.0.0.1:1 ready born soon")]
 #[actix_rt::test]
-async fn an_entry_that_names_no_engine_changes_nothing_for_the_others(#[case] entry: &str) {
+async fn an_unreadable_entry_does_not_affect_other_engines(#[case] entry: &str) {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 2, 1_000);
     let engine = TestEngine::start(succeeding);
--- a/crates/forwarding/tests/fleet.rs
+++ b/crates/forwarding/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines that take new work, changed one by one.
+//! Incremental updates of the fleet of engines.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 }
 
 proptest! {
-    /// A fleet that takes changes one by one is the one that is built of what stands in the end.
+    /// Applying changes one by one gives the same fleet as building it from the final entries.
     #[test]
     fn changes_one_by_one_make_the_same_fleet(
         changes in proptest::collection::vec(
@@ -35,36 +35,36 @@
         ),
     ) {
         let mut fleet = Fleet::default();
-        let mut standing: BTreeMap<u16, EngineEntry> = BTreeMap::new();
+        let mut expected: BTreeMap<u16, EngineEntry> = BTreeMap::new();
         for (number, pool, accepting, prefill, is_gone) in changes {
-            // The pool of a run never changes.
-            let pool = standing.get(&number).map_or(pool, |entry| {
+            // A run never changes its pool.
+            let pool = expected.get(&number).map_or(pool, |entry| {
                 u8::from(entry.pool.as_str().ends_with('1'))
             });
             let entry = entry(number, pool, accepting, prefill);
             if is_gone {
                 fleet.remove(&entry);
-                standing.remove(&number);
+                expected.remove(&number);
             } else {
                 fleet.set(&entry, None, |_| false);
-                standing.insert(number, entry);
+                expected.insert(number, entry);
             }
         }
-        let built = Fleet::new(standing.values(), None, |_| false);
+        let built = Fleet::new(expected.values(), None, |_| false);
         prop_assert_eq!(fleet.len(), built.len());
         prop_assert_eq!(fleet.is_empty(), built.is_empty());
         for pool in ["pool-0", "pool-1"].map(PoolName::from) {
             prop_assert_eq!(fleet.pool(&pool), built.pool(&pool));
         }
-        for number in standing.keys() {
+        for number in expected.keys() {
             let key = EngineKey::of(&format!("i-{number}"));
             prop_assert_eq!(fleet.engine(key), built.engine(key));
         }
     }
 }
 
-/// Two of so many names have the same short number, with a chance of one in a thousand million against.
-const NAMES: u64 = 600_000;
+/// Enough names that two of them almost certainly share a 32-bit code.
+const MAX_NAMES: u64 = 600_000;
 
 fn named(run: &str) -> EngineEntry {
     EngineEntry {
@@ -74,11 +74,11 @@
     }
 }
 
-/// Two engines whose short numbers are the same are both known by it, and one that goes leaves the other.
+/// Engines that share a code are both found by it, and removing one keeps the other.
 #[test]
 fn two_engines_with_one_code_are_both_served() {
     let mut names: HashMap<EngineCode, String> = HashMap::new();
-    let pair = (0..NAMES).find_map(|number: u64| {
+    let pair = (0..MAX_NAMES).find_map(|number: u64| {
         let run = format!("i-{:016x}", rendezvous_weight(number, 7));
         let code = EngineCode::of(EngineKey::of(&run));
         names
--- a/crates/forwarding/tests/store_era.rs
+++ b/crates/forwarding/tests/store_era.rs
@@ -1,5 +1,5 @@
-//! A key-value service that is restored from a copy some seconds old: what was written since is gone, leases
-//! too, and revisions go back.
+//! Restore of the key-value service from a backup: later writes and all leases are lost, and revisions
+//! go back.
 
 #[allow(
     dead_code,
@@ -14,20 +14,20 @@
 use rstest::rstest;
 use support::{TestEngine, TestNode, answer, id_of};
 
-/// Where nodes keep their own entries.
-const NODES: &str = "dalestand/nodes/";
+/// Prefix of node entries.
+const NODE_PREFIX: &str = "dalestand/nodes/";
 
-/// Where the fleet's key of fingerprints stands.
+/// Key of the fleet's fingerprint key.
 const FLEET_KEY: &str = "dalestand/quarantine/key";
 
-/// Engines that have come and gone since the copy was made.
+/// Engines that register and leave after the backup.
 const CHANGES: usize = 40;
 
-/// Time within which a node reads a restored service: its watches end.
-const READ_AGAIN: Duration = Duration::from_millis(300);
+/// Time for a node's watches to end and list a restored service.
+const LISTING_TIME: Duration = Duration::from_millis(300);
 
-/// Time in which an entry that is missing from a copy may be written again.
-const LAPSED_ENTRIES_RETURN: Duration = Duration::from_millis(2_300);
+/// Longer than the grace period for entries that are missing after a restore.
+const LAPSED_ENTRY_GRACE: Duration = Duration::from_millis(2_300);
 
 fn succeeding(head: &str, stream: &mut TcpStream) {
     let id = id_of(head);
@@ -38,8 +38,8 @@
     answer.split(' ').nth(1).unwrap_or_default()
 }
 
-/// A node before one engine, on a service that names eras from `era` on.
-async fn node_in(era: u64) -> (TestNode, TestEngine) {
+/// A node with one engine, on a service whose era is `era`.
+async fn start_in_era(era: u64) -> (TestNode, TestEngine) {
     let node = TestNode::start_in_era(era).await;
     node.declare(1, "repeatable", 2, 1_000);
     let engine = TestEngine::start(succeeding);
@@ -49,8 +49,8 @@
     (node, engine)
 }
 
-/// Changes that the copy lacks.
-async fn change_much(node: &TestNode, engine: &TestEngine) {
+/// Makes changes that the backup lacks.
+async fn make_changes(node: &TestNode, engine: &TestEngine) {
     for number in 0..CHANGES {
         let name = format!("passing-{number}");
         node.list(&name, engine, "ready");
@@ -61,27 +61,27 @@
 }
 
 #[rstest]
-#[case::that_named_none_before(0)]
-#[case::that_was_restored_before(3)]
+#[case::of_a_service_without_eras(0)]
+#[case::of_a_service_restored_before(3)]
 #[actix_rt::test]
-async fn what_is_written_after_the_restoration_counts(#[case] era: u64) {
-    let (node, engine) = node_in(era).await;
-    let copy = node.store.copy();
-    change_much(&node, &engine).await;
-    node.store.restore(&copy);
-    actix_rt::time::sleep(READ_AGAIN).await;
-    // Revisions are lower than those of the former era.
+async fn writes_after_a_restore_are_applied(#[case] era: u64) {
+    let (node, engine) = start_in_era(era).await;
+    let backup = node.store.backup();
+    make_changes(&node, &engine).await;
+    node.store.restore(&backup);
+    actix_rt::time::sleep(LISTING_TIME).await;
+    // Revision numbers are lower than before the restore.
     let later = TestEngine::start(succeeding);
     node.list("later", &later, "ready");
     node.list("first", &engine, "draining");
     node.settle().await;
-    for place in 0..6 {
+    for index in 0..6 {
         assert_eq!(
-            status(&node.request(&place.to_string(), "/r/x").await),
+            status(&node.request(&index.to_string(), "/r/x").await),
             "200"
         );
     }
-    assert_eq!(later.heads().len(), 6, "the other one leaves");
+    assert_eq!(later.heads().len(), 6, "the draining engine gets none");
     node.declare(2, "once", 1, 1_000);
     node.settle().await;
     let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
@@ -92,13 +92,13 @@
 }
 
 #[actix_rt::test]
-async fn an_older_declaration_of_the_copy_does_not_come_back() {
-    let (node, _engine) = node_in(1).await;
-    let copy = node.store.copy();
+async fn an_older_declaration_of_the_backup_is_not_applied() {
+    let (node, _engine) = start_in_era(1).await;
+    let backup = node.store.backup();
     node.declare(5, "repeatable", 2, 1_000);
     node.settle().await;
-    node.store.restore(&copy);
-    actix_rt::time::sleep(READ_AGAIN).await;
+    node.store.restore(&backup);
+    actix_rt::time::sleep(LISTING_TIME).await;
     let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
     assert!(
         figures.contains("dalestand_declaration_revision 5"),
@@ -107,42 +107,42 @@
 }
 
 #[rstest]
-#[case::drains("draining")]
-#[case::went("")]
+#[case::draining("draining")]
+#[case::removed("")]
 #[actix_rt::test]
-async fn an_engine_that_left_since_the_copy_gets_nothing(#[case] state: &str) {
-    let (node, first) = node_in(1).await;
+async fn an_engine_that_left_since_the_backup_gets_no_requests(#[case] state: &str) {
+    let (node, first) = start_in_era(1).await;
     let leaving = TestEngine::start(succeeding);
     node.list("leaving", &leaving, "ready");
     node.settle().await;
-    let copy = node.store.copy();
+    let backup = node.store.backup();
     if state.is_empty() {
         node.store.write("engines/leaving", None);
     } else {
         node.list("leaving", &leaving, state);
     }
-    change_much(&node, &first).await;
+    make_changes(&node, &first).await;
     let before = leaving.heads().len();
-    node.store.restore(&copy);
-    actix_rt::time::sleep(READ_AGAIN).await;
-    for place in 0..20 {
-        node.request(&place.to_string(), "/r/x").await;
+    node.store.restore(&backup);
+    actix_rt::time::sleep(LISTING_TIME).await;
+    for index in 0..20 {
+        node.request(&index.to_string(), "/r/x").await;
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
     assert_eq!(leaving.heads().len(), before);
 }
 
 #[actix_rt::test]
-async fn an_engine_that_went_and_writes_its_entry_anew_is_used() {
-    let (node, first) = node_in(1).await;
+async fn a_removed_engine_that_registers_again_gets_requests() {
+    let (node, first) = start_in_era(1).await;
     let returning = TestEngine::start(succeeding);
     node.list("returning", &returning, "ready");
     node.settle().await;
-    let copy = node.store.copy();
+    let backup = node.store.backup();
     node.store.write("engines/returning", None);
-    change_much(&node, &first).await;
-    node.store.restore(&copy);
-    actix_rt::time::sleep(READ_AGAIN).await;
+    make_changes(&node, &first).await;
+    node.store.restore(&backup);
+    actix_rt::time::sleep(LISTING_TIME).await;
     node.list("returning", &returning, "ready");
     node.store.write("engines/first", None);
     node.settle().await;
@@ -150,17 +150,17 @@
 }
 
 #[actix_rt::test]
-async fn engines_that_the_copy_lacks_have_time_to_write_their_entries() {
-    let (node, first) = node_in(1).await;
-    let copy = node.store.copy();
+async fn engines_missing_from_the_backup_have_time_to_register_again() {
+    let (node, first) = start_in_era(1).await;
+    let backup = node.store.backup();
     let young = TestEngine::start(succeeding);
     node.list("young", &young, "ready");
-    change_much(&node, &first).await;
-    node.store.restore(&copy);
+    make_changes(&node, &first).await;
+    node.store.restore(&backup);
     node.list("first", &first, "draining");
-    actix_rt::time::sleep(READ_AGAIN).await;
+    actix_rt::time::sleep(LISTING_TIME).await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
-    actix_rt::time::sleep(LAPSED_ENTRIES_RETURN).await;
+    actix_rt::time::sleep(LAPSED_ENTRY_GRACE).await;
     assert_eq!(
         status(&node.request("2", "/r/x").await),
         "503",
@@ -169,26 +169,26 @@
 }
 
 #[actix_rt::test]
-async fn nodes_write_again_what_the_copy_lacks() {
+async fn nodes_rewrite_what_the_backup_lacks() {
     let node = TestNode::start_in_era(1).await;
-    let empty = node.store.copy();
+    let empty_backup = node.store.backup();
     node.declare(1, "repeatable", 2, 1_000);
-    // The key of fingerprints and the node's entry are written.
+    // Wait until the fingerprint key and the node's entry are written.
     actix_rt::time::sleep(Duration::from_millis(700)).await;
     let key = node.store.entries(FLEET_KEY);
     assert_eq!(key.len(), 1);
-    assert_eq!(node.store.entries(NODES).len(), 1);
-    node.store.restore(&empty);
+    assert_eq!(node.store.entries(NODE_PREFIX).len(), 1);
+    node.store.restore(&empty_backup);
     node.declare(1, "repeatable", 2, 1_000);
     actix_rt::time::sleep(Duration::from_millis(1_500)).await;
     assert_eq!(node.store.entries(FLEET_KEY), key, "the same key");
-    assert_eq!(node.store.entries(NODES).len(), 1, "registered again");
+    assert_eq!(node.store.entries(NODE_PREFIX).len(), 1, "registered again");
     assert_eq!(node.store.entries("dalestand-era")[0].1, "1");
 }
 
 #[actix_rt::test]
-async fn the_tokens_of_holders_rise_over_eras() {
-    let (node, _engine) = node_in(1).await;
+async fn fencing_tokens_rise_over_eras() {
+    let (node, _engine) = start_in_era(1).await;
     let token = || async {
         let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
         let line = figures.lines().find_map(|line| {
@@ -197,14 +197,14 @@
         });
         line.unwrap_or_default()
     };
-    let copy = node.store.copy();
-    change_much(&node, &_engine).await;
+    let backup = node.store.backup();
+    make_changes(&node, &_engine).await;
     actix_rt::time::sleep(Duration::from_millis(1_200)).await;
     let before = token().await;
-    assert!(before > 0.0, "the authority is taken");
-    node.store.restore(&copy);
-    actix_rt::time::sleep(READ_AGAIN).await;
-    assert_eq!(token().await, 0.0, "its lease is gone");
+    assert!(before > 0.0, "the node holds the lease");
+    node.store.restore(&backup);
+    actix_rt::time::sleep(LISTING_TIME).await;
+    assert_eq!(token().await, 0.0, "the lease is lost");
     let mut after = 0.0;
     for _ in 0..60 {
         actix_rt::time::sleep(Duration::from_millis(100)).await;
--- a/crates/forwarding/tests/support/dialect.rs
+++ b/crates/forwarding/tests/support/dialect.rs
@@ -1,4 +1,4 @@
-//! Words of a platform that exists only here.
+//! The dialect and entry format of a fictitious platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 const TENANT: HeaderName = HeaderName::from_static("x-tenant");
 const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
 
-/// Headers of requests and answers.
+/// Uses plain headers for all properties of requests and answers.
 pub struct PlainDialect;
 
 impl Dialect for PlainDialect {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Entries of engines are `ADDRESS STATE` or `ADDRESS STATE ROLE`, with ` born TIME` after either;
+/// Engine entries are `ADDRESS STATE` or `ADDRESS STATE ROLE`, with an optional suffix ` born TIME`;
 /// declarations are TOML.
 pub struct PlainForm;
 
--- a/crates/forwarding/tests/support/engine.rs
+++ b/crates/forwarding/tests/support/engine.rs
@@ -1,4 +1,4 @@
-//! Engines that answer by a script.
+//! Scripted engines.
 
 use std::io::{ErrorKind, Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,21 +6,21 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time for a connection within this machine.
+/// Timeout for a connection within this machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// What an engine does with one request: the head it read and the connection.
+/// Handles one request, given its head and the connection.
 pub type Script = fn(&str, &mut TcpStream);
 
-/// An engine that answers each request by `script`, on a thread of its own.
+/// An engine that answers each request by `script`, on its own thread.
 pub struct TestEngine {
-    /// Where it listens.
+    /// Its listen address.
     pub address: SocketAddr,
     heads: Arc<Mutex<Vec<String>>>,
     connections: Connections,
 }
 
-/// The open connections of an engine; `None` once its process has ended.
+/// The open connections of an engine; `None` after a crash.
 type Connections = Arc<Mutex<Option<Vec<TcpStream>>>>;
 
 impl TestEngine {
@@ -49,19 +49,18 @@
         }
     }
 
-    /// Ends the engine as a crash does: its connections end and nothing listens any more.
+    /// Simulates a crash: closes the connections and the listener.
     pub fn crash(&self) {
         let connections = self.connections.lock().expect("no panic").take();
-        // The thread that waits for connections finds out with the next one.
+        // The accepting thread exits on the next connection.
         while !self.refuses() {}
         for connection in connections.into_iter().flatten() {
             let _ = connection.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// Whether nothing listens any more. A connection that is asked for just while the listener closes
-    /// is asked for again by the kernel after a second; the node under test, which runs on the same
-    /// thread, must not stand still for so long.
+    /// Whether the listener is closed. Uses a short timeout: if the listener closes during the connection
+    /// attempt, the kernel retries after a second, which would block the node on this thread.
     fn refuses(&self) -> bool {
         match TcpStream::connect_timeout(&self.address, CONNECT_TIMEOUT) {
             Err(error) => error.kind() == ErrorKind::ConnectionRefused,
@@ -69,18 +68,18 @@
         }
     }
 
-    /// Whether the engine has crashed.
+    /// Whether [`Self::crash`] was called.
     pub fn has_crashed(&self) -> bool {
         self.connections.lock().expect("no panic").is_none()
     }
 
-    /// Connections that it accepted.
+    /// Number of accepted connections.
     pub fn accepted(&self) -> usize {
         let connections = self.connections.lock().expect("no panic");
         connections.as_ref().map_or(0, Vec::len)
     }
 
-    /// Heads of the requests it was sent.
+    /// Heads of the received requests.
     pub fn heads(&self) -> Vec<String> {
         self.heads.lock().expect("no panic").clone()
     }
@@ -105,21 +104,21 @@
     String::from_utf8(read).ok()
 }
 
-/// The id a request's head names.
+/// The request id in a request's head.
 pub fn id_of(head: &str) -> String {
     let line = head.lines().find_map(|line| line.strip_prefix("x-id: "));
     line.unwrap_or_default().to_owned()
 }
 
-/// Writes an answer with a length.
+/// Writes an answer with `content-length`.
 pub fn answer(stream: &mut TcpStream, status: &str, headers: &str, body: &str) {
     let length = body.len();
     let text = format!("HTTP/1.1 {status}\r\n{headers}content-length: {length}\r\n\r\n{body}");
-    // The node may have gone away.
+    // The node may have closed the connection.
     let _ = stream.write_all(text.as_bytes());
 }
 
-/// Answers as an engine that has run the request.
+/// Answers successfully.
 pub fn succeeding(head: &str, stream: &mut TcpStream) {
     answer(
         stream,
@@ -129,7 +128,7 @@
     );
 }
 
-/// Refuses, as an engine without room.
+/// Refuses the request for lack of capacity.
 pub fn refusing(head: &str, stream: &mut TcpStream) {
     let headers = format!("x-id: {}\r\nx-refused: 1\r\n", id_of(head));
     answer(stream, "503 Service Unavailable", &headers, "");
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A node in this process, before a store in memory and engines that answer by scripts.
+//! A node in the test process, with an in-memory key-value service and scripted engines.
 
 mod dialect;
 mod engine;
--- a/crates/forwarding/tests/support/node.rs
+++ b/crates/forwarding/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A node in the test's own process.
+//! A node in the test process.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::rc::Rc;
@@ -16,43 +16,43 @@
 use super::engine::TestEngine;
 use super::store::MemoryStore;
 
-/// What the routes of most tests aim at.
+/// Latency objective of the routes of most tests.
 const OBJECTIVE_MS: u64 = 100;
 
-/// By when a node has heard of entries at the latest, on however busy a machine.
+/// Timeout for a node to learn of entries, even on a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts that are tried: each takes new ports.
+/// Attempts to start a node, each with new ports.
 const START_ATTEMPTS: u32 = 5;
 
-/// A node with its store.
+/// A node with its key-value service.
 pub struct TestNode {
-    /// Where callers connect.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Where its readiness is.
+    /// Address of the readiness endpoint.
     pub ready: SocketAddr,
-    /// Where its figures are.
+    /// Address of the metrics endpoint.
     pub metrics: SocketAddr,
-    /// Its store.
+    /// The key-value service.
     pub store: Rc<MemoryStore>,
     running: JoinHandle<()>,
 }
 
-/// Ports that nodes are given: below those that the kernel gives to connections and to listeners that
-/// ask for any, which would take a port between its choice and the node's start.
+/// Ports for nodes, below the kernel's ephemeral range, whose ports other sockets could take before the
+/// node starts.
 const NODE_PORTS: std::ops::Range<u16> = 10_000..30_000;
 
-/// Ports taken by this program.
+/// Number of ports taken by this process.
 static PORTS_USED: AtomicU32 = AtomicU32::new(0);
 
-/// A loopback address of this program alone: with one for all, the node of another test program that listens
-/// where this one's is to start would be taken for it.
+/// A loopback address that is unique to this process, so that nodes of concurrent test processes are not
+/// mistaken for this one's.
 fn own_host() -> Ipv4Addr {
     let [_, second, third, fourth] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, second, third, fourth)
 }
 
-/// An address of this program that nothing listens at.
+/// A free address of this process.
 fn free_address() -> SocketAddr {
     let ports = u32::from(NODE_PORTS.end - NODE_PORTS.start);
     loop {
@@ -66,17 +66,17 @@
 }
 
 impl TestNode {
-    /// Starts a node on an empty store.
+    /// Starts a node on an empty key-value service.
     pub async fn start() -> Self {
         Self::start_with_slack(50).await
     }
 
-    /// Starts a node on an empty store that may repeat `slack` sends, whatever it is asked.
+    /// The same with a retry budget of `slack` repeated sends, however many requests there are.
     pub async fn start_with_slack(slack: u32) -> Self {
         Self::start_with(slack, "").await
     }
 
-    /// Starts a node on an empty store that names its era.
+    /// Starts a node on an empty key-value service in the given era.
     pub async fn start_in_era(era: u64) -> Self {
         for _ in 0..START_ATTEMPTS {
             let store: Rc<MemoryStore> = Rc::default();
@@ -88,12 +88,12 @@
         panic!("no node could be started");
     }
 
-    /// Starts a node on an empty store behind a link of `link_mbps`.
+    /// Starts a node with a link of `link_mbps`.
     pub async fn start_with_link(link_mbps: f64) -> Self {
         Self::start_with(50, &format!("link_mbps = {link_mbps}\n")).await
     }
 
-    /// Starts a node on an empty store under settings with a further table.
+    /// Starts a node whose settings include another TOML table.
     pub async fn start_with_table(table: &str) -> Self {
         Self::start_under(50, "", table).await
     }
@@ -102,8 +102,7 @@
         Self::start_under(slack, extra, "").await
     }
 
-    /// Starts a node; one whose ports were taken meanwhile, by another test or a connection, ends at
-    /// once, and another is started at other ports.
+    /// Starts a node; retries with other ports if its ports were taken in the meantime.
     async fn start_under(slack: u32, extra: &str, table: &str) -> Self {
         for _ in 0..START_ATTEMPTS {
             if let Some(node) = Self::try_start(slack, extra, table).await {
@@ -113,12 +112,12 @@
         panic!("no node could be started");
     }
 
-    /// Starts another node on the store of this one.
+    /// Starts another node on the same key-value service.
     pub async fn start_beside(&self, name: &str) -> Self {
         self.start_beside_with_slack(name, 50).await
     }
 
-    /// The same, under settings by which all nodes together may repeat `slack` sends.
+    /// The same with a retry budget of `slack` repeated sends for all nodes together.
     pub async fn start_beside_with_slack(&self, name: &str, slack: u32) -> Self {
         for _ in 0..START_ATTEMPTS {
             let store = Rc::clone(&self.store);
@@ -162,7 +161,7 @@
             duty_calls: None,
             logger: discard_logger(),
         };
-        // Its tasks are in a set of their own, so that they end with it.
+        // A separate task set ends with the node.
         let tasks = LocalSet::new();
         let running = actix_rt::spawn(async move {
             let run = dalestand_forwarding::run(node);
@@ -184,12 +183,12 @@
         Some(node)
     }
 
-    /// Ends the node as a crash does.
+    /// Simulates a crash of the node.
     pub fn crash(&self) {
         self.running.abort();
     }
 
-    /// What it knows of room and demand.
+    /// Its report on capacity and demand.
     pub async fn room(&self) -> RoomReport {
         let answer = get(self.metrics, "host: a.example\r\n", "/room").await;
         let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
@@ -197,18 +196,18 @@
         serde_json::from_str(body).expect("a report")
     }
 
-    /// Declares one route of `kind` to one pool, for `attempts` engines and `limit_ms`.
+    /// Declares one route of `kind` to one pool, with `attempts` engines and a time limit of `limit_ms`.
     pub fn declare(&self, revision: u64, kind: &str, attempts: u32, limit_ms: u64) {
         self.declare_pool(revision, "", kind, attempts, limit_ms);
     }
 
-    /// The same with an objective of the whole limit: no call is repeated because an engine is slow.
+    /// The same with the time limit as objective, so that slow engines cause no repeated calls.
     pub fn declare_patient(&self, revision: u64, kind: &str, attempts: u32, limit_ms: u64) {
         let text = declaration(revision, "", kind, attempts, limit_ms, limit_ms);
         self.store.write("declaration", Some(&text));
     }
 
-    /// The same with one tenant, whose callers have these keys.
+    /// The same with one tenant that has these keys.
     pub fn declare_tenant(&self, revision: u64, keys: &[&str]) {
         let keys: Vec<String> = keys.iter().map(|key| format!("\"{key}\"")).collect();
         let tenant = format!(
@@ -218,7 +217,7 @@
         self.declare_pool(revision, &tenant, "once", 1, 1_000);
     }
 
-    /// The same with several tenants, each with its name as its key; attempts at `attempts` engines.
+    /// The same with several tenants, each with its name as its key, and `attempts` engines.
     pub fn declare_tenants(&self, revision: u64, tenants: &[&str], kind: &str, attempts: u32) {
         let tenants = tenants.iter();
         let tenants: String = tenants
@@ -227,7 +226,7 @@
         self.declare_pool(revision, &tenants, kind, attempts, 1_000);
     }
 
-    /// Sends a request with a key; yields all bytes of the answer.
+    /// Sends a request with a key; returns the whole answer.
     pub async fn request_with_key(&self, id: &str, key: &str) -> String {
         let headers = format!("x-id: {id}\r\nhost: a.example\r\nx-key: {key}\r\n");
         get(self.callers, &headers, "/r/x").await
@@ -245,25 +244,25 @@
         self.store.write("declaration", Some(&text));
     }
 
-    /// Lists an engine in a state.
+    /// Writes the entry of an engine with a state.
     pub fn list(&self, name: &str, engine: &TestEngine, state: &str) {
         let value = format!("{} {state}", engine.address);
         self.store.write(&format!("engines/{name}"), Some(&value));
     }
 
-    /// Waits until so many engines take new work, as the node knows.
+    /// Waits until the node knows this number of engines that accept new work.
     pub async fn wait_for_engines(&self, engines: usize) {
         self.wait_for_metric("dalestand_engines_accepting", engines)
             .await;
     }
 
-    /// Waits until the declaration of this revision is in force.
+    /// Waits until the declaration of this revision is active.
     pub async fn wait_for_declaration(&self, revision: usize) {
         self.wait_for_metric("dalestand_declaration_revision", revision)
             .await;
     }
 
-    /// Waits until a figure has a value.
+    /// Waits until a metric has a value.
     async fn wait_for_metric(&self, name: &str, value: usize) {
         let expected = format!("{name} {value}");
         let until = Instant::now() + WAIT_TIMEOUT;
@@ -277,13 +276,12 @@
         }
     }
 
-    /// Waits until the node has heard what was written.
+    /// Waits long enough for the node to learn of recent writes.
     pub async fn settle(&self) {
         actix_rt::time::sleep(Duration::from_millis(80)).await;
     }
 
-    /// Sends a request; yields all bytes of the answer and whether the connection ended as it
-    /// should after them.
+    /// Sends a request; returns the whole answer.
     pub async fn request(&self, id: &str, path: &str) -> String {
         get(
             self.callers,
@@ -312,19 +310,19 @@
     )
 }
 
-/// Sends a request; yields all bytes until the connection ends.
+/// Sends a request; returns all bytes until the connection ends.
 pub async fn get(address: SocketAddr, headers: &str, path: &str) -> String {
     let stream = tokio::net::TcpStream::connect(address).await;
     let mut stream = stream.expect("a connection");
     let text = format!("GET {path} HTTP/1.1\r\n{headers}connection: close\r\n\r\n");
     stream.write_all(text.as_bytes()).await.expect("written");
     let mut answer = Vec::new();
-    // An answer that breaks off ends with an error or an early end; the bytes show it.
+    // An aborted answer ends with an error or early; the bytes show it.
     let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// The status of an answer.
+/// The status code of an answer.
 pub fn status(answer: &str) -> &str {
     answer.split(' ').nth(1).unwrap_or_default()
 }
--- a/crates/forwarding/tests/support/store.rs
+++ b/crates/forwarding/tests/support/store.rs
@@ -1,4 +1,4 @@
-//! A key-value service in memory, with faults that tests switch.
+//! An in-memory key-value service with fault injection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,7 @@
 use dalestand_types::Revision;
 use error_stack::Report;
 
-/// A store in memory.
+/// An in-memory key-value service.
 #[derive(Default)]
 pub struct MemoryStore {
     revision: Cell<u64>,
@@ -21,37 +21,37 @@
     is_unavailable: Cell<bool>,
     mutes_watches: Cell<bool>,
     refused_prefix: RefCell<Option<&'static str>>,
-    /// Which of its histories it tells; 0 where it names none.
+    /// The era that it reports; 0 for none.
     era: Cell<u64>,
-    /// Keys under leases, and the leases that stand.
+    /// Keys under leases.
     leased: RefCell<BTreeMap<String, LeaseId>>,
     leases: RefCell<BTreeSet<LeaseId>>,
     last_lease: Cell<u64>,
 }
 
-/// A copy of a store.
-pub struct StoreCopy {
+/// A backup of a [`MemoryStore`].
+pub struct StoreBackup {
     number: u64,
     entries: BTreeMap<String, Entry>,
 }
 
 impl MemoryStore {
-    /// Has all reading calls fail, or lets them succeed again.
+    /// Makes all read calls fail, or succeed again.
     pub fn set_unavailable(&self, is_unavailable: bool) {
         self.is_unavailable.set(is_unavailable);
     }
 
-    /// Has all writes under a prefix fail.
+    /// Makes all writes under a prefix fail.
     pub fn refuse_writes(&self, prefix: &'static str) {
         self.refused_prefix.replace(Some(prefix));
     }
 
-    /// Has watches wait without hearing of changes, or hear of all at once.
+    /// Makes watches report no changes, or all of them again.
     pub fn mute_watches(&self, mute: bool) {
         self.mutes_watches.set(mute);
     }
 
-    /// The keys under a prefix, with their values.
+    /// Keys under a prefix, with their values.
     pub fn entries(&self, prefix: &str) -> Vec<(String, String)> {
         let entries = self.entries.borrow();
         let under = entries.values().filter(|one| one.key.starts_with(prefix));
@@ -60,27 +60,27 @@
             .collect()
     }
 
-    /// Begins to name an era.
+    /// Sets the reported era.
     pub fn set_era(&self, era: u64) {
         self.era.set(era);
     }
 
-    /// A copy, as it stands.
-    pub fn copy(&self) -> StoreCopy {
-        StoreCopy {
+    /// A backup of the current state.
+    pub fn backup(&self) -> StoreBackup {
+        StoreBackup {
             number: self.revision.get(),
             entries: self.entries.borrow().clone(),
         }
     }
 
-    /// Restores a copy: what was written since is gone, leases too, and revisions go back.
-    pub fn restore(&self, copy: &StoreCopy) {
+    /// Restores a backup: later writes and all leases are lost, and revisions go back.
+    pub fn restore(&self, backup: &StoreBackup) {
         self.era.set(self.era.get() + 1);
-        self.revision.set(copy.number);
+        self.revision.set(backup.number);
         self.leases.borrow_mut().clear();
         self.events.borrow_mut().clear();
         let leased = std::mem::take(&mut *self.leased.borrow_mut());
-        let mut entries = copy.entries.clone();
+        let mut entries = backup.entries.clone();
         entries.retain(|key, _| !leased.contains_key(key));
         for entry in entries.values_mut() {
             entry.revision = Revision::in_era(self.era.get(), entry.revision.number());
@@ -102,7 +102,7 @@
         Ok(())
     }
 
-    /// Writes a key, or removes it.
+    /// Writes a key, or removes it if `value` is `None`.
     pub fn write(&self, key: &str, value: Option<&str>) {
         self.revision.set(self.revision.get() + 1);
         let revision = self.now();
