--- a/crates/forwarding/src/fleet_sums.rs
+++ b/crates/forwarding/src/fleet_sums.rs
@@ -63,8 +63,8 @@
 
     /// Removes the rows of `source`.
     pub(crate) fn forget_source(&self, source: LoadSource) {
-        self.classes.borrow_mut().forget(source);
-        self.tenants.borrow_mut().forget(source);
-        self.slowness.borrow_mut().forget(source);
+        self.classes.borrow_mut().forget_source(source);
+        self.tenants.borrow_mut().forget_source(source);
+        self.slowness.borrow_mut().forget_source(source);
     }
 }
