--- a/crates/dissemination/src/entry_sync.rs
+++ b/crates/dissemination/src/entry_sync.rs
@@ -18,7 +18,7 @@
 const PAGE_BYTES: usize = 1_100;
 
 /// Encoded bytes of an entry besides its key and value.
-const RECORD_BYTES: usize = 16;
+const RECORD_OVERHEAD_BYTES: usize = 16;
 
 /// Delay between two requests: a round trip plus the transmission of the largest answer at
 /// 10 Mbit/s.
@@ -134,5 +134,5 @@
 
 fn record_bytes(record: &EntryRecord) -> usize {
     let value = record.value.as_ref().map_or(0, String::len);
-    record.key.len() + value + RECORD_BYTES
+    record.key.len() + value + RECORD_OVERHEAD_BYTES
 }
--- a/crates/dissemination/src/entry_table.rs
+++ b/crates/dissemination/src/entry_table.rs
@@ -9,8 +9,8 @@
 
 use crate::hash_ranges::{RANGE_COUNT, range_of};
 
-/// Tombstones that are kept at least, so that a late message does not bring an entry back. Larger
-/// tables keep one per live entry: all entries may be replaced while a message is in flight.
+/// Minimum number of tombstones to retain, so that a late message does not restore a removed entry.
+/// Larger tables retain one per live entry: all may be replaced while a message is in flight.
 const MIN_TOMBSTONES: usize = 1_000;
 
 /// A written or removed entry.
@@ -79,9 +79,9 @@
         if known.is_some_and(|known| known.revision >= record.revision) {
             return false;
         }
-        let former = self.records.insert(hashed_key.clone(), record);
-        if let Some(former) = former {
-            self.unindex(&hashed_key, &former);
+        let previous = self.records.insert(hashed_key.clone(), record);
+        if let Some(previous) = previous {
+            self.unindex(&hashed_key, &previous);
         }
         self.index(&hashed_key);
         self.prune_tombstones();
@@ -116,12 +116,12 @@
     }
 
     /// Removes a replaced record from `range_digests` or `tombstones`.
-    fn unindex(&mut self, hashed_key: &HashedKey, former: &EntryRecord) {
-        if former.value.is_some() {
-            self.range_digests[range_of(hashed_key.hash)] ^= digest_of(hashed_key, former);
+    fn unindex(&mut self, hashed_key: &HashedKey, previous: &EntryRecord) {
+        if previous.value.is_some() {
+            self.range_digests[range_of(hashed_key.hash)] ^= digest_of(hashed_key, previous);
         } else {
             self.tombstones
-                .remove(&(former.revision, hashed_key.clone()));
+                .remove(&(previous.revision, hashed_key.clone()));
         }
     }
 
--- a/crates/forwarding/src/dissemination/bulk_queue.rs
+++ b/crates/forwarding/src/dissemination/bulk_queue.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub(crate) struct BulkQueue {
     answers: RefCell<VecDeque<Answer>>,
-    waiting: Cell<usize>,
+    pending: Cell<usize>,
     pub(super) added: Notify,
     dropped: Cell<u64>,
 }
@@ -35,11 +35,11 @@
 impl BulkQueue {
     /// Adds a datagram; drops and counts it if the queue is full.
     pub(super) fn push(&self, address: SocketAddr, datagram: Rc<Datagram>) {
-        if self.waiting.get() >= MAX_QUEUED_DATAGRAMS {
+        if self.pending.get() >= MAX_QUEUED_DATAGRAMS {
             self.dropped.set(self.dropped.get() + 1);
             return;
         }
-        self.waiting.set(self.waiting.get() + 1);
+        self.pending.set(self.pending.get() + 1);
         let mut answers = self.answers.borrow_mut();
         match answers.iter_mut().find(|answer| answer.address == address) {
             Some(answer) => answer.datagrams.push_back(datagram),
@@ -66,7 +66,7 @@
         if !answer.datagrams.is_empty() {
             answers.push_back(answer);
         }
-        self.waiting.set(self.waiting.get() - 1);
+        self.pending.set(self.pending.get() - 1);
         Some((address, next))
     }
 
--- a/crates/forwarding/src/dissemination/contents.rs
+++ b/crates/forwarding/src/dissemination/contents.rs
@@ -36,7 +36,7 @@
     /// The first slice, part of the table or exchange.
     pub(super) first: LoadSlice,
     /// Remaining slices, each sent as a separate message; usually none.
-    pub(super) others: std::vec::IntoIter<LoadSlice>,
+    pub(super) further: std::vec::IntoIter<LoadSlice>,
 }
 
 /// Loads of language-model engines in `summed`.
@@ -51,7 +51,7 @@
     SummedLoads {
         age_ms,
         first: slices.next().unwrap_or(empty),
-        others: slices,
+        further: slices,
     }
 }
 
@@ -77,10 +77,10 @@
     queue.take_batches()
 }
 
-/// Demand at this node and at the sources that `counts` selects.
-pub(super) fn demand(context: &Context, counts: impl Fn(LoadSource) -> bool) -> Vec<PoolDemand> {
+/// Demand at this node and at the sources that `includes` selects.
+pub(super) fn demand(context: &Context, includes: impl Fn(LoadSource) -> bool) -> Vec<PoolDemand> {
     let now: MonotonicTime = context.now();
-    let summed = context.demand.borrow_mut().sum_of(now, counts);
+    let summed = context.demand.borrow_mut().sum_of(now, includes);
     summed
         .into_iter()
         .map(|(pool, demand)| PoolDemand {
--- a/crates/forwarding/src/dissemination/engine_notices.rs
+++ b/crates/forwarding/src/dissemination/engine_notices.rs
@@ -2,7 +2,7 @@
 //! limits.
 //!
 //! An engine's entry also shows that it drains, but late or never while the key-value service is
-//! unavailable; then the nodes that receive the engine's answers must tell the others. To make up for
+//! unavailable; then the nodes that receive the engine's answers must inform the others. To make up for
 //! lost datagrams, relays resend the current state once a second: engines that drain although their
 //! entries say otherwise, starts and limits.
 
--- a/crates/forwarding/src/dissemination/mod.rs
+++ b/crates/forwarding/src/dissemination/mod.rs
@@ -76,8 +76,8 @@
 /// How long a node acts as a relay after another relay sent it an exchange, whether elected or not.
 const EXCHANGE_PEER_TTL: Duration = Duration::from_secs(3);
 
-/// A node that has heard no other for this long considers itself isolated: well before the others
-/// consider it gone, which takes the time to live of its entry.
+/// A node that has heard no other for this long considers itself isolated: well before its entry
+/// expires and the others remove it.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A relay that another has not heard for this long is passed over as permit issuer: three of its
@@ -333,8 +333,8 @@
     /// Starts or stops following the key-value service according to `role`.
     pub(crate) fn apply_role(&self, role: DisseminationRole) {
         self.reads_store.send_if_modified(|current| {
-            let former = std::mem::replace(current, role.reads_store);
-            former != role.reads_store
+            let previous = std::mem::replace(current, role.reads_store);
+            previous != role.reads_store
         });
     }
 
--- a/crates/forwarding/src/dissemination/news_queue.rs
+++ b/crates/forwarding/src/dissemination/news_queue.rs
@@ -19,7 +19,7 @@
 /// News in order of arrival.
 #[derive(Debug, Default)]
 pub(crate) struct NewsQueue {
-    waiting: VecDeque<News>,
+    pending: VecDeque<News>,
     dropped: u64,
 }
 
@@ -28,11 +28,11 @@
     /// recovered are one item. When the queue is full, the oldest items are dropped.
     pub(crate) fn push(&mut self, news: News) {
         for piece in split(news) {
-            if self.waiting.len() >= MAX_QUEUED_NEWS {
-                self.waiting.pop_front();
+            if self.pending.len() >= MAX_QUEUED_NEWS {
+                self.pending.pop_front();
                 self.dropped += 1;
             }
-            self.waiting.push_back(piece);
+            self.pending.push_back(piece);
         }
     }
 
@@ -45,7 +45,7 @@
     pub(crate) fn take_batches(&mut self) -> Vec<Vec<News>> {
         let mut batches: Vec<Vec<News>> = Vec::new();
         let mut parts = 0;
-        for news in self.waiting.drain(..) {
+        for news in self.pending.drain(..) {
             let added = size_in_parts(&news);
             if batches.is_empty() || parts + added > MAX_PARTS_PER_MESSAGE {
                 batches.push(Vec::new());
--- a/crates/forwarding/src/dissemination/receive/mod.rs
+++ b/crates/forwarding/src/dissemination/receive/mod.rs
@@ -29,7 +29,7 @@
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
 /// Pause after a socket error.
-const FAILURE_PAUSE: Duration = Duration::from_millis(100);
+const SOCKET_ERROR_DELAY: Duration = Duration::from_millis(100);
 
 /// Receives messages until dropped.
 pub(crate) async fn receive_state(context: Rc<Context>, socket: Rc<UdpSocket>) {
@@ -40,7 +40,7 @@
             Err(error) => {
                 log_event!(context.logger, Event::ListenFailed, "address" => "peers",
                     "error" => %error);
-                actix_rt::time::sleep(FAILURE_PAUSE).await;
+                actix_rt::time::sleep(SOCKET_ERROR_DELAY).await;
                 continue;
             }
         };
--- a/crates/forwarding/src/dissemination/recent_changes.rs
+++ b/crates/forwarding/src/dissemination/recent_changes.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Default)]
 struct Outgoing {
     /// Keyed by the number of transmissions, then by arrival.
-    waiting: BTreeMap<(u8, u64), EntryRecord>,
+    pending: BTreeMap<(u8, u64), EntryRecord>,
     positions: HashMap<String, (u8, u64)>,
     arrivals: u64,
 }
@@ -39,30 +39,30 @@
     /// Adds a change; it replaces an older change of the same key.
     fn push(&mut self, record: &EntryRecord) {
         if let Some(position) = self.positions.remove(&record.key) {
-            self.waiting.remove(&position);
+            self.pending.remove(&position);
         }
         self.arrivals += 1;
         let position = (0, self.arrivals);
         self.positions.insert(record.key.clone(), position);
-        self.waiting.insert(position, record.clone());
+        self.pending.insert(position, record.clone());
     }
 
     /// Changes for the next messages. Those sent least often go first, so that each change is sent
     /// once before any is repeated.
     fn take(&mut self) -> Vec<Vec<EntryRecord>> {
         let next = self
-            .waiting
+            .pending
             .keys()
             .take(MAX_CHANGES_PER_MESSAGE * MAX_MESSAGES);
         let mut records = Vec::new();
         for position in next.copied().collect::<Vec<_>>() {
-            let Some(record) = self.waiting.remove(&position) else {
+            let Some(record) = self.pending.remove(&position) else {
                 continue;
             };
             let (sent, arrival) = (position.0 + 1, position.1);
             if sent < TRANSMISSIONS {
                 self.positions.insert(record.key.clone(), (sent, arrival));
-                self.waiting.insert((sent, arrival), record.clone());
+                self.pending.insert((sent, arrival), record.clone());
             } else {
                 self.positions.remove(&record.key);
             }
--- a/crates/forwarding/src/dissemination/send.rs
+++ b/crates/forwarding/src/dissemination/send.rs
@@ -45,16 +45,16 @@
         demand: started,
         message: started,
     };
-    let mut former: Option<DisseminationRole> = None;
+    let mut previous: Option<DisseminationRole> = None;
     loop {
         let changed = context.work_changed.notified();
         if tokio::time::timeout(TABLE_INTERVAL, changed).await.is_ok() {
             actix_rt::time::sleep(COALESCE_DELAY).await;
         }
         let role = context.dissemination.role(context.now());
-        if former != Some(role) {
+        if previous != Some(role) {
             apply_role(&context, role);
-            former = Some(role);
+            previous = Some(role);
         }
         ask_for_parts(&context, &socket);
         let pause = if role.is_relay {
@@ -123,12 +123,12 @@
     }
     context.sent(sent_bytes);
     let has_members = !dissemination.subscribers.borrow().addresses().is_empty();
-    let least = if has_members {
+    let min_pause = if has_members {
         exchange_interval(dissemination.other_relays().len())
     } else {
         Duration::ZERO
     };
-    pause_after(&context.settings, sent_bytes).max(least)
+    pause_after(&context.settings, sent_bytes).max(min_pause)
 }
 
 fn send_exchange(
@@ -138,8 +138,8 @@
     heartbeat_is_due: bool,
 ) -> usize {
     let dissemination = &context.dissemination;
-    let others = dissemination.exchange_addresses(context.now());
-    let others: Vec<SocketAddr> = others.into_iter().collect();
+    let recipients = dissemination.exchange_addresses(context.now());
+    let recipients: Vec<SocketAddr> = recipients.into_iter().collect();
     let is_member = |source| matches!(source, LoadSource::Member(_));
     let summed = context
         .router
@@ -155,11 +155,11 @@
         .for_exchange()
         .into_iter();
     let changes = further_changes.next().unwrap_or_default();
-    let has_more = !loads.first.loads.is_empty()
-        || loads.others.len() > 0
+    let has_content = !loads.first.loads.is_empty()
+        || loads.further.len() > 0
         || !news.is_empty()
         || !changes.is_empty();
-    if others.is_empty() || !(has_more || demand_is_due || heartbeat_is_due) {
+    if recipients.is_empty() || !(has_content || demand_is_due || heartbeat_is_due) {
         return 0;
     }
     let exchange = Exchange {
@@ -185,10 +185,10 @@
         scope: LoadScope::Members,
         age_ms: loads.age_ms,
     };
-    send(context, socket, &others, &Message::Exchange(exchange))
-        + send_loads(context, socket, &others, header, loads.others)
-        + send_changes(context, socket, &others, further_changes)
-        + send_news(context, socket, &others, batches)
+    send(context, socket, &recipients, &Message::Exchange(exchange))
+        + send_loads(context, socket, &recipients, header, loads.further)
+        + send_changes(context, socket, &recipients, further_changes)
+        + send_news(context, socket, &recipients, batches)
 }
 
 /// Probes a relay of the own zone if one is due while following a relay of another zone.
--- a/crates/forwarding/src/dissemination/sums.rs
+++ b/crates/forwarding/src/dissemination/sums.rs
@@ -26,7 +26,7 @@
 const MAX_SEND_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limit on the bytes per second sent for these statistics, a quarter of a node's control traffic.
-const BYTES_PER_S: f64 = 7_250.0;
+const MAX_BYTES_PER_S: f64 = 7_250.0;
 
 /// Rows per message; a message fits one packet of 1.2 KB.
 const ROWS_PER_MESSAGE: usize = 32;
@@ -57,7 +57,7 @@
         };
         round_number += 1;
         context.sent(sent_bytes);
-        let paced = Duration::from_secs_f64(sent_bytes as f64 / BYTES_PER_S);
+        let paced = Duration::from_secs_f64(sent_bytes as f64 / MAX_BYTES_PER_S);
         pause = paced.clamp(SEND_INTERVAL, MAX_SEND_INTERVAL);
     }
 }
--- a/crates/forwarding/src/dissemination/tables.rs
+++ b/crates/forwarding/src/dissemination/tables.rs
@@ -17,13 +17,13 @@
 use crate::quarantine::evidence::stopped_records;
 
 /// How often tables include the list of relays.
-const RELAYS_INTERVAL: Duration = Duration::from_secs(1);
+const RELAY_LIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How often requests for cached prompt parts are answered.
-const PARTS_INTERVAL: Duration = Duration::from_millis(250);
+const PARTS_ANSWER_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Limit on the bytes per second that a member receives, the allowance for control traffic.
-const MEMBER_BYTES_PER_S: f64 = 29_000.0;
+const MAX_MEMBER_BYTES_PER_S: f64 = 29_000.0;
 
 /// Sends tables to members until dropped.
 pub(crate) async fn send_tables(context: Rc<Context>, socket: Rc<UdpSocket>) {
@@ -33,7 +33,7 @@
         let now = context.now();
         let dissemination = &context.dissemination;
         dissemination.subscribers.borrow_mut().remove_silent(now);
-        if parts_sent_at.elapsed() >= PARTS_INTERVAL && dissemination.role(now).is_relay {
+        if parts_sent_at.elapsed() >= PARTS_ANSWER_INTERVAL && dissemination.role(now).is_relay {
             parts_sent_at = BootInstant::now();
             answer_parts_requests(&context);
         }
@@ -45,14 +45,14 @@
             actix_rt::time::sleep(TABLE_INTERVAL).await;
             continue;
         }
-        let includes_relays = relays_sent_at.elapsed() >= RELAYS_INTERVAL;
+        let includes_relays = relays_sent_at.elapsed() >= RELAY_LIST_INTERVAL;
         if includes_relays {
             relays_sent_at = BootInstant::now();
         }
         let sent_bytes = send_table(&context, &socket, &members, includes_relays);
         context.sent(sent_bytes);
         let member_bytes = sent_bytes as f64 / members.len() as f64;
-        let member_pause = Duration::from_secs_f64(member_bytes / MEMBER_BYTES_PER_S);
+        let member_pause = Duration::from_secs_f64(member_bytes / MAX_MEMBER_BYTES_PER_S);
         // Exceeding the limit must not delay the next table so much that members consider their
         // relay lost.
         let member_pause = member_pause.min(TABLE_INTERVAL);
@@ -99,7 +99,7 @@
         age_ms: loads.age_ms,
     };
     send(context, socket, members, &Message::Table(table))
-        + send_loads(context, socket, members, header, loads.others)
+        + send_loads(context, socket, members, header, loads.further)
         + send_changes(context, socket, members, changes)
         + send_news(context, socket, members, batches)
 }
--- a/crates/forwarding/src/fleet/follow/tests.rs
+++ b/crates/forwarding/src/fleet/follow/tests.rs
@@ -113,7 +113,7 @@
 }
 
 /// A listing with one entry.
-fn one(key: &str, value: String, revision: Revision) -> Listing {
+fn single_entry(key: &str, value: String, revision: Revision) -> Listing {
     let entry = Entry {
         key: key.to_owned(),
         value,
@@ -135,7 +135,7 @@
 impl ReadCalls for MissedChange {
     async fn range(&self, _prefix: &str) -> Result<Listing, Report<PlatformError>> {
         let revision = Revision(self.written.get());
-        Ok(one(KEY, revision.to_string(), revision))
+        Ok(single_entry(KEY, revision.to_string(), revision))
     }
 
     async fn watch(
@@ -184,18 +184,18 @@
 struct Outage {
     is_up: Cell<bool>,
     answered: Cell<u32>,
-    asked: Cell<u32>,
+    calls: Cell<u32>,
 }
 
 #[async_trait(?Send)]
 impl ReadCalls for Outage {
     async fn range(&self, prefix: &str) -> Result<Listing, Report<PlatformError>> {
-        self.asked.set(self.asked.get() + 1);
+        self.calls.set(self.calls.get() + 1);
         if !self.is_up.get() {
             return Err(in_doubt("down"));
         }
         self.answered.set(self.answered.get() + 1);
-        Ok(one(prefix, prefix.to_owned(), Revision(1)))
+        Ok(single_entry(prefix, prefix.to_owned(), Revision(1)))
     }
 
     async fn watch(
@@ -222,8 +222,8 @@
     }
     // Both followers are in long backoff delays.
     actix_rt::time::sleep(Duration::from_millis(900)).await;
-    let asked = store.asked.get();
-    while store.asked.get() == asked {
+    let calls = store.calls.get();
+    while store.calls.get() == calls {
         actix_rt::time::sleep(Duration::from_millis(1)).await;
     }
     store.is_up.set(true);
@@ -245,9 +245,9 @@
     actix_rt::spawn(follow(task, seen, always()));
     actix_rt::time::sleep(Duration::from_secs(5)).await;
     assert!(
-        store.asked.get() >= 22,
+        store.calls.get() >= 22,
         "called {} times",
-        store.asked.get()
+        store.calls.get()
     );
 }
 
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -27,11 +27,11 @@
     }
     if let Some(backoff) = announced.backoff {
         let now = context.now();
-        let place = rand::random_range(0.0..1.0);
+        let jitter = rand::random_range(0.0..1.0);
         let mut router = context.router.borrow_mut();
         if router
             .signals
-            .record_backoff(now, engine.key, backoff, place)
+            .record_backoff(now, engine.key, backoff, jitter)
         {
             log_event!(context.logger, Event::EngineBacksOff, "engine" => &*engine.run,
                 "backoff_ms" => backoff.as_millis() as u64);
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! * [`serve`]: one request, from its route to the last byte of its answer. Decisions are those of
 //!   `dalestand_routing::staged`.
-//! * [`fleet`]: engines and nodes, as the key-value service and relays tell.
-//! * [`fleet_sums`]: what all nodes count together of pools, tenants and engines.
-//! * [`dissemination`]: fleet-wide state on its way between nodes.
+//! * [`fleet`]: engines and nodes, as known from the key-value service and from relays.
+//! * [`fleet_sums`]: fleet-wide statistics of pools, tenants and engines.
+//! * [`dissemination`]: exchange of fleet-wide state between nodes.
 //! * [`roles`]: the lease under which one node acts for all, and the engines' roles.
 //! * [`duties`]: what else that node does for all.
 //! * [`permits`]: leave to send requests to engines that take only so many.
