--- a/crates/forwarding/src/dissemination/mod.rs
+++ b/crates/forwarding/src/dissemination/mod.rs
@@ -65,12 +65,12 @@
 /// relays takes one round trip, so this happens only if none is reachable.
 const STORE_READ_DELAY: Duration = Duration::from_millis(1_200);
 
-/// Lower bound of the random jitter added to [`STORE_READ_DELAY`], so that nodes that lost their relays
-/// together do not read at the same moment.
-const MIN_STORE_READ_JITTER: Duration = Duration::from_millis(800);
+/// Range of the random jitter added to [`STORE_READ_DELAY`] in small fleets, so that nodes that lost their
+/// relays together do not read at the same moment.
+const STORE_READ_JITTER: Duration = Duration::from_millis(800);
 
-/// Jitter per known node; the larger of both bounds applies. Listing all entries of 10,000 engines
-/// takes the key-value service's link 20 ms, and concurrent listings would delay those of relays.
+/// Range of the jitter per known node, where that is larger. Listing all entries of 10,000 engines takes
+/// the key-value service's link 20 ms, and concurrent listings would delay those of relays.
 const STORE_READ_JITTER_PER_NODE: Duration = Duration::from_millis(20);
 
 /// How long a node acts as a relay after another relay sent it an exchange, whether elected or not.
@@ -308,8 +308,8 @@
     fn store_read_delay(&self) -> Duration {
         let nodes = self.reported_node_count.get().max(self.node_count());
         let nodes = u32::try_from(nodes).unwrap_or(u32::MAX);
-        let jitter = MIN_STORE_READ_JITTER.max(STORE_READ_JITTER_PER_NODE.saturating_mul(nodes));
-        STORE_READ_DELAY + jitter.mul_f64(self.read_jitter_fraction)
+        let jitter_range = STORE_READ_JITTER.max(STORE_READ_JITTER_PER_NODE.saturating_mul(nodes));
+        STORE_READ_DELAY + jitter_range.mul_f64(self.read_jitter_fraction)
     }
 
     /// This node's role at `now`.
--- a/crates/forwarding/src/fleet/placements.rs
+++ b/crates/forwarding/src/fleet/placements.rs
@@ -33,7 +33,7 @@
 pub(crate) struct Placements(Vec<Placement>);
 
 impl Placements {
-    /// Adds a prompt sent to an engine. Its last part is specific to the request or its session.
+    /// Adds a prompt and its progress at an engine. Its last part is specific to the request or its session.
     pub(crate) fn push(&mut self, engine: EngineKey, state: PlacementState, parts: &[PromptPart]) {
         let Some((own, shared)) = parts.split_last() else {
             return;
