--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -116,7 +116,7 @@
     let authority = start_followers(&context, &store);
     // It is set once.
     let _ = context.quarantine.store.set(Rc::clone(&store));
-    start_spread(&context, &store, peer_socket);
+    start_dissemination(&context, &store, peer_socket);
     if let Some(calls) = node.duty_calls {
         start_duties(&context, &store, &calls, &authority);
     }
@@ -240,7 +240,7 @@
     actix_rt::spawn(reporting);
 }
 
-fn start_spread(context: &Rc<Context>, store: &Rc<dyn KeyValue>, socket: UdpSocket) {
+fn start_dissemination(context: &Rc<Context>, store: &Rc<dyn KeyValue>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     // It is set once.
     let _ = context.permits.socket.set(Rc::clone(&socket));
