--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,10 +1,10 @@
 //! Serves opaque requests by routes: choice of engines, attempts, retries, streams.
 //!
-//! * [`serve`]: serving of one request, from its route to the last byte of its answer. Engines are
-//!   chosen by `dalestand_routing::staged`.
-//! * [`fleet`]: engines and nodes, as the key-value service and relays tell.
-//! * [`fleet_sums`]: what all nodes count together of pools, tenants and engines.
-//! * [`dissemination`]: fleet-wide state on its way between nodes.
+//! * [`serve`]: one request, from its route to the last byte of its answer. Decisions are those of
+//!   `dalestand_routing::staged`.
+//! * [`fleet`]: engines and nodes, as known from the key-value service and from relays.
+//! * [`fleet_sums`]: fleet-wide statistics of pools, tenants and engines.
+//! * [`dissemination`]: exchange of fleet-wide state between nodes.
 //! * [`roles`]: the lease under which one node acts for all, and the engines' roles.
 //! * [`duties`]: what else that node does for all.
 //! * [`permits`]: permits for engines with a request rate limit.
--- a/crates/forwarding/tests/serving.rs
+++ b/crates/forwarding/tests/serving.rs
@@ -137,7 +137,7 @@
 ) {
     // Requests are sent until one reaches the failing engine.
     let (node, engines) = node(kind, attempts, &[first, succeeding]).await;
-    // A loaded machine may delay the succeeding engine beyond the objective of most tests; a retry due
+    // A loaded machine may delay an engine that succeeds beyond the objective of most tests; a retry due
     // to that would be counted here by mistake.
     node.declare_patient(2, kind, attempts, LIMIT_MS);
     node.wait_for_declaration(2).await;
