--- a/crates/claims/src/key.rs
+++ b/crates/claims/src/key.rs
@@ -7,7 +7,7 @@
 
 /// Shards of all keys. A shard writes at most once in its write interval, so that the traffic of
 /// the key-value service is bounded however many requests there are.
-pub const SHARDS: u16 = 16;
+pub const SHARD_COUNT: u16 = 16;
 
 /// Bits of a hash; two of a million keys meet with a chance of one in 10^17.
 const HASH_BITS: u32 = 96;
@@ -38,7 +38,7 @@
 
     /// The shard of this key.
     pub fn shard(self) -> ShardId {
-        ShardId((self.0 % u128::from(SHARDS)) as u16)
+        ShardId((self.0 % u128::from(SHARD_COUNT)) as u16)
     }
 }
 
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -17,7 +17,7 @@
 mod table;
 
 pub use entry::{ClaimState, Entry, EntryError, entries_from_text, entries_to_text};
-pub use key::{ClaimHash, SHARDS, ShardId, shard_leader};
-pub use message::{Action, Claim, Loaded, Reply, Ticket, WriteFailure};
+pub use key::{ClaimHash, SHARD_COUNT, ShardId, shard_leader};
+pub use message::{Action, Claim, LoadedRecord, Reply, Ticket, WriteFailure};
 pub use shard::Shard;
 pub use table::{CLAIM_LIFETIME, ClaimRecord, ClaimTable, MAX_CLAIMS_PER_SHARD};
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -55,7 +55,7 @@
 
 /// The record as it was read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Loaded {
+pub struct LoadedRecord {
     /// Revision of the head; `None` if there is none yet.
     pub revision: Option<Revision>,
     /// Entries of the head.
--- a/crates/claims/src/shard.rs
+++ b/crates/claims/src/shard.rs
@@ -6,7 +6,7 @@
 use dalestand_types::{MonotonicTime, RequestId, Revision};
 
 use crate::entry::{ClaimState, Entry, head_with_batch};
-use crate::message::{Action, Claim, Loaded, Reply, Ticket, WriteFailure};
+use crate::message::{Action, Claim, LoadedRecord, Reply, Ticket, WriteFailure};
 use crate::pace::WritePace;
 use crate::table::ClaimTable;
 
@@ -128,7 +128,7 @@
             self.replies.push((ticket, reply));
             return;
         }
-        if self.claims.len() >= MAX_WAITING_CLAIMS || !self.table.has_room() {
+        if self.claims.len() >= MAX_WAITING_CLAIMS || !self.table.has_capacity() {
             self.replies.push((ticket, refused()));
             return;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Takes the end of a claimed request, for the next write.
-    pub fn end(&mut self, now: MonotonicTime, claim: Claim, state: ClaimState) {
+    pub fn record_end(&mut self, now: MonotonicTime, claim: Claim, state: ClaimState) {
         if self.ends.len() >= MAX_WAITING_ENDS {
             return;
         }
@@ -234,7 +234,7 @@
     }
 
     /// The record was read.
-    pub fn loaded(&mut self, now: MonotonicTime, loaded: Loaded) {
+    pub fn load_succeeded(&mut self, now: MonotonicTime, loaded: LoadedRecord) {
         self.phase = Phase::Ready;
         self.confirmed_at = self.called_at;
         self.table = ClaimTable::default();
@@ -260,7 +260,7 @@
     }
 
     /// The head was replaced.
-    pub fn written(&mut self, now: MonotonicTime, revision: Revision) {
+    pub fn write_succeeded(&mut self, now: MonotonicTime, revision: Revision) {
         self.phase = Phase::Ready;
         self.confirmed_at = self.called_at;
         self.revision = Some(revision);
@@ -280,7 +280,7 @@
 
     /// A write or a seal is not known to be done. The record is read before anything else is
     /// decided: it says whether the write took effect after all.
-    pub fn not_written(&mut self, now: MonotonicTime, failure: WriteFailure) {
+    pub fn write_failed(&mut self, now: MonotonicTime, failure: WriteFailure) {
         self.phase = Phase::Unloaded;
         self.batch.clear();
         if failure == WriteFailure::InDoubt {
@@ -317,7 +317,7 @@
         self.replies.push((waiting.ticket, refused()));
         if waiting.in_doubt {
             // The claim may stand in the record; it was not granted, so its request does not run.
-            self.end(now, waiting.claim, ClaimState::NotRun);
+            self.record_end(now, waiting.claim, ClaimState::NotRun);
         }
     }
 
@@ -376,7 +376,7 @@
         if freed {
             return None;
         }
-        let silent = now.since(record.learnt_at) > RUNNING_LIMIT;
+        let silent = now.since(record.learned_at) > RUNNING_LIMIT;
         let state = match record.state {
             ClaimState::Running if silent => ClaimState::Unknown,
             state => state,
--- a/crates/claims/src/table.rs
+++ b/crates/claims/src/table.rs
@@ -24,7 +24,7 @@
     /// How far it has come; never [`ClaimState::NotRun`].
     pub state: ClaimState,
     /// When this node learnt of the claim.
-    pub learnt_at: MonotonicTime,
+    pub learned_at: MonotonicTime,
 }
 
 /// The claims of one shard.
@@ -58,7 +58,7 @@
     }
 
     /// Whether another claim fits.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.claims.len() < MAX_CLAIMS_PER_SHARD
     }
 
@@ -83,7 +83,7 @@
             request: entry.request,
             fingerprint: entry.fingerprint,
             state: entry.state,
-            learnt_at: now,
+            learned_at: now,
         };
         self.claims.insert(entry.key, record);
         self.by_age.push_back((now, entry.key));
@@ -91,13 +91,13 @@
 
     /// Forgets claims whose lifetime is over.
     pub fn expire(&mut self, now: MonotonicTime) {
-        while let Some((learnt_at, key)) = self.by_age.front().copied() {
-            if now.since(learnt_at) < CLAIM_LIFETIME {
+        while let Some((learned_at, key)) = self.by_age.front().copied() {
+            if now.since(learned_at) < CLAIM_LIFETIME {
                 return;
             }
             self.by_age.pop_front();
             let current = self.claims.get(&key);
-            if current.is_some_and(|record| record.learnt_at == learnt_at) {
+            if current.is_some_and(|record| record.learned_at == learned_at) {
                 self.claims.remove(&key);
             }
         }
--- a/crates/claims/tests/interleavings.rs
+++ b/crates/claims/tests/interleavings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dalestand_claims::{
-    Action, Claim, ClaimHash, ClaimState, Entry, Loaded, Reply, Shard, Ticket, WriteFailure,
+    Action, Claim, ClaimHash, ClaimState, Entry, LoadedRecord, Reply, Shard, Ticket, WriteFailure,
 };
 use dalestand_types::{MonotonicTime, RequestId, Revision};
 use proptest::prelude::*;
@@ -41,7 +41,7 @@
 enum Packet {
     ReadHead,
     ReadSegments(Option<Revision>, Vec<Entry>),
-    Read(Loaded),
+    Read(LoadedRecord),
     Act(Action),
     Sealed,
     Written(Revision),
@@ -167,7 +167,9 @@
             self.granted.remove(&claim.key);
             ClaimState::NotRun
         };
-        self.leaders[place % LEADERS].0.end(self.now, claim, state);
+        self.leaders[place % LEADERS]
+            .0
+            .record_end(self.now, claim, state);
     }
 
     fn tick(&mut self, leader: usize) {
@@ -240,7 +242,7 @@
                 self.answer(&sent, Packet::ReadSegments(revision, head));
             }
             Packet::ReadSegments(revision, head) => {
-                let loaded = Loaded {
+                let loaded = LoadedRecord {
                     revision: *revision,
                     head: head.clone(),
                     sealed: self.segments.values().flatten().copied().collect(),
@@ -252,10 +254,10 @@
                 self.answer(&sent, answer);
             }
             _ if !to_leader => {}
-            Packet::Read(loaded) => shard.loaded(now, loaded.clone()),
+            Packet::Read(loaded) => shard.load_succeeded(now, loaded.clone()),
             Packet::Sealed => shard.segment_sealed(),
-            Packet::Written(revision) => shard.written(now, *revision),
-            Packet::Failed(failure) => shard.not_written(now, *failure),
+            Packet::Written(revision) => shard.write_succeeded(now, *revision),
+            Packet::Failed(failure) => shard.write_failed(now, *failure),
             Packet::LoadFailed => shard.load_failed(now),
         }
         self.take_replies(sent.leader);
--- a/crates/claims/tests/late_ends.rs
+++ b/crates/claims/tests/late_ends.rs
@@ -1,6 +1,8 @@
 //! The end of a request that no longer holds its key changes nothing.
 
-use dalestand_claims::{Action, Claim, ClaimHash, ClaimState, Entry, Loaded, Reply, Shard, Ticket};
+use dalestand_claims::{
+    Action, Claim, ClaimHash, ClaimState, Entry, LoadedRecord, Reply, Shard, Ticket,
+};
 use dalestand_types::{MonotonicTime, RequestId, Revision};
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(10_000);
@@ -27,12 +29,12 @@
 fn a_late_end_of_a_freed_request_does_not_take_the_key_from_the_next() {
     let mut shard = Shard::default();
     let freed = claim(3);
-    shard.end(NOW, freed, ClaimState::Complete);
+    shard.record_end(NOW, freed, ClaimState::Complete);
     shard.claim(NOW, Ticket(4), claim(4));
     assert_eq!(shard.tick(NOW), Some(Action::Load));
-    shard.loaded(NOW, Loaded::default());
+    shard.load_succeeded(NOW, LoadedRecord::default());
     let head = written(&mut shard);
-    shard.written(NOW, Revision(1));
+    shard.write_succeeded(NOW, Revision(1));
     assert_eq!(shard.take_replies(), vec![(Ticket(4), Reply::Granted)]);
 
     let mut other = Shard::default();
@@ -40,9 +42,9 @@
     assert_eq!(other.tick(NOW), Some(Action::Load));
     let revision = Some(Revision(1));
     let sealed = Vec::new();
-    other.loaded(
+    other.load_succeeded(
         NOW,
-        Loaded {
+        LoadedRecord {
             revision,
             head,
             sealed,
@@ -61,15 +63,15 @@
     let first = claim(3);
     shard.claim(NOW, Ticket(3), first);
     assert_eq!(shard.tick(NOW), Some(Action::Load));
-    shard.loaded(NOW, Loaded::default());
+    shard.load_succeeded(NOW, LoadedRecord::default());
     written(&mut shard);
-    shard.written(NOW, Revision(1));
+    shard.write_succeeded(NOW, Revision(1));
     assert_eq!(shard.take_replies(), vec![(Ticket(3), Reply::Granted)]);
-    shard.end(NOW, first, ClaimState::NotRun);
-    shard.end(NOW, first, ClaimState::Complete);
+    shard.record_end(NOW, first, ClaimState::NotRun);
+    shard.record_end(NOW, first, ClaimState::Complete);
     shard.claim(NOW, Ticket(4), claim(4));
     assert!(matches!(shard.tick(LATER), Some(Action::Write { .. })));
-    shard.written(LATER, Revision(2));
+    shard.write_succeeded(LATER, Revision(2));
     assert_eq!(shard.take_replies(), vec![(Ticket(4), Reply::Granted)]);
     shard.claim(LATER, Ticket(5), claim(5));
     let held = Reply::Held {
@@ -84,11 +86,11 @@
     let mut outdated = Shard::default();
     outdated.claim(NOW, Ticket(1), claim(1));
     assert_eq!(outdated.tick(NOW), Some(Action::Load));
-    outdated.loaded(NOW, Loaded::default());
+    outdated.load_succeeded(NOW, LoadedRecord::default());
     outdated.tick(NOW);
-    outdated.written(NOW, Revision(1));
+    outdated.write_succeeded(NOW, Revision(1));
     // Another leader frees the key and grants it to request 4, whose end comes here.
-    outdated.end(LATER, claim(4), ClaimState::Complete);
+    outdated.record_end(LATER, claim(4), ClaimState::Complete);
     assert_eq!(outdated.tick(LATER), Some(Action::Load));
     let entry = |request, state| Entry {
         key: claim(request).key,
@@ -99,9 +101,9 @@
     let head = vec![entry(1, ClaimState::NotRun), entry(4, ClaimState::Running)];
     let revision = Some(Revision(2));
     let sealed = Vec::new();
-    outdated.loaded(
+    outdated.load_succeeded(
         LATER,
-        Loaded {
+        LoadedRecord {
             revision,
             head,
             sealed,
--- a/crates/claims/tests/load.rs
+++ b/crates/claims/tests/load.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use dalestand_claims::{
-    Action, Claim, ClaimHash, ClaimState, Loaded, Reply, SHARDS, Shard, Ticket, entries_to_text,
+    Action, Claim, ClaimHash, ClaimState, LoadedRecord, Reply, SHARD_COUNT, Shard, Ticket,
+    entries_to_text,
 };
 use dalestand_types::{MonotonicTime, RequestId, Revision};
 
@@ -33,7 +34,7 @@
 }
 
 fn run_shard() -> Cost {
-    let per_second = FLEET_CLAIMS_PER_SECOND / u64::from(SHARDS);
+    let per_second = FLEET_CLAIMS_PER_SECOND / u64::from(SHARD_COUNT);
     let mut cost = Cost::default();
     let mut shard = Shard::default();
     let mut now = MonotonicTime::ZERO;
@@ -54,11 +55,11 @@
         }
         if let Some((_, action)) = under_way.take_if(|(done_at, _)| *done_at <= now) {
             match action {
-                Action::Load => shard.loaded(now, Loaded::default()),
+                Action::Load => shard.load_succeeded(now, LoadedRecord::default()),
                 Action::Seal { .. } => shard.segment_sealed(),
                 Action::Write { .. } => {
                     revision += 1;
-                    shard.written(now, Revision(revision));
+                    shard.write_succeeded(now, Revision(revision));
                 }
             }
         }
@@ -66,7 +67,7 @@
             assert_eq!(reply, Reply::Granted);
             let (claim, at) = claimed[ticket.0 as usize];
             cost.waits.push(now.since(at));
-            shard.end(now, claim, ClaimState::Complete);
+            shard.record_end(now, claim, ClaimState::Complete);
         }
         if under_way.is_none()
             && let Some(action) = shard.tick(now)
@@ -96,7 +97,7 @@
         cost.waits[count * 99 / 100],
         cost.waits[count - 1],
     );
-    assert!(cost.calls * u64::from(SHARDS) <= FLEET_CALLS_PER_SECOND * seconds);
+    assert!(cost.calls * u64::from(SHARD_COUNT) <= FLEET_CALLS_PER_SECOND * seconds);
     assert!(cost.waits[count - 1] <= LONGEST_WAIT);
 }
 
@@ -111,12 +112,12 @@
     };
     shard.claim(now, Ticket(1), claim);
     assert_eq!(shard.tick(now), Some(Action::Load));
-    shard.loaded(now, Loaded::default());
+    shard.load_succeeded(now, LoadedRecord::default());
     assert!(matches!(shard.tick(now), Some(Action::Write { .. })));
     assert!(
         shard.take_replies().is_empty(),
         "not granted before it is written"
     );
-    shard.written(now, Revision(1));
+    shard.write_succeeded(now, Revision(1));
     assert_eq!(shard.take_replies(), vec![(Ticket(1), Reply::Granted)]);
 }
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -18,13 +18,13 @@
     /// Time between two new probes of a node.
     pub probe_period: Duration,
     /// Time between two rounds of one probe.
-    pub probe_round: Duration,
+    pub probe_retry_interval: Duration,
     /// A member that answered no round for this long is called down.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// Members asked to probe in one's place, each round but the first.
     pub indirect_probes: usize,
     /// Peers told in one round of gossip.
-    pub fan_out: usize,
+    pub gossip_fan_out: usize,
     /// Members a holder hands its load digest to; few, since it may hold many groups.
     pub digest_fan_out: usize,
     /// Members a relay passes a load digest on to.
@@ -34,31 +34,31 @@
     /// Time between two comparisons with a random peer.
     pub sync_period: Duration,
     /// Time between two comparisons after the node started or a member came.
-    pub unsettled_sync_period: Duration,
+    pub fast_sync_period: Duration,
     /// How long that goes on.
-    pub unsettled_for: Duration,
+    pub fast_sync_duration: Duration,
     /// Time between two load digests of a group that go to other zones.
-    pub far_digest_period: Duration,
+    pub remote_digest_period: Duration,
     /// How long a member that is down is remembered.
-    pub forget_down_after: Duration,
+    pub down_member_retention: Duration,
 }
 
 impl Default for ClusterConfig {
     fn default() -> Self {
         Self {
             probe_period: Duration::from_millis(400),
-            probe_round: Duration::from_millis(400),
-            suspicion: Duration::from_millis(2_000),
+            probe_retry_interval: Duration::from_millis(400),
+            suspicion_timeout: Duration::from_millis(2_000),
             indirect_probes: 2,
-            fan_out: 2,
+            gossip_fan_out: 2,
             digest_fan_out: 2,
             relay_fan_out: 3,
             gossip_bytes_per_second: 12_000,
             sync_period: Duration::from_secs(5),
-            unsettled_sync_period: Duration::from_millis(500),
-            unsettled_for: Duration::from_secs(5),
-            far_digest_period: Duration::from_secs(4),
-            forget_down_after: Duration::from_secs(3_600),
+            fast_sync_period: Duration::from_millis(500),
+            fast_sync_duration: Duration::from_secs(5),
+            remote_digest_period: Duration::from_secs(4),
+            down_member_retention: Duration::from_secs(3_600),
         }
     }
 }
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -72,8 +72,8 @@
     }
 
     /// This node.
-    pub fn me(&self) -> &Member {
-        &self.membership.me().member
+    pub fn local_member(&self) -> &Member {
+        &self.membership.local().member
     }
 
     /// Live members, this one left out.
@@ -141,8 +141,8 @@
 
     /// Passes time.
     pub fn tick<R: Rng>(&mut self, now: MonotonicTime, random: &mut R) -> Vec<Output> {
-        let unsettled_for = self.config.unsettled_for;
-        self.unsettled_until.get_or_insert(now + unsettled_for);
+        let fast_sync_duration = self.config.fast_sync_duration;
+        self.unsettled_until.get_or_insert(now + fast_sync_duration);
         let mut outputs = self.probe(now, random);
         self.send_digests(now, random, &mut outputs);
         self.sync_when_due(now, random, &mut outputs);
@@ -156,7 +156,7 @@
         self.spread(update);
         let peers = self.membership.live().len();
         let items = self.rumours.take(MAX_ITEM_BYTES, Urgency::Usual, peers);
-        let targets = self.draw_live(self.config.fan_out * 2, random);
+        let targets = self.draw_live(self.config.gossip_fan_out * 2, random);
         let message = Message {
             body: Body::Gossip,
             items,
@@ -169,7 +169,7 @@
 
     /// Addresses to find others by.
     pub(crate) fn contacts(&self) -> impl Iterator<Item = SocketAddr> {
-        let own = self.me().address;
+        let own = self.local_member().address;
         let known = self.seeds.iter().chain(&self.listed).copied();
         known.filter(move |address| *address != own)
     }
@@ -196,7 +196,7 @@
     pub(crate) fn absorb(&mut self, now: MonotonicTime, taken: Taken) -> Option<Output> {
         if let Some(update) = taken.news {
             if update.state == MemberState::Alive {
-                self.unsettled_until = Some(now + self.config.unsettled_for);
+                self.unsettled_until = Some(now + self.config.fast_sync_duration);
             }
             self.spread(update);
         }
@@ -254,10 +254,10 @@
             return;
         };
         let address = update.member.address;
-        let from = self.me().node.clone();
+        let from = self.local_member().node.clone();
         let body = Body::Ping {
             probe,
-            origin: self.me().address,
+            origin: self.local_member().address,
             target: target.clone(),
             from: from.clone(),
         };
@@ -297,7 +297,7 @@
     ) -> usize {
         let peers = self.membership.live().len();
         let mut bytes = 0;
-        for to in self.draw_live(self.config.fan_out, random) {
+        for to in self.draw_live(self.config.gossip_fan_out, random) {
             let items = self.rumours.take(MAX_ITEM_BYTES, least, peers);
             if items.is_empty() {
                 break;
--- a/crates/cluster/src/digest_spread.rs
+++ b/crates/cluster/src/digest_spread.rs
@@ -31,11 +31,12 @@
             let seed = random.random();
             let whole = (0, u64::MAX);
             let far_sent_at = self.far_sent_at.get(&digest.group);
-            let far_due = far_sent_at.is_none_or(|at| now.since(*at) >= self.far_digest_period());
+            let far_due =
+                far_sent_at.is_none_or(|at| now.since(*at) >= self.remote_digest_period());
             if far_due {
                 self.far_sent_at.insert(digest.group.clone(), now);
             }
-            let own = &self.me().zone;
+            let own = &self.local_member().zone;
             if *own == digest.home || far_due {
                 let fan_out = self.config.digest_fan_out;
                 outputs.extend(self.split_zone(seed, whole, &digest.encoded, fan_out));
@@ -51,9 +52,9 @@
 
     /// Time between two digests of a group that go to other zones. What they cost a node grows with
     /// the fleet, so a small fleet shares them nearly as often as within a zone.
-    fn far_digest_period(&self) -> Duration {
+    fn remote_digest_period(&self) -> Duration {
         let members = self.member_count().min(FULL_PERIOD_MEMBERS);
-        self.config.far_digest_period * members as u32 / FULL_PERIOD_MEMBERS as u32
+        self.config.remote_digest_period * members as u32 / FULL_PERIOD_MEMBERS as u32
     }
 
     /// Passes a load digest on to this node's zone, as far as the range goes.
@@ -68,7 +69,7 @@
         record: &Bytes,
         fan_out: usize,
     ) -> Vec<Output> {
-        let Some(members) = self.membership.zones().get(&self.me().zone) else {
+        let Some(members) = self.membership.zones().get(&self.local_member().zone) else {
             return Vec::new();
         };
         let parts = relay::split(members.iter(), seed, range, fan_out);
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -55,7 +55,7 @@
     }
 
     /// This node.
-    pub(crate) fn me(&self) -> &MemberUpdate {
+    pub(crate) fn local(&self) -> &MemberUpdate {
         &self.me
     }
 
--- a/crates/cluster/src/probe.rs
+++ b/crates/cluster/src/probe.rs
@@ -64,10 +64,10 @@
         }
         let mut actions = Vec::new();
         for (target, probe) in &mut self.probes {
-            if now.since(probe.started) >= config.suspicion {
+            if now.since(probe.started) >= config.suspicion_timeout {
                 actions.push(ProbeAction::CallDown(target.clone()));
             } else if now >= probe.next_round {
-                probe.next_round = now + config.probe_round;
+                probe.next_round = now + config.probe_retry_interval;
                 probe.rounds += 1;
                 actions.push(ProbeAction::Ping {
                     target: target.clone(),
--- a/crates/cluster/src/receive.rs
+++ b/crates/cluster/src/receive.rs
@@ -40,7 +40,7 @@
                 let taken = self.membership.take(now, update);
                 Ok(self.absorb(now, taken))
             }
-            Item::Record(record) if record.key.stands_for_content() => {
+            Item::Record(record) if record.key.is_content_reference() => {
                 let known = self.records.get(&record.key).map(|one| one.version);
                 let newer = known.is_none_or(|known| record.version > known);
                 Ok(newer.then_some(Output::RecordOffered { record, from }))
@@ -77,7 +77,7 @@
                 node,
                 incarnation,
             } => {
-                if origin == self.me().address {
+                if origin == self.local_member().address {
                     let known = self.membership.update(&node);
                     if known.is_some_and(|update| update.member.incarnation <= incarnation) {
                         self.prober.acknowledged(&node, probe);
@@ -113,7 +113,7 @@
         target: &NodeId,
         from: &NodeId,
     ) -> Option<Output> {
-        let me = self.me();
+        let me = self.local_member();
         if me.node != *target {
             return None;
         }
--- a/crates/cluster/src/record.rs
+++ b/crates/cluster/src/record.rs
@@ -73,7 +73,7 @@
     }
 
     /// Whether the record only stands for content that is fetched from whoever sent it.
-    pub fn stands_for_content(&self) -> bool {
+    pub fn is_content_reference(&self) -> bool {
         matches!(self, Self::Configuration)
     }
 }
--- a/crates/cluster/src/synchronize.rs
+++ b/crates/cluster/src/synchronize.rs
@@ -31,7 +31,7 @@
         if now >= self.next_sync {
             let unsettled = self.unsettled_until.is_some_and(|until| now < until);
             let period = if unsettled {
-                self.config.unsettled_sync_period
+                self.config.fast_sync_period
             } else {
                 self.config.sync_period
             };
@@ -44,7 +44,7 @@
         }
         if now >= self.next_contact {
             self.next_contact = now + self.config.sync_period;
-            let forget_after = self.config.forget_down_after;
+            let forget_after = self.config.down_member_retention;
             self.membership.forget_down(now, forget_after);
             let absent = self.absent_addresses();
             self.sync_with(draw(absent, 1, random), outputs);
@@ -67,7 +67,7 @@
         if targets.is_empty() {
             return;
         }
-        let me = Item::Member(self.membership.me().clone());
+        let me = Item::Member(self.membership.local().clone());
         let message = Message {
             body: Body::Sync {
                 buckets: self.bucket_hashes(),
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -62,7 +62,7 @@
     network.cut = vec![ZoneName::from("z1")];
     network.run_until(Duration::from_secs(30), |network| {
         network.live().all(|node| {
-            let inside = node.cluster.me().zone.as_str() == "z1";
+            let inside = node.cluster.local_member().zone.as_str() == "z1";
             node.cluster.member_count() == if inside { 9 } else { 29 }
         })
     });
@@ -84,7 +84,7 @@
     network.nodes[7].alive = false;
     let again = network.start("n007", 2, "z3");
     network.run_until(JOIN_LIMIT, Network::agrees);
-    let address = network.nodes[again].cluster.me().address;
+    let address = network.nodes[again].cluster.local_member().address;
     let seen = network.nodes[0].cluster.member(&NodeId::from("n007"));
     assert_eq!(seen.map(|member| member.address), Some(address));
 }
@@ -110,7 +110,7 @@
     network.nodes[0].alive = false;
     let gone = network.start("gone", 1, "z0");
     network.nodes[gone].alive = false;
-    let address = network.nodes[gone].cluster.me().address;
+    let address = network.nodes[gone].cluster.local_member().address;
     network.nodes[1].cluster.set_listed_addresses([address]);
     network.run(Duration::from_secs(20));
     let asked = network.sent_to(address);
--- a/crates/cluster/tests/network/mod.rs
+++ b/crates/cluster/tests/network/mod.rs
@@ -185,12 +185,17 @@
     }
 
     fn is_cut(&self, from: SocketAddr, to: SocketAddr) -> bool {
-        let zone = |address| &self.nodes[self.addresses[&address]].cluster.me().zone;
+        let zone = |address| {
+            &self.nodes[self.addresses[&address]]
+                .cluster
+                .local_member()
+                .zone
+        };
         zone(from) != zone(to) && (self.cut.contains(zone(from)) || self.cut.contains(zone(to)))
     }
 
     fn carry_out(&mut self, index: usize, outputs: Vec<Output>) {
-        let from = self.nodes[index].cluster.me().address;
+        let from = self.nodes[index].cluster.local_member().address;
         for output in outputs {
             let node = &mut self.nodes[index];
             match output {
--- a/crates/cluster/tests/spread.rs
+++ b/crates/cluster/tests/spread.rs
@@ -105,7 +105,7 @@
     );
     network.run(Duration::from_secs(1));
     for node in network.live() {
-        let near = node.cluster.me().zone == home;
+        let near = node.cluster.local_member().zone == home;
         let major = node.cluster.record(&key).map(|record| record.version.major);
         assert_eq!(major, Some(if near { 2 } else { 1 }));
     }
@@ -155,7 +155,7 @@
 #[test]
 fn a_datagram_of_a_stranger_is_an_error_and_changes_nothing() {
     let mut network = Network::with_nodes(1, NO_FAULTS, 2, 1);
-    let from = network.nodes[1].cluster.me().address;
+    let from = network.nodes[1].cluster.local_member().address;
     let mut random = rand::rng();
     let now = network.now;
     let taken: Result<Vec<Output>, _> =
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -49,7 +49,7 @@
     /// The key-value service.
     pub(crate) key_value: Rc<dyn KeyValue>,
     /// Notified when an operator asks for a planned stop.
-    pub(crate) stop_asked: Rc<Notify>,
+    pub(crate) stop_requested: Rc<Notify>,
 }
 
 /// Serves operators on `listener` until dropped.
@@ -88,7 +88,7 @@
             "/apply" => Ok(admin.apply(read_json(request, MAX_BODY_BYTES).await?).await),
             "/drain" => Ok(admin.drain(read_json(request, MAX_BODY_BYTES).await?).await),
             "/stop" => {
-                admin.stop_asked.notify_one();
+                admin.stop_requested.notify_one();
                 Ok(text_answer(StatusCode::ACCEPTED, "planned stop begun\n"))
             }
             _ => Ok(text_answer(StatusCode::NOT_FOUND, "no such path")),
--- a/crates/node/src/claims/driver.rs
+++ b/crates/node/src/claims/driver.rs
@@ -146,7 +146,7 @@
     pub(crate) fn lead_end(self: &Rc<Self>, claim: Claim, state: ClaimState) {
         let shard = claim.key.shard();
         let now = self.shared.clock.now();
-        self.with_shard(shard, |one| one.end(now, claim, state));
+        self.with_shard(shard, |one| one.record_end(now, claim, state));
         self.drive(shard);
     }
 
@@ -249,7 +249,7 @@
                 let loaded = self.store.load(shard).await;
                 let now = self.shared.clock.now();
                 match loaded {
-                    Ok(loaded) => self.with_shard(shard, |one| one.loaded(now, loaded)),
+                    Ok(loaded) => self.with_shard(shard, |one| one.load_succeeded(now, loaded)),
                     Err(error) => {
                         log_event!(self.shared.logger, Event::KeyValueFailed,
                             "shard" => %shard, "error" => format!("{error:?}"));
@@ -263,7 +263,7 @@
                 let now = self.shared.clock.now();
                 self.with_shard(shard, |one| match sealed {
                     Ok(()) => one.segment_sealed(),
-                    Err(failure) => one.not_written(now, failure),
+                    Err(failure) => one.write_failed(now, failure),
                 });
             }
             Action::Write { expected, entries } => {
@@ -271,8 +271,8 @@
                 let written = self.store.write(shard, expected, &entries).await;
                 let now = self.shared.clock.now();
                 self.with_shard(shard, |one| match written {
-                    Ok(revision) => one.written(now, revision),
-                    Err(failure) => one.not_written(now, failure),
+                    Ok(revision) => one.write_succeeded(now, revision),
+                    Err(failure) => one.write_failed(now, failure),
                 });
             }
         }
--- a/crates/node/src/claims/record.rs
+++ b/crates/node/src/claims/record.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use dalestand_claims::{
-    CLAIM_LIFETIME, Entry, Loaded, ShardId, WriteFailure, entries_from_text, entries_to_text,
+    CLAIM_LIFETIME, Entry, LoadedRecord, ShardId, WriteFailure, entries_from_text, entries_to_text,
 };
 use dalestand_clock::BootInstant;
 use dalestand_edge::{CasOutcome, KeyValue, LeaseId, PlatformError, WriteExpectation};
@@ -38,7 +38,7 @@
 
     /// Reads a shard's record. The head comes first: a segment that is sealed in between is then
     /// read twice, while the other way round it would be missed.
-    pub(crate) async fn load(&self, shard: ShardId) -> Result<Loaded, Report<LoadError>> {
+    pub(crate) async fn load(&self, shard: ShardId) -> Result<LoadedRecord, Report<LoadError>> {
         let head = self
             .key_value
             .get(&head_key(shard))
@@ -49,7 +49,7 @@
             .range(&segment_prefix(shard))
             .await
             .map_err(|error| error.change_context(LoadError))?;
-        let mut loaded = Loaded::default();
+        let mut loaded = LoadedRecord::default();
         for segment in segments.entries {
             loaded.sealed.extend(parse(&segment.value)?);
         }
--- a/crates/node/src/configuration/watch.rs
+++ b/crates/node/src/configuration/watch.rs
@@ -124,7 +124,7 @@
 }
 
 fn is_watcher(cluster: &Cluster) -> bool {
-    let me: &Member = cluster.me();
+    let me: &Member = cluster.local_member();
     let zone = cluster.members().filter(|member| member.zone == me.zone);
     let own = place(&me.node);
     let before_me = zone.filter(|member| place(&member.node) < own);
--- a/crates/node/src/control_half.rs
+++ b/crates/node/src/control_plane.rs
@@ -29,7 +29,7 @@
 use crate::tenant_shares::TenantShares;
 
 /// What a control half is made of.
-pub struct ControlParts {
+pub struct ControlPlaneParts {
     /// Settings of the node.
     pub settings: NodeSettings,
     /// State shared with the callers' half.
@@ -47,11 +47,11 @@
     /// Losses and cuts put in by an experiment.
     pub filter: Option<Arc<dyn LinkFilter>>,
     /// Notified when an operator asks for a planned stop.
-    pub stop_asked: Rc<Notify>,
+    pub stop_requested: Rc<Notify>,
 }
 
 /// A running control half.
-pub struct ControlHalf {
+pub struct ControlPlane {
     shared: Arc<Shared>,
     link: Rc<PeerLink>,
     cluster: Rc<RefCell<Cluster>>,
@@ -59,7 +59,7 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl ControlHalf {
+impl ControlPlane {
     /// Gives up all leases, so that other nodes can take over at once.
     pub async fn release_leases(&self) {
         self.control.release_leases().await;
@@ -79,8 +79,8 @@
 }
 
 /// Starts a control half on the current arbiter.
-pub fn start_control(parts: ControlParts) -> ControlHalf {
-    let ControlParts {
+pub fn start_control_plane(parts: ControlPlaneParts) -> ControlPlane {
+    let ControlPlaneParts {
         settings,
         shared,
         addresses,
@@ -89,7 +89,7 @@
         peer_calls,
         key_value,
         filter,
-        stop_asked,
+        stop_requested,
     } = parts;
     let machines = Rc::new(RefCell::new(Machines::default()));
     let me = Member {
@@ -190,7 +190,7 @@
         configuration: store,
         cluster: Rc::clone(&cluster),
         key_value,
-        stop_asked,
+        stop_requested,
     };
     let admin = serve_operators(operators, admin, settings.operator_key_blake3.clone());
     let tasks = vec![
@@ -204,7 +204,7 @@
         actix_rt::spawn(Rc::clone(&control).run()),
         actix_rt::spawn(admin),
     ];
-    ControlHalf {
+    ControlPlane {
         shared,
         link,
         cluster,
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -14,7 +14,7 @@
     Signals,
     /// The arbiter of the callers' half ended.
     #[error("the callers' half ended")]
-    CallersEnded,
+    CallerServerEnded,
 }
 
 /// Why a configuration was not applied.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -11,7 +11,7 @@
 mod compact_number;
 mod configuration;
 mod control_driver;
-mod control_half;
+mod control_plane;
 mod desired;
 mod digest_codec;
 mod drains;
@@ -32,7 +32,7 @@
     EngineExplanation, EngineRow, MemberRow, RequestExplanation, StatusResponse,
 };
 pub use cluster_driver::LinkFilter;
-pub use control_half::{ControlHalf, ControlParts, start_control};
+pub use control_plane::{ControlPlane, ControlPlaneParts, start_control_plane};
 pub use error::NodeError;
 pub use node::{Listeners, NodeAddresses, run};
 pub use peer_sockets::open_peer_sockets;
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -16,7 +16,7 @@
 use tokio::sync::Notify;
 
 use crate::callers::CallerHalf;
-use crate::control_half::{ControlParts, start_control};
+use crate::control_plane::{ControlPlaneParts, start_control_plane};
 use crate::error::NodeError;
 use crate::peer_sockets::open_peer_sockets;
 
@@ -101,10 +101,10 @@
     let mut interrupt = signal(SignalKind::interrupt()).change_context(NodeError::Signals)?;
 
     let callers = CallerHalf::start(&shared, listeners.callers)?;
-    let stop_asked = Rc::new(Notify::new());
+    let stop_requested = Rc::new(Notify::new());
     let node = settings.node.clone();
     let key_value: Rc<dyn KeyValue> = Rc::new(HttpKeyValue::new(settings.key_value));
-    let control = start_control(ControlParts {
+    let control = start_control_plane(ControlPlaneParts {
         settings,
         shared: Arc::clone(&shared),
         addresses,
@@ -113,14 +113,14 @@
         peer_calls: listeners.peer_calls,
         key_value,
         filter: None,
-        stop_asked: Rc::clone(&stop_asked),
+        stop_requested: Rc::clone(&stop_requested),
     });
     log_readiness(Arc::clone(&shared));
 
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
-        () = stop_asked.notified() => {}
+        () = stop_requested.notified() => {}
     }
     shared.begin_stop();
     log_event!(shared.logger, Event::StopBegun, "in_flight" => shared.in_flight());
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -10,7 +10,7 @@
 use dalestand_gateway::{
     ClaimEnd, ClaimKey, ClaimOutcome, ClaimRequest, KeptAnswer, RequestFingerprint, Shared,
 };
-use dalestand_node::{ControlHalf, ControlParts, NodeAddresses, start_control};
+use dalestand_node::{ControlPlane, ControlPlaneParts, NodeAddresses, start_control_plane};
 use dalestand_standin::key_value::{KeyValueFaults, serve_key_value};
 use dalestand_standin::machine_list::serve_machine_list;
 use dalestand_telemetry::Metrics;
@@ -30,7 +30,7 @@
 
 struct TestNode {
     shared: Arc<Shared>,
-    control: ControlHalf,
+    control: ControlPlane,
 }
 
 impl Site {
@@ -75,7 +75,7 @@
             operators: operators.local_addr().expect("an address"),
             peers: address,
         };
-        let control = start_control(ControlParts {
+        let control = start_control_plane(ControlPlaneParts {
             settings,
             shared: Arc::clone(&shared),
             addresses,
@@ -84,7 +84,7 @@
             peer_calls,
             key_value: Rc::new(HttpKeyValue::new(self.key_value)),
             filter: None,
-            stop_asked: Rc::new(Notify::new()),
+            stop_requested: Rc::new(Notify::new()),
         });
         TestNode { shared, control }
     }
