--- a/crates/engine-link/src/answer.rs
+++ b/crates/engine-link/src/answer.rs
@@ -27,7 +27,7 @@
     /// The head.
     pub head: ResponseHead,
     /// The body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
 }
 
 impl Exchange {
@@ -42,7 +42,7 @@
         let has_body = until_close || codec.message_type() != MessageType::None;
         let says_close = says_close(&head.headers);
         let reusable = request_written && !until_close && !says_close && codec.keep_alive();
-        let mut body = AnswerBody {
+        let mut body = ResponseBody {
             connection: Some(connection),
             codec: codec.into_payload_codec(),
             until_close,
@@ -60,7 +60,7 @@
 
 /// The body of an answer. Dropped before its end, it ends the connection, which tells the engine
 /// that nobody waits any more.
-pub struct AnswerBody {
+pub struct ResponseBody {
     connection: Option<PooledConnection>,
     codec: ClientPayloadCodec,
     until_close: bool,
@@ -70,9 +70,9 @@
     ended: bool,
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// Ends the exchange before its end.
-    pub fn abandon(&mut self) {
+    pub fn abort(&mut self) {
         self.ended = true;
         self.connection = None;
     }
@@ -83,7 +83,7 @@
     }
 
     /// Whether it says where it ends, by a length or by chunks; if not, it ends with its connection.
-    pub fn says_its_end(&self) -> bool {
+    pub fn is_self_delimited(&self) -> bool {
         !self.until_close
     }
 
--- a/crates/engine-link/src/connect.rs
+++ b/crates/engine-link/src/connect.rs
@@ -12,11 +12,11 @@
 /// An idle connection is probed after this time, so that a silent peer is noticed.
 const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
 
-/// Opens a connection; a peer that takes no bytes for `silence_limit` ends it.
+/// Opens a connection; a peer that takes no bytes for `tcp_user_timeout` ends it.
 pub(crate) async fn connect(
     address: SocketAddr,
     connect_timeout: Duration,
-    silence_limit: Duration,
+    tcp_user_timeout: Duration,
 ) -> Result<TcpStream, SendError> {
     let opened = tokio::time::timeout(connect_timeout, TcpStream::connect(address)).await;
     let stream = match opened {
@@ -30,7 +30,7 @@
     // Without these options the connection still works; it only notices a silent peer late.
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(&stream);
-    let _ = socket.set_tcp_user_timeout(Some(silence_limit));
+    let _ = socket.set_tcp_user_timeout(Some(tcp_user_timeout));
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_AFTER)
         .with_interval(KEEPALIVE_AFTER)
--- a/crates/engine-link/src/error.rs
+++ b/crates/engine-link/src/error.rs
@@ -14,7 +14,7 @@
     NoConnection(usize),
     /// The engine was closed to the request while a connection to it was being made: nothing went out.
     #[error("not sent: the engine takes no requests any more")]
-    Withheld,
+    NotEligible,
     /// Bytes went out and no answer came: the engine may have run it.
     #[error("no answer: {0}")]
     MayHaveRun(String),
@@ -25,7 +25,7 @@
     pub fn is_not_sent(&self) -> bool {
         matches!(
             self,
-            Self::NotSent(_) | Self::NoListener(_) | Self::NoConnection(_) | Self::Withheld
+            Self::NotSent(_) | Self::NoListener(_) | Self::NoConnection(_) | Self::NotEligible
         )
     }
 }
--- a/crates/engine-link/src/lib.rs
+++ b/crates/engine-link/src/lib.rs
@@ -15,7 +15,7 @@
 mod link;
 mod pool;
 
-pub use answer::{AnswerBody, Exchange};
+pub use answer::{Exchange, ResponseBody};
 pub use error::{BodyError, SendError};
 pub use link::{EngineLink, LinkLimits, LinkTarget};
 
--- a/crates/engine-link/src/link.rs
+++ b/crates/engine-link/src/link.rs
@@ -30,14 +30,14 @@
     /// Longest time to open a connection.
     pub connect_timeout: Duration,
     /// Longest time for which a peer may leave sent bytes unacknowledged.
-    pub silence_limit: Duration,
+    pub tcp_user_timeout: Duration,
 }
 
 impl Default for LinkLimits {
     fn default() -> Self {
         Self {
             connect_timeout: Duration::from_millis(400),
-            silence_limit: Duration::from_secs(2),
+            tcp_user_timeout: Duration::from_secs(2),
         }
     }
 }
@@ -70,13 +70,13 @@
         body: &Bytes,
     ) -> Result<Exchange, SendError> {
         let is_open = || true;
-        self.send_while(target, max_connections, head, body, is_open)
+        self.send_if(target, max_connections, head, body, is_open)
             .await
     }
 
     /// The same, unless the engine is closed to the request once there is a connection: to make one takes
     /// up to the limits' `connect_timeout`.
-    pub async fn send_while(
+    pub async fn send_if(
         &self,
         target: &LinkTarget,
         max_connections: usize,
@@ -87,7 +87,7 @@
         let mut connection = self.connection(target, max_connections).await?;
         if !is_open() {
             connection.keep();
-            return Err(SendError::Withheld);
+            return Err(SendError::NotEligible);
         }
         let answer = connection.exchange(self.config.clone(), head, body).await?;
         Ok(Exchange::new(connection, answer))
@@ -120,7 +120,12 @@
             .take_place(target, max_connections)
             .map_err(SendError::NoConnection)?;
         let limits = &self.limits;
-        let stream = connect(target.address, limits.connect_timeout, limits.silence_limit).await?;
+        let stream = connect(
+            target.address,
+            limits.connect_timeout,
+            limits.tcp_user_timeout,
+        )
+        .await?;
         Ok(PooledConnection::new(Connection::new(stream), place))
     }
 
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -12,7 +12,7 @@
 use dalestand_edge::unknown_headers::UnknownHeaders;
 use dalestand_engine_link::{EngineLink, LinkLimits};
 use dalestand_planner::{ScalingDecision, ZoneEngines};
-use dalestand_routes::{RouteTable, SplitPicker};
+use dalestand_routes::{RouteTable, WeightedRoundRobin};
 use dalestand_routing::staged::{EngineKey, LinkQueue, StagedRouter};
 use dalestand_routing::{NodeCount, SharedRetryBudget};
 use dalestand_types::{MonotonicTime, PoolName, ZoneName};
@@ -65,7 +65,7 @@
     /// What this node's link has not yet carried.
     pub(crate) uplink: RefCell<LinkQueue>,
     pub(crate) budget: RefCell<SharedRetryBudget>,
-    pub(crate) splits: RefCell<SplitPicker>,
+    pub(crate) splits: RefCell<WeightedRoundRobin>,
     /// Rung when this node's work at an engine has changed.
     pub(crate) work_changed: Notify,
     /// Fleet-wide state that nodes pass on to each other.
@@ -191,7 +191,7 @@
             let table = self.table.borrow();
             !table
                 .as_ref()
-                .is_some_and(|table| table.has_pools_of(&former))
+                .is_some_and(|table| table.has_same_pools(&former))
         });
         // Most declarations change routes only.
         if terms_changed {
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -16,7 +16,7 @@
     Autoscaler, ClassWorkload, PoolWorkload, ScalingBounds, ScalingDecision, ScalingInputs,
     SpotLossTracker, ZoneEngines, ZoneSpotEngines,
 };
-use dalestand_routes::ScalingTerms;
+use dalestand_routes::ScalingConfig;
 use dalestand_routing::ClassFigures;
 use dalestand_routing::staged::Stage;
 use dalestand_telemetry::{Event, log_event};
@@ -96,7 +96,7 @@
     }
 }
 
-fn scaled_pools(context: &Context) -> Vec<(PoolName, ScalingTerms)> {
+fn scaled_pools(context: &Context) -> Vec<(PoolName, ScalingConfig)> {
     let table = context.table();
     let pools = table.iter().flat_map(|table| table.pools());
     let scaled = pools.filter_map(|pool| Some((pool.name.clone(), pool.scaling.clone()?)));
@@ -149,12 +149,12 @@
     speeds.usual_s(Stage::Prefill, 1.0) - speeds.usual_s(Stage::Prefill, 0.0)
 }
 
-fn boot(terms: &ScalingTerms) -> Duration {
+fn boot(terms: &ScalingConfig) -> Duration {
     // A time that is none is taken for no time: orders are looked at again after the margin.
     Duration::try_from_secs_f64(terms.boot_s).unwrap_or_default()
 }
 
-fn bounds(terms: &ScalingTerms) -> ScalingBounds {
+fn bounds(terms: &ScalingConfig) -> ScalingBounds {
     ScalingBounds {
         min: terms.min,
         max: terms.max,
@@ -192,7 +192,7 @@
     }
 
     /// A node that hears no others knows its own figures only: they are not the fleet's.
-    fn follow_demand(&mut self, pool: &PoolName, terms: &ScalingTerms) {
+    fn follow_demand(&mut self, pool: &PoolName, terms: &ScalingConfig) {
         let now = self.context.now();
         let known = self.pools.entry(pool.clone()).or_default();
         if self.context.dissemination.is_isolated(now) {
@@ -203,7 +203,7 @@
         }
     }
 
-    async fn look_at(&mut self, pool: &PoolName, terms: &ScalingTerms) {
+    async fn look_at(&mut self, pool: &PoolName, terms: &ScalingConfig) {
         let standing = self.context.zone_engines(pool);
         if self
             .pools
@@ -225,7 +225,7 @@
     async fn order(
         &mut self,
         pool: &PoolName,
-        terms: &ScalingTerms,
+        terms: &ScalingConfig,
         standing: &BTreeMap<ZoneName, ZoneEngines>,
     ) {
         let Some(account) = self.decide(pool, terms, standing) else {
@@ -325,7 +325,7 @@
     fn decide(
         &self,
         pool: &PoolName,
-        terms: &ScalingTerms,
+        terms: &ScalingConfig,
         serving: &BTreeMap<ZoneName, ZoneEngines>,
     ) -> Option<ScalingDecision> {
         let known = self.pools.get(pool)?;
@@ -363,7 +363,7 @@
         &mut self,
         pool: &PoolName,
         order: DueOrder,
-        terms: &ScalingTerms,
+        terms: &ScalingConfig,
         account: &ScalingDecision,
     ) -> bool {
         // Looked at again right before the call.
--- a/crates/forwarding/src/fleet/engines.rs
+++ b/crates/forwarding/src/fleet/engines.rs
@@ -7,7 +7,7 @@
 use dalestand_dissemination::EngineCode;
 use dalestand_edge::routed::EngineEntry;
 use dalestand_engine_link::LinkTarget;
-use dalestand_routes::{PoolTerms, RouteTable};
+use dalestand_routes::{PoolConfig, RouteTable};
 use dalestand_routing::staged::{EngineKey, EnginePool, Stage, StagedEngine};
 use dalestand_types::{PoolName, Role};
 
@@ -201,7 +201,7 @@
     }
 }
 
-fn staged(key: EngineKey, entry: &EngineEntry, terms: Option<&PoolTerms>) -> StagedEngine {
+fn staged(key: EngineKey, entry: &EngineEntry, terms: Option<&PoolConfig>) -> StagedEngine {
     let prompt = terms.and_then(|terms| terms.prompt_engine);
     StagedEngine {
         key,
--- a/crates/forwarding/src/quarantine/run_watch.rs
+++ b/crates/forwarding/src/quarantine/run_watch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use dalestand_engine_link::AnswerBody;
+use dalestand_engine_link::ResponseBody;
 use dalestand_quarantine::{EngineRunId, RequestFingerprint};
 use dalestand_routing::staged::StagedEngine;
 use dalestand_telemetry::{Event, log_event};
@@ -70,9 +70,9 @@
 
     /// Notes that the engine answered in whole. Only an answer that says where it ends tells: one
     /// without a length ends as well where its engine does.
-    pub(crate) fn answered(&mut self, body: &AnswerBody) {
+    pub(crate) fn answered(&mut self, body: &ResponseBody) {
         self.is_over = true;
-        if let Some(fingerprint) = self.fingerprint.filter(|_| body.says_its_end()) {
+        if let Some(fingerprint) = self.fingerprint.filter(|_| body.is_self_delimited()) {
             completed(&self.context, fingerprint);
         }
     }
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -46,7 +46,7 @@
     progress: &mut Progress,
     pool: &PoolName,
 ) -> Result<Admission, Failure> {
-    if !progress.table.is_competed_for(pool) {
+    if !progress.table.ranks_requests(pool) {
         return Ok(Admission::Ungated);
     }
     let desk = context.admissions.desk(pool);
--- a/crates/forwarding/src/serve/admit.rs
+++ b/crates/forwarding/src/serve/admit.rs
@@ -8,7 +8,7 @@
 use dalestand_clock::BootInstant;
 use dalestand_http_server::{HttpMessage as _, HttpServerError, Request, read_body};
 use dalestand_quarantine::{RequestFingerprint, RequestIdentity};
-use dalestand_routes::{Caller, RouteTerms};
+use dalestand_routes::{Caller, RouteConfig};
 use dalestand_types::PoolName;
 
 use crate::context::Context;
@@ -26,7 +26,7 @@
         .find(host(request), request.path())
         .ok_or(Failure::NoRoute)?;
     let route = Arc::clone(route);
-    let caller = table.identify(&route, &facts.key);
+    let caller = table.authenticate(&route, &facts.key);
     let caller = caller.map_err(|_| Failure::Unauthorized)?;
     if caller.tenant().is_some() && !context.keys_hold() {
         return Err(Failure::NoConfiguration);
@@ -66,7 +66,7 @@
 }
 
 /// By what a request is counted. A route without a pool is none that a declaration may have.
-fn class(route: &RouteTerms, caller: &Caller, pools: &[PoolName]) -> ClassKey {
+fn class(route: &RouteConfig, caller: &Caller, pools: &[PoolName]) -> ClassKey {
     let of_tenant = caller.tenant().and_then(|tenant| tenant.priority);
     let pool = pools.first().or(route.pools.first().map(|part| &part.pool));
     let pool = pool.cloned().unwrap_or_else(|| PoolName::from(""));
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -8,7 +8,7 @@
 use actix_http::header::CONTENT_ENCODING;
 use dalestand_clock::{BootInstant, timeout};
 use dalestand_edge::routed::EngineTerms;
-use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
+use dalestand_engine_link::{Exchange, LinkTarget, ResponseBody, ResponseHead, SendError};
 use dalestand_quarantine::STOP_AFTER_CRASHES;
 use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
 use dalestand_routing::{CallOutcome, CallPurpose, RepeatedSend};
@@ -27,7 +27,7 @@
 /// An answer's head that was found to be that of this request.
 pub(crate) struct EngineAnswer {
     pub(crate) head: ResponseHead,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
     pub(crate) choice: EngineChoice,
     pub(crate) work: WorkGuard,
     pub(crate) watch: RunWatch,
@@ -352,7 +352,7 @@
         SendError::NoConnection(_) => Judged::NoConnection,
         SendError::NoListener(_) => Judged::NoListener,
         SendError::NotSent(_) => Judged::NotSent,
-        SendError::Withheld => Judged::Withheld,
+        SendError::NotEligible => Judged::Withheld,
         SendError::MayHaveRun(_) => Judged::Broken,
     }
 }
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -129,9 +129,9 @@
         is_open
     };
     let link = &context.link;
-    let sent = link.send_while(target, max_connections, head, body, is_open);
+    let sent = link.send_if(target, max_connections, head, body, is_open);
     let exchange = sent.await.map_err(|error| match error {
-        SendError::Withheld => {
+        SendError::NotEligible => {
             CallError::Closed(closed().unwrap_or(ClosedReason::Limit(context.now())))
         }
         error => CallError::Link(error),
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -10,7 +10,7 @@
 use dalestand_clock::BootInstant;
 use dalestand_edge::routed::RequestFacts;
 use dalestand_quarantine::RequestFingerprint;
-use dalestand_routes::{Caller, RouteTable, RouteTerms};
+use dalestand_routes::{Caller, RouteConfig, RouteTable};
 use dalestand_routing::staged::{
     ClosedReason, EngineChoice, EngineKey, LatencyEstimate, PromptPart, StagedRequest,
 };
@@ -143,7 +143,7 @@
     pub(crate) caller: Caller,
     pub(crate) passed: PassedRequest,
     pub(crate) table: Rc<RouteTable>,
-    pub(crate) route: Arc<RouteTerms>,
+    pub(crate) route: Arc<RouteConfig>,
     pub(crate) pools: Vec<PoolName>,
     pub(crate) fingerprint: Option<RequestFingerprint>,
     pub(crate) class: ClassKey,
@@ -157,7 +157,7 @@
     pub(crate) caller: Caller,
     pub(crate) passed: PassedRequest,
     pub(crate) table: Rc<RouteTable>,
-    pub(crate) route: Arc<RouteTerms>,
+    pub(crate) route: Arc<RouteConfig>,
     /// The first of its pools and its priority.
     pub(crate) class: ClassKey,
     /// Its class and its tenant's number, where tenants are declared.
--- a/crates/forwarding/src/serve/relay.rs
+++ b/crates/forwarding/src/serve/relay.rs
@@ -204,7 +204,7 @@
             _ => Unfinished::BrokenOff,
         });
         // The former run ends before another begins.
-        self.answer.body.abandon();
+        self.answer.body.abort();
         self.progress.facts.last_event = self.last_event;
         let resumed = resume(&self.context, &mut self.progress, &self.pool).await;
         self.answer = resumed.ok_or(RelayError::BrokenOff)?;
--- a/crates/routes/src/file.rs
+++ b/crates/routes/src/file.rs
@@ -5,7 +5,7 @@
 use dalestand_types::{PoolName, Revision, ZoneName};
 use serde::{Deserialize, Serialize};
 
-use crate::tenant::TenantTerms;
+use crate::tenant::TenantConfig;
 
 /// A whole declaration, applied at once.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -15,16 +15,16 @@
     pub revision: Revision,
     /// The routes.
     #[serde(rename = "route", default)]
-    pub routes: Vec<RouteTerms>,
+    pub routes: Vec<RouteConfig>,
     /// The pools that routes name.
     #[serde(rename = "pool", default)]
-    pub pools: Vec<PoolTerms>,
+    pub pools: Vec<PoolConfig>,
     /// Bounds on what callers send.
     #[serde(default)]
-    pub callers: CallerBounds,
+    pub callers: CallerLimits,
     /// The tenants; where there are any, callers show a key.
     #[serde(rename = "tenant", default)]
-    pub tenants: Vec<TenantTerms>,
+    pub tenants: Vec<TenantConfig>,
 }
 
 /// What may be done with a request whose attempt failed.
@@ -66,7 +66,7 @@
 /// One route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RouteTerms {
+pub struct RouteConfig {
     /// Name, for people.
     pub name: String,
     /// Host that callers name, without a port.
@@ -98,23 +98,23 @@
 /// One pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PoolTerms {
+pub struct PoolConfig {
     /// Its name.
     pub name: PoolName,
     /// Most connections that one engine takes from all callers together.
     pub max_connections: u32,
     /// What is known of its engines if they are language-model engines.
     #[serde(default)]
-    pub prompt_engine: Option<PromptEngineTerms>,
+    pub prompt_engine: Option<PromptEngineConfig>,
     /// How many engines there may be, where the fleet orders them itself.
     #[serde(default)]
-    pub scaling: Option<ScalingTerms>,
+    pub scaling: Option<ScalingConfig>,
 }
 
 /// Bounds on the number of a pool's engines, and what they cost.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ScalingTerms {
+pub struct ScalingConfig {
     /// Fewest engines of a zone.
     pub min: u32,
     /// Most engines of a zone.
@@ -133,7 +133,7 @@
 /// Figures of a pool of language-model engines.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct PromptEngineTerms {
+pub struct PromptEngineConfig {
     /// Requests in one batch.
     pub slots: u32,
     /// Tokens that its memory holds.
@@ -147,7 +147,7 @@
 /// Bounds on what callers send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct CallerBounds {
+pub struct CallerLimits {
     /// Longest body, in bytes.
     pub max_body_bytes: usize,
     /// Longest head, in bytes.
@@ -158,7 +158,7 @@
     pub idle_timeout_ms: u64,
 }
 
-impl Default for CallerBounds {
+impl Default for CallerLimits {
     fn default() -> Self {
         Self {
             max_body_bytes: 4 << 20,
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -4,14 +4,14 @@
 //! are looked up in. A table never changes: a newer version is another table.
 
 mod file;
-mod split;
 mod table;
 mod tenant;
+mod weighted_round_robin;
 
 pub use file::{
-    CallerBounds, PoolTerms, PromptEngineTerms, RouteFile, RouteKind, RouteTerms, ScalingTerms,
+    CallerLimits, PoolConfig, PromptEngineConfig, RouteConfig, RouteFile, RouteKind, ScalingConfig,
     WeightedPool,
 };
-pub use split::SplitPicker;
-pub use table::{RouteFault, RouteTable};
-pub use tenant::{ApiKey, Caller, PresentedKey, Tenant, TenantTerms, Unauthorized};
+pub use table::{RouteFileError, RouteTable};
+pub use tenant::{ApiKey, Caller, PresentedKey, Tenant, TenantConfig, Unauthorized};
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -5,12 +5,12 @@
 
 use dalestand_types::{PoolName, Revision, TenantName};
 
-use crate::file::{CallerBounds, PoolTerms, RouteFile, RouteTerms};
-use crate::tenant::{Caller, KeyIndex, PresentedKey, Tenant, TenantTerms, Unauthorized};
+use crate::file::{CallerLimits, PoolConfig, RouteConfig, RouteFile};
+use crate::tenant::{Caller, KeyIndex, PresentedKey, Tenant, TenantConfig, Unauthorized};
 
 /// Why a declaration cannot come into force.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-pub enum RouteFault {
+pub enum RouteFileError {
     /// The text is not a declaration.
     #[error("not a route file: {0}")]
     Unreadable(String),
@@ -48,9 +48,9 @@
 pub struct RouteTable {
     revision: Revision,
     /// Routes of a host, longest prefix first.
-    hosts: HashMap<String, Vec<Arc<RouteTerms>>>,
-    pools: HashMap<PoolName, Arc<PoolTerms>>,
-    callers: CallerBounds,
+    hosts: HashMap<String, Vec<Arc<RouteConfig>>>,
+    pools: HashMap<PoolName, Arc<PoolConfig>>,
+    callers: CallerLimits,
     /// Pools whose requests are not all as urgent as each other.
     ranked: HashSet<PoolName>,
     tenants: Vec<Arc<Tenant>>,
@@ -60,14 +60,14 @@
 
 impl RouteTable {
     /// Parses and checks a declaration in TOML.
-    pub fn parse(text: &str) -> Result<Self, Vec<RouteFault>> {
+    pub fn parse(text: &str) -> Result<Self, Vec<RouteFileError>> {
         let file = toml::from_str(text);
-        let file = file.map_err(|error| vec![RouteFault::Unreadable(error.to_string())])?;
+        let file = file.map_err(|error| vec![RouteFileError::Unreadable(error.to_string())])?;
         Self::new(file)
     }
 
     /// Checks a declaration; every fault is listed.
-    pub fn new(file: RouteFile) -> Result<Self, Vec<RouteFault>> {
+    pub fn new(file: RouteFile) -> Result<Self, Vec<RouteFileError>> {
         let mut table = Self {
             revision: file.revision,
             callers: file.callers,
@@ -100,14 +100,14 @@
     }
 
     /// Whether the pools of `other` are declared alike here, and no others.
-    pub fn has_pools_of(&self, other: &Self) -> bool {
+    pub fn has_same_pools(&self, other: &Self) -> bool {
         self.pools == other.pools
     }
 
-    fn check(&self, route: &RouteTerms, faults: &mut Vec<RouteFault>) {
+    fn check(&self, route: &RouteConfig, faults: &mut Vec<RouteFileError>) {
         let prefix = &route.path_prefix;
         if !prefix.starts_with('/') || !prefix.ends_with('/') {
-            faults.push(RouteFault::Prefix {
+            faults.push(RouteFileError::Prefix {
                 route: route.name.clone(),
                 prefix: prefix.clone(),
             });
@@ -115,19 +115,19 @@
         let known = self.hosts.get(&host_of(&route.host));
         let same = known.and_then(|routes| routes.iter().find(|one| one.path_prefix == *prefix));
         if let Some(first) = same {
-            faults.push(RouteFault::Twice {
+            faults.push(RouteFileError::Twice {
                 first: first.name.clone(),
                 second: route.name.clone(),
             });
         }
         if route.pools.iter().all(|part| part.weight == 0) {
-            faults.push(RouteFault::NoPool {
+            faults.push(RouteFileError::NoPool {
                 route: route.name.clone(),
             });
         }
         for part in &route.pools {
             if !self.pools.contains_key(&part.pool) {
-                faults.push(RouteFault::UnknownPool {
+                faults.push(RouteFileError::UnknownPool {
                     route: route.name.clone(),
                     pool: part.pool.clone(),
                 });
@@ -139,7 +139,7 @@
         ];
         for (field, value) in figures {
             if value == 0 {
-                faults.push(RouteFault::Zero {
+                faults.push(RouteFileError::Zero {
                     route: route.name.clone(),
                     field,
                 });
@@ -153,19 +153,23 @@
     }
 
     /// Bounds on callers.
-    pub fn callers(&self) -> &CallerBounds {
+    pub fn callers(&self) -> &CallerLimits {
         &self.callers
     }
 
     /// The route of the longest prefix that begins `path`, among those of `host`.
-    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteTerms>> {
+    pub fn find(&self, host: &str, path: &str) -> Option<&Arc<RouteConfig>> {
         let routes = self.hosts.get(&host_of(host))?;
         let mut routes = routes.iter();
         routes.find(|route| path.starts_with(&route.path_prefix))
     }
 
     /// Whose request it is that came on `route` with `key`.
-    pub fn identify(&self, route: &RouteTerms, key: &PresentedKey) -> Result<Caller, Unauthorized> {
+    pub fn authenticate(
+        &self,
+        route: &RouteConfig,
+        key: &PresentedKey,
+    ) -> Result<Caller, Unauthorized> {
         let Some(keys) = &self.keys else {
             return Ok(Caller::Untenanted);
         };
@@ -185,23 +189,23 @@
     }
 
     /// A pool by its name.
-    pub fn pool(&self, name: &PoolName) -> Option<&Arc<PoolTerms>> {
+    pub fn pool(&self, name: &PoolName) -> Option<&Arc<PoolConfig>> {
         self.pools.get(name)
     }
 
     /// All pools.
-    pub fn pools(&self) -> impl Iterator<Item = &Arc<PoolTerms>> {
+    pub fn pools(&self) -> impl Iterator<Item = &Arc<PoolConfig>> {
         self.pools.values()
     }
 
     /// Whether routes of a pool differ in priority, or tenants have priorities of their own.
-    pub fn differs_in_priority(&self, pool: &PoolName) -> bool {
+    pub fn has_mixed_priorities(&self, pool: &PoolName) -> bool {
         self.ranked.contains(pool)
     }
 
     /// Whether requests for a pool compete by anything but the time they come: by priority, or by tenant.
-    pub fn is_competed_for(&self, pool: &PoolName) -> bool {
-        self.keys.is_some() || self.differs_in_priority(pool)
+    pub fn ranks_requests(&self, pool: &PoolName) -> bool {
+        self.keys.is_some() || self.has_mixed_priorities(pool)
     }
 
     /// Pools whose requests differ in priority.
@@ -241,20 +245,20 @@
 
 /// Keeps the keys of all tenants, as hashes, and the tenants themselves.
 fn index_keys(
-    tenants: Vec<TenantTerms>,
-    faults: &mut Vec<RouteFault>,
+    tenants: Vec<TenantConfig>,
+    faults: &mut Vec<RouteFileError>,
 ) -> (KeyIndex, Vec<Arc<Tenant>>) {
     let mut keys = KeyIndex::new();
     let mut known = Vec::new();
     let mut names = HashSet::new();
     for terms in tenants {
         if !names.insert(terms.name.clone()) {
-            faults.push(RouteFault::TenantTwice(terms.name.clone()));
+            faults.push(RouteFileError::TenantTwice(terms.name.clone()));
         }
         if let Some(weight) = terms.weight
             && !(weight.is_finite() && weight > 0.0)
         {
-            faults.push(RouteFault::Weight {
+            faults.push(RouteFileError::Weight {
                 tenant: terms.name.clone(),
                 weight,
             });
@@ -266,9 +270,9 @@
         });
         for key in &terms.keys {
             if key.is_empty() {
-                faults.push(RouteFault::EmptyKey(terms.name.clone()));
+                faults.push(RouteFileError::EmptyKey(terms.name.clone()));
             } else if !keys.add(key, &tenant) {
-                faults.push(RouteFault::KeyTwice(terms.name.clone()));
+                faults.push(RouteFileError::KeyTwice(terms.name.clone()));
             }
         }
         known.push(tenant);
--- a/crates/routes/src/tenant.rs
+++ b/crates/routes/src/tenant.rs
@@ -33,7 +33,7 @@
 /// A tenant as an operator declares it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TenantTerms {
+pub struct TenantConfig {
     /// Its name, which engines are told.
     pub name: TenantName,
     /// The keys of its callers.
--- a/crates/routes/src/split.rs
+++ b/crates/routes/src/weighted_round_robin.rs
@@ -4,19 +4,19 @@
 
 use dalestand_types::PoolName;
 
-use crate::file::RouteTerms;
+use crate::file::RouteConfig;
 
 /// Smooth weighted round robin, one state a route: over any run of requests each pool's share is
 /// off its weight by less than one request, so that the shares of many nodes add up to the weights
 /// without a word between them.
 #[derive(Clone, Debug, Default)]
-pub struct SplitPicker {
+pub struct WeightedRoundRobin {
     routes: HashMap<String, HashMap<PoolName, i64>>,
 }
 
-impl SplitPicker {
+impl WeightedRoundRobin {
     /// The pools of a route, the one whose turn it is first.
-    pub fn pick(&mut self, route: &RouteTerms) -> Vec<PoolName> {
+    pub fn pick(&mut self, route: &RouteConfig) -> Vec<PoolName> {
         if let [only] = route.pools.as_slice() {
             return vec![only.pool.clone()];
         }
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,6 +1,6 @@
 //! Lookup, checks and shares of routes.
 
-use dalestand_routes::{RouteFault, RouteTable, SplitPicker};
+use dalestand_routes::{RouteFileError, RouteTable, WeightedRoundRobin};
 use dalestand_types::{PoolName, Revision};
 use proptest::prelude::*;
 use rstest::rstest;
@@ -66,10 +66,10 @@
         .replace("max_attempts = 2", "max_attempts = 0");
     let faults = RouteTable::parse(&text).expect_err("a faulty file");
     assert_eq!(faults.len(), 4, "{faults:?}");
-    assert!(matches!(faults[0], RouteFault::NoPool { .. }));
-    assert!(matches!(faults[1], RouteFault::UnknownPool { .. }));
-    assert!(matches!(faults[2], RouteFault::Prefix { .. }));
-    assert!(matches!(faults[3], RouteFault::Zero { .. }));
+    assert!(matches!(faults[0], RouteFileError::NoPool { .. }));
+    assert!(matches!(faults[1], RouteFileError::UnknownPool { .. }));
+    assert!(matches!(faults[2], RouteFileError::Prefix { .. }));
+    assert!(matches!(faults[3], RouteFileError::Zero { .. }));
 }
 
 #[rstest]
@@ -86,7 +86,7 @@
         let text = FILE.replace("weight = 90 }, { pool = \"records\", weight = 10 }", &weights);
         let table = RouteTable::parse(&text).expect("a sound file");
         let route = table.find("archive.example", "/caption/1").expect("the route");
-        let mut picker = SplitPicker::default();
+        let mut picker = WeightedRoundRobin::default();
         let mut taken = 0_f64;
         for count in 1..=requests {
             let pools = picker.pick(route);
@@ -119,10 +119,10 @@
     let text = format!("{FILE}{route}\n{tenant}\n{tenant_priority}\n");
     let table = RouteTable::parse(&text).expect("a sound file");
     let records = PoolName::from("records");
-    assert_eq!(table.differs_in_priority(&records), differs);
-    assert_eq!(table.is_competed_for(&records), competed_for);
+    assert_eq!(table.has_mixed_priorities(&records), differs);
+    assert_eq!(table.ranks_requests(&records), competed_for);
     // One route alone names the other pool.
     let captions = PoolName::from("captions");
     let by_tenant = !tenant_priority.is_empty();
-    assert_eq!(table.differs_in_priority(&captions), by_tenant);
+    assert_eq!(table.has_mixed_priorities(&captions), by_tenant);
 }
--- a/crates/routes/tests/tenants.rs
+++ b/crates/routes/tests/tenants.rs
@@ -1,6 +1,6 @@
 //! Tenants: whose request it is, and what is never shown.
 
-use dalestand_routes::{ApiKey, Caller, PresentedKey, RouteFault, RouteTable, Unauthorized};
+use dalestand_routes::{ApiKey, Caller, PresentedKey, RouteFileError, RouteTable, Unauthorized};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -54,7 +54,7 @@
 
 fn identified(table: &RouteTable, path: &str, key: &PresentedKey) -> Result<String, Unauthorized> {
     let route = table.find("archive.example", path).expect("a route");
-    let caller = table.identify(route, key)?;
+    let caller = table.authenticate(route, key)?;
     Ok(match caller {
         Caller::Untenanted => "untenanted".to_owned(),
         Caller::Anonymous => "anonymous".to_owned(),
@@ -107,9 +107,9 @@
     assert_eq!(
         faults,
         [
-            RouteFault::EmptyKey("one".into()),
-            RouteFault::TenantTwice("one".into()),
-            RouteFault::KeyTwice("one".into()),
+            RouteFileError::EmptyKey("one".into()),
+            RouteFileError::TenantTwice("one".into()),
+            RouteFileError::KeyTwice("one".into()),
         ]
     );
     assert!(!format!("{faults:?}").contains("same-key"));
