--- a/crates/forwarding/src/quarantine/run_watch.rs
+++ b/crates/forwarding/src/quarantine/run_watch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use dalestand_engine_link::AnswerBody;
+use dalestand_engine_link::ResponseBody;
 use dalestand_quarantine::{EngineRunId, RequestFingerprint};
 use dalestand_routing::staged::StagedEngine;
 use dalestand_telemetry::{Event, log_event};
@@ -70,9 +70,9 @@
 
     /// Records a complete answer. It counts as a completion only if the response is
     /// self-delimiting: without a length, a body also ends when the engine crashes.
-    pub(crate) fn record_answer(&mut self, body: &AnswerBody) {
+    pub(crate) fn record_answer(&mut self, body: &ResponseBody) {
         self.is_over = true;
-        if let Some(fingerprint) = self.fingerprint.filter(|_| body.says_its_end()) {
+        if let Some(fingerprint) = self.fingerprint.filter(|_| body.is_self_delimited()) {
             record_completion(&self.context, fingerprint);
         }
     }
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -48,7 +48,7 @@
     progress: &mut Progress,
     pool: &PoolName,
 ) -> Result<Admission, Failure> {
-    if !progress.table.is_competed_for(pool) {
+    if !progress.table.ranks_requests(pool) {
         return Ok(Admission::Unrestricted);
     }
     let state = context.admissions.pool_state(pool);
--- a/crates/forwarding/src/serve/answer_stream.rs
+++ b/crates/forwarding/src/serve/answer_stream.rs
@@ -210,7 +210,7 @@
             _ => UnfinishedReason::BrokenOff,
         });
         // Ends the previous run before another one starts.
-        self.answer.body.abandon();
+        self.answer.body.abort();
         self.progress.facts.last_event = self.last_event;
         let resumed = resume(&self.context, &mut self.progress, &self.pool).await;
         self.answer = resumed.ok_or(AnswerStreamError::BrokenOff)?;
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -8,7 +8,7 @@
 use actix_http::header::CONTENT_ENCODING;
 use dalestand_clock::{BootInstant, timeout};
 use dalestand_edge::routed::EngineTerms;
-use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
+use dalestand_engine_link::{Exchange, LinkTarget, ResponseBody, ResponseHead, SendError};
 use dalestand_quarantine::STOP_AFTER_CRASHES;
 use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
 use dalestand_routing::{CallOutcome, CallPurpose, RepeatedSend};
@@ -29,7 +29,7 @@
 /// The response to a call, after its head was found to belong to the request.
 pub(crate) struct EngineAnswer {
     pub(crate) head: ResponseHead,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
     pub(crate) choice: EngineChoice,
     pub(crate) work: WorkGuard,
     pub(crate) watch: RunWatch,
@@ -367,7 +367,7 @@
         SendError::NoConnection(_) => Verdict::NoConnection,
         SendError::NoListener(_) => Verdict::NoListener,
         SendError::NotSent(_) => Verdict::NotSent,
-        SendError::Withheld => Verdict::Withheld,
+        SendError::NotEligible => Verdict::Withheld,
         SendError::MayHaveRun(_) => Verdict::Broken,
     }
 }
