--- a/crates/forwarding/tests/serving.rs
+++ b/crates/forwarding/tests/serving.rs
@@ -278,7 +278,7 @@
 #[actix_rt::test]
 async fn engines_whose_entries_lapsed_with_the_store_are_used_until_they_had_time_to_return() {
     let (node, engines) = node("repeatable", 2, &[succeeding, succeeding]).await;
-    node.store.set_away(true);
+    node.store.set_unavailable(true);
     node.settle().await;
     for engine in ["engines/e0", "engines/e1"] {
         node.store.write(engine, None);
@@ -296,7 +296,7 @@
 #[actix_rt::test]
 async fn engines_whose_entries_end_all_at_once_are_used_until_they_had_time_to_return() {
     let (node, engines) = node("repeatable", 2, &[succeeding, succeeding]).await;
-    node.store.hold_watches(true);
+    node.store.mute_watches(true);
     for engine in ["engines/e0", "engines/e1"] {
         node.store.write(engine, None);
     }
