--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -21,7 +21,7 @@
 use crate::view::{EngineView, FleetView};
 
 /// Time constant of the admission rate, in seconds: long enough to measure rarely requested models.
-const ADMISSION_RATE_TIME_S: f64 = 10.0;
+const ADMISSION_RATE_TIME_CONSTANT_S: f64 = 10.0;
 
 /// Converts a priority, where a higher number is more important, to the order of retry slots, where 0 comes first.
 fn urgency(priority: Priority) -> u8 {
@@ -124,7 +124,7 @@
     }
 
     fn count_admitted(&mut self, now: MonotonicTime, model: &ModelName) {
-        let new_rate = || DecayingRate::with_time_constant(ADMISSION_RATE_TIME_S);
+        let new_rate = || DecayingRate::with_time_constant(ADMISSION_RATE_TIME_CONSTANT_S);
         let rate = self.admitted.entry(model.clone()).or_insert_with(new_rate);
         rate.count(now, 1.0);
     }
@@ -147,8 +147,8 @@
         slot.delay().min(longest)
     }
 
-    /// Records that a request was sent. The ticket is to be passed to [`Self::finished`] when the request has ended.
-    pub fn sent(
+    /// Records that a request was sent. The ticket is to be passed to [`Self::record_finished`] when it has ended.
+    pub fn record_sent(
         &mut self,
         now: MonotonicTime,
         engine: &EngineView,
@@ -198,7 +198,7 @@
     }
 
     /// Records the first token of a request (for a prefill only, its end).
-    pub fn first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
+    pub fn record_first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
         if ticket.first_token_at.is_some() {
             return;
         }
@@ -222,7 +222,7 @@
     }
 
     /// Records the end of a request.
-    pub fn finished(&mut self, now: MonotonicTime, ticket: &Ticket, completion: Completion) {
+    pub fn record_finished(&mut self, now: MonotonicTime, ticket: &Ticket, completion: Completion) {
         self.sent_requests.remove(ticket);
         if let Some(found) = completion.cached_tokens {
             let speeds = self.learned.role_mut(&ticket.pool, ticket.role);
