--- a/crates/routes/src/file.rs
+++ b/crates/routes/src/file.rs
@@ -1,4 +1,4 @@
-//! What an operator declares: routes, pools of engines and bounds on callers.
+//! The declaration that an operator writes: routes, engine pools, tenants and limits on callers.
 
 use std::collections::BTreeMap;
 
@@ -7,154 +7,153 @@
 
 use crate::tenant::TenantConfig;
 
-/// A whole declaration, applied at once.
+/// A complete declaration, applied as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteFile {
-    /// Rises with each declaration; an older one never comes back into force.
+    /// Increases with each declaration. A declaration with a lower revision than the current one is
+    /// not applied.
     pub revision: Revision,
     /// The routes.
     #[serde(rename = "route", default)]
     pub routes: Vec<RouteConfig>,
-    /// The pools that routes name.
+    /// The pools that routes may name.
     #[serde(rename = "pool", default)]
     pub pools: Vec<PoolConfig>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests and connections.
     #[serde(default)]
     pub callers: CallerLimits,
-    /// The tenants; where there are any, callers show a key.
+    /// The tenants. If there are any, callers must present an API key.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<TenantConfig>,
 }
 
-/// What may be done with a request whose attempt failed.
+/// Whether and how a request may be retried after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteKind {
-    /// May run more than once.
+    /// A request that may run more than once.
     Repeatable,
-    /// May run at most once.
+    /// A request that may run at most once.
     Once,
-    /// A stream of events that may run at most once.
+    /// A request for an event stream that may run at most once.
     Stream,
-    /// A stream of events that another engine may take up after the last event received.
+    /// A request for an event stream that another engine can resume after the last event received.
     ResumableStream,
 }
 
 impl RouteKind {
-    /// Whether a request may run again after an attempt that may have run.
+    /// Whether a request may be retried after an attempt that may have run.
     pub fn is_repeatable(self) -> bool {
         matches!(self, Self::Repeatable | Self::ResumableStream)
     }
 
-    /// Whether answers are streams of events.
+    /// Whether responses are event streams.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 }
 
-/// A pool with its share of a route's requests.
+/// A pool and its weight in a route's traffic split.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedPool {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// Its weight among the route's pools.
+    /// Its share of the route's requests is this weight over the sum of all; 0 for none.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteConfig {
-    /// Name, for people.
+    /// Name shown to operators.
     pub name: String,
-    /// Host that callers name, without a port.
+    /// Host of the request, without a port.
     pub host: String,
-    /// Leading part of the path; begins and ends with a slash.
+    /// Prefix of the request's path; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done after a failed attempt.
+    /// Whether and how requests may be retried.
     pub kind: RouteKind,
-    /// The pools that serve it, by weight.
+    /// The pools that serve the route.
     pub pools: Vec<WeightedPool>,
-    /// Longest time a request is held, in milliseconds.
+    /// Time limit of a request, in milliseconds.
     pub time_limit_ms: u64,
-    /// Time within which an answer (the first event of a stream) is worth its whole credit, in
-    /// milliseconds.
+    /// Latency objective of the response, or of the first event of a stream, in milliseconds.
     pub objective_ms: u64,
-    /// Longest pause between the events of a stream that is still in time, in milliseconds.
+    /// Objective for the longest gap between two events of a stream, in milliseconds.
     #[serde(default)]
     pub pause_objective_ms: Option<u64>,
-    /// Most engines that one request may run on.
+    /// Maximum number of engines that one request may be sent to.
     pub max_attempts: u32,
-    /// Importance; 0 is the highest.
+    /// Priority; 0 is the highest.
     #[serde(default)]
     pub priority: u8,
-    /// Whether it may be used without a key where tenants are declared.
+    /// Whether requests without an API key are accepted although tenants are declared.
     #[serde(default)]
     pub allow_anonymous: bool,
 }
 
-/// One pool.
+/// A pool of engines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PoolConfig {
-    /// Its name.
+    /// Name of the pool.
     pub name: PoolName,
-    /// Most connections that one engine takes from all callers together.
+    /// Maximum number of connections that one engine accepts from all clients together.
     pub max_connections: u32,
-    /// What is known of its engines if they are language-model engines.
+    /// Characteristics of its engines, if they are language-model engines.
     #[serde(default)]
     pub prompt_engine: Option<PromptEngineConfig>,
-    /// How many engines there may be, where the fleet orders them itself.
+    /// Limits for autoscaling; absent if the fleet does not scale the pool.
     #[serde(default)]
     pub scaling: Option<ScalingConfig>,
 }
 
-/// Bounds on the number of a pool's engines, and what they cost.
+/// Limits on the number of a pool's engines, and their prices.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ScalingConfig {
-    /// Fewest engines of a zone.
+    /// Minimum number of engines per zone.
     pub min: u32,
-    /// Most engines of a zone.
+    /// Maximum number of engines per zone.
     pub max: u32,
-    /// Time from the order of an engine until it serves, in seconds.
+    /// Time from ordering an engine until it serves, in seconds.
     pub boot_s: f64,
-    /// Price of an engine that may be taken away, as a share of the price of others; absent where
-    /// there are none.
+    /// Price of a spot engine as a fraction of the on-demand price; absent if there are no spot engines.
     #[serde(default)]
     pub spot_price: Option<f64>,
-    /// Price of an engine by zone, as a multiple of the usual one; the usual one where a zone is not named.
+    /// Price of an engine by zone, as a multiple of the base price; 1 for a zone that is not listed.
     #[serde(default)]
     pub zone_prices: BTreeMap<ZoneName, f64>,
 }
 
-/// Figures of a pool of language-model engines.
+/// Characteristics of a language-model engine, the same for all engines of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PromptEngineConfig {
-    /// Requests in one batch.
+    /// Maximum number of requests in a batch.
     pub slots: u32,
-    /// Tokens that its memory holds.
+    /// Capacity of the KV cache, in tokens.
     pub memory_tokens: u64,
-    /// Bytes of memory of one token.
+    /// Size of the KV cache per token, in bytes.
     pub token_bytes: u64,
-    /// Speed of the link over which memory is moved, in megabits a second.
+    /// Bandwidth of the link over which KV cache is transferred, in megabits per second.
     pub link_mbps: f64,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct CallerLimits {
-    /// Longest body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_head_bytes: usize,
-    /// Time in which a head must arrive, in milliseconds.
+    /// Time limit for receiving a request head, in milliseconds.
     pub head_timeout_ms: u64,
-    /// Time for which an idle connection is kept, in milliseconds.
+    /// Time after which an idle connection is closed, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,7 +1,7 @@
-//! Routes of opaque requests: which pool serves a host and path, and on what terms.
+//! Routes by host and path, the engine pools that serve them, and the tenants that may use them.
 //!
-//! A [`RouteFile`] is what an operator declares; a [`RouteTable`] is the checked form that requests
-//! are looked up in. A table never changes: a newer version is another table.
+//! A [`RouteFile`] is the declaration that an operator writes. A [`RouteTable`] is its validated,
+//! immutable form, in which requests are looked up; a newer declaration makes a new table.
 
 mod file;
 mod table;
--- a/crates/routes/src/tenant.rs
+++ b/crates/routes/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants, and the keys by which their callers are known.
+//! Tenants and the API keys that identify their callers.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -7,18 +7,18 @@
 use dalestand_types::TenantName;
 use serde::{Deserialize, Serialize};
 
-/// A caller's key. Its text is never shown: not in logs, errors or debug output.
+/// An API key. Debug output hides its text, and errors and logs must not contain it.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ApiKey(String);
 
 impl ApiKey {
-    /// The key of this text.
+    /// A key with this text.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// Whether there is nothing in it.
+    /// Whether the text is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -34,56 +34,56 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantConfig {
-    /// Its name, which engines are told.
+    /// Name of the tenant, which engines receive with its requests.
     pub name: TenantName,
-    /// The keys of its callers.
+    /// API keys of its callers.
     #[serde(default)]
     pub keys: Vec<ApiKey>,
-    /// Importance of its requests in place of the route's; 0 is the highest.
+    /// Priority of its requests, which overrides the route's; 0 is the highest.
     #[serde(default)]
     pub priority: Option<u8>,
-    /// Its part of a pool that is short of room, against 1 for tenants without one; above 0.
+    /// Weight of its share of an overloaded pool; above 0, and 1 if absent.
     #[serde(default)]
     pub weight: Option<f64>,
 }
 
-/// The key that came with a request.
+/// The API key of a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum PresentedKey {
-    /// None.
+    /// The request has no key.
     #[default]
     Absent,
-    /// Something that is no key, or more than one.
+    /// The request has something that is not a key, or more than one key.
     Malformed,
-    /// One key.
+    /// The request has one key.
     Key(ApiKey),
 }
 
-/// A tenant as requests carry it.
+/// A declared tenant, without its keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: TenantName,
-    /// Importance in place of the route's.
+    /// Priority that overrides the route's.
     pub priority: Option<u8>,
-    /// Its part of a pool that is short of room, if one is declared.
+    /// Weight of its share of an overloaded pool, if one is declared.
     pub weight: Option<f64>,
 }
 
-/// Whose request it is.
+/// The caller of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Caller {
-    /// No tenants are declared.
+    /// Unknown, since no tenants are declared.
     #[default]
     Untenanted,
-    /// Tenants are declared, and the route may be used without a key.
+    /// A caller without a key, on a route that allows this although tenants are declared.
     Anonymous,
-    /// A tenant's.
+    /// A tenant, identified by its key.
     Tenant(Arc<Tenant>),
 }
 
 impl Caller {
-    /// The tenant, if there is one.
+    /// The tenant, if the caller belongs to one.
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         match self {
             Self::Tenant(tenant) => Some(tenant),
@@ -92,16 +92,16 @@
     }
 }
 
-/// The key is missing, malformed or not known.
+/// The API key is missing, malformed or unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no known key")]
+#[error("no valid API key")]
 pub struct Unauthorized;
 
-/// Finds tenants by keys, of which it keeps only keyed hashes. What a caller sent is hashed before
-/// it is looked up, so that the time of a look-up tells nothing of any key.
+/// Tenants by API key. Only keyed hashes of the keys are stored. A presented key is hashed before the
+/// lookup, so that the lookup's duration reveals nothing about the stored keys.
 #[derive(Clone, Default)]
 pub(crate) struct KeyIndex {
-    /// Drawn anew for each index, so that a hash found in memory is of no use elsewhere.
+    /// Hash key, random for each index, so that a leaked hash cannot be matched elsewhere.
     secret: [u8; blake3::KEY_LEN],
     tenants: HashMap<blake3::Hash, Arc<Tenant>>,
 }
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Adds a key of `tenant`; whether it was not known before.
+    /// Adds a key of `tenant`. Returns false if the key was already present.
     pub(crate) fn add(&mut self, key: &ApiKey, tenant: &Arc<Tenant>) -> bool {
         let hash = self.hash(key);
         self.tenants.insert(hash, Arc::clone(tenant)).is_none()
     }
 
-    /// The tenant whose key this is.
+    /// The tenant with this key.
     pub(crate) fn find(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.tenants.get(&self.hash(key))
     }
--- a/crates/routes/src/weighted_round_robin.rs
+++ b/crates/routes/src/weighted_round_robin.rs
@@ -1,4 +1,4 @@
-//! Divides a route's requests among its pools by weight.
+//! Splits a route's requests among its pools by weight.
 
 use std::collections::HashMap;
 
@@ -6,21 +6,23 @@
 
 use crate::file::RouteConfig;
 
-/// Smooth weighted round robin, one state a route: over any run of requests each pool's share is
-/// off its weight by less than one request, so that the shares of many nodes add up to the weights
-/// without a word between them.
+/// Smooth weighted round robin, with separate state per route. At any time the requests of each pool
+/// deviate from its weight by less than one request, so the traffic of many nodes follows the weights
+/// without coordination.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRoundRobin {
-    routes: HashMap<String, HashMap<PoolName, i64>>,
+    /// Current score of each pool, by route.
+    scores: HashMap<String, HashMap<PoolName, i64>>,
 }
 
 impl WeightedRoundRobin {
-    /// The pools of a route, the one whose turn it is first.
+    /// The pools of a route with a weight above 0, the selected one first, the others as fallbacks in
+    /// order of score.
     pub fn pick(&mut self, route: &RouteConfig) -> Vec<PoolName> {
         if let [only] = route.pools.as_slice() {
             return vec![only.pool.clone()];
         }
-        let scores = self.routes.entry(route.name.clone()).or_default();
+        let scores = self.scores.entry(route.name.clone()).or_default();
         scores.retain(|pool, _| route.pools.iter().any(|part| part.pool == *pool));
         let mut total = 0;
         for part in route.pools.iter().filter(|part| part.weight > 0) {
@@ -41,8 +43,8 @@
         pools.into_iter().cloned().collect()
     }
 
-    /// Forgets routes that `keep` does not name.
+    /// Drops the state of routes for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
-        self.routes.retain(|name, _| keep(name));
+        self.scores.retain(|name, _| keep(name));
     }
 }
--- a/crates/routes/tests/table.rs
+++ b/crates/routes/tests/table.rs
@@ -1,4 +1,4 @@
-//! Lookup, checks and shares of routes.
+//! Lookup and validation of routes, and the split of their requests by weight.
 
 use dalestand_routes::{RouteFileError, RouteTable, WeightedRoundRobin};
 use dalestand_types::{PoolName, Revision};
@@ -38,7 +38,7 @@
 "#;
 
 fn table() -> RouteTable {
-    RouteTable::parse(FILE).expect("a sound file")
+    RouteTable::parse(FILE).expect("a valid file")
 }
 
 #[rstest]
@@ -59,69 +59,72 @@
 }
 
 #[rstest]
-fn every_fault_is_listed() {
+fn all_errors_are_reported() {
     let text = FILE
         .replace("\"/caption/\"", "\"caption\"")
         .replace("\"records\", weight = 1 ", "\"lost\", weight = 0 ")
         .replace("max_attempts = 2", "max_attempts = 0");
-    let faults = RouteTable::parse(&text).expect_err("a faulty file");
-    assert_eq!(faults.len(), 4, "{faults:?}");
-    assert!(matches!(faults[0], RouteFileError::NoPool { .. }));
-    assert!(matches!(faults[1], RouteFileError::UnknownPool { .. }));
-    assert!(matches!(faults[2], RouteFileError::Prefix { .. }));
-    assert!(matches!(faults[3], RouteFileError::Zero { .. }));
+    let errors = RouteTable::parse(&text).expect_err("an invalid file");
+    assert_eq!(errors.len(), 4, "{errors:?}");
+    assert!(matches!(errors[0], RouteFileError::NoPool { .. }));
+    assert!(matches!(errors[1], RouteFileError::UnknownPool { .. }));
+    assert!(matches!(errors[2], RouteFileError::InvalidPrefix { .. }));
+    assert!(matches!(errors[3], RouteFileError::ZeroValue { .. }));
 }
 
 #[rstest]
-fn an_unknown_key_is_a_fault() {
+fn an_unknown_field_is_rejected() {
     let text = FILE.replace("objective_ms = 150", "objectiv_ms = 150");
     assert!(RouteTable::parse(&text).is_err());
 }
 
 proptest! {
-    /// At no moment is a pool's share off its weight by a whole request or more.
+    /// After any number of requests, each pool's count deviates from its weighted share by at most one.
     #[test]
-    fn shares_follow_the_weights(first in 1_u32..100, second in 1_u32..100, requests in 1_usize..400) {
+    fn the_split_follows_the_weights(first in 1_u32..100, second in 1_u32..100, requests in 1_usize..400) {
         let weights = format!("weight = {first} }}, {{ pool = \"records\", weight = {second} }}");
         let text = FILE.replace("weight = 90 }, { pool = \"records\", weight = 10 }", &weights);
-        let table = RouteTable::parse(&text).expect("a sound file");
+        let table = RouteTable::parse(&text).expect("a valid file");
         let route = table.find("archive.example", "/caption/1").expect("the route");
         let mut picker = WeightedRoundRobin::default();
-        let mut taken = 0_f64;
+        let mut picked = 0_f64;
         for count in 1..=requests {
             let pools = picker.pick(route);
             prop_assert_eq!(pools.len(), 2);
-            taken += f64::from(pools[0].as_str() == "captions");
-            let due = count as f64 * f64::from(first) / f64::from(first + second);
-            prop_assert!((taken - due).abs() <= 1.0, "{} of {} taken, {} due", taken, count, due);
+            picked += f64::from(pools[0].as_str() == "captions");
+            let expected = count as f64 * f64::from(first) / f64::from(first + second);
+            prop_assert!(
+                (picked - expected).abs() <= 1.0,
+                "picked {} of {} times, expected {}", picked, count, expected
+            );
         }
     }
 }
 
 #[rstest]
-#[case::alike("", "", "", false, false)]
+#[case::same_priority("", "", "", false, false)]
 #[case::routes_differ("priority = 2", "", "", true, true)]
 #[case::tenants("", "[[tenant]]\nname = \"one\"\nkeys = [\"k\"]", "", false, true)]
-#[case::tenants_rank(
+#[case::tenant_priority(
     "",
     "[[tenant]]\nname = \"one\"\nkeys = [\"k\"]",
     "priority = 1",
     true,
     true
 )]
-fn requests_compete_for_a_pool_by_priority_or_by_tenant(
+fn pools_rank_requests_by_priority_or_tenant(
     #[case] route: &str,
     #[case] tenant: &str,
     #[case] tenant_priority: &str,
-    #[case] differs: bool,
-    #[case] competed_for: bool,
+    #[case] mixed_priorities: bool,
+    #[case] ranked: bool,
 ) {
     let text = format!("{FILE}{route}\n{tenant}\n{tenant_priority}\n");
-    let table = RouteTable::parse(&text).expect("a sound file");
+    let table = RouteTable::parse(&text).expect("a valid file");
     let records = PoolName::from("records");
-    assert_eq!(table.has_mixed_priorities(&records), differs);
-    assert_eq!(table.ranks_requests(&records), competed_for);
-    // One route alone names the other pool.
+    assert_eq!(table.has_mixed_priorities(&records), mixed_priorities);
+    assert_eq!(table.ranks_requests(&records), ranked);
+    // The other pool has a single route, so only tenants can make its priorities differ.
     let captions = PoolName::from("captions");
     let by_tenant = !tenant_priority.is_empty();
     assert_eq!(table.has_mixed_priorities(&captions), by_tenant);
--- a/crates/routes/tests/tenants.rs
+++ b/crates/routes/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: whose request it is, and what is never shown.
+//! Callers are identified by API keys, and keys never appear in errors or debug output.
 
 use dalestand_routes::{ApiKey, Caller, PresentedKey, RouteFileError, RouteTable, Unauthorized};
 use proptest::prelude::*;
@@ -45,7 +45,7 @@
 "#;
 
 fn table(tenants: &str) -> RouteTable {
-    RouteTable::parse(&format!("{ROUTES}{tenants}")).expect("a sound file")
+    RouteTable::parse(&format!("{ROUTES}{tenants}")).expect("a valid file")
 }
 
 fn key(text: &str) -> PresentedKey {
@@ -63,18 +63,18 @@
 }
 
 #[rstest]
-#[case::known("/caption/1", key("second-key"), Ok("registrars Some(0)"))]
+#[case::valid("/caption/1", key("second-key"), Ok("registrars Some(0)"))]
 #[case::of_another_tenant("/caption/1", key("third-key"), Ok("curators None"))]
 #[case::unknown("/caption/1", key("fourth-key"), Err(Unauthorized))]
-#[case::a_part_of_a_key("/caption/1", key("first"), Err(Unauthorized))]
+#[case::prefix_of_a_key("/caption/1", key("first"), Err(Unauthorized))]
 #[case::empty("/caption/1", key(""), Err(Unauthorized))]
 #[case::absent("/caption/1", PresentedKey::Absent, Err(Unauthorized))]
 #[case::malformed("/caption/1", PresentedKey::Malformed, Err(Unauthorized))]
-#[case::open_without("/open/1", PresentedKey::Absent, Ok("anonymous"))]
-#[case::open_with("/open/1", key("first-key"), Ok("registrars Some(0)"))]
-#[case::open_with_unknown("/open/1", key("fourth-key"), Err(Unauthorized))]
-#[case::open_with_malformed("/open/1", PresentedKey::Malformed, Err(Unauthorized))]
-fn callers_are_known_by_their_keys(
+#[case::anonymous_without_key("/open/1", PresentedKey::Absent, Ok("anonymous"))]
+#[case::anonymous_with_key("/open/1", key("first-key"), Ok("registrars Some(0)"))]
+#[case::anonymous_with_unknown_key("/open/1", key("fourth-key"), Err(Unauthorized))]
+#[case::anonymous_with_malformed_key("/open/1", PresentedKey::Malformed, Err(Unauthorized))]
+fn callers_are_identified_by_their_keys(
     #[case] path: &str,
     #[case] key: PresentedKey,
     #[case] expected: Result<&str, Unauthorized>,
@@ -87,13 +87,13 @@
 #[case(key("first-key"))]
 #[case(PresentedKey::Absent)]
 #[case(PresentedKey::Malformed)]
-fn without_tenants_keys_mean_nothing(#[case] key: PresentedKey) {
+fn without_tenants_keys_are_ignored(#[case] key: PresentedKey) {
     let found = identified(&table(""), "/caption/1", &key);
     assert_eq!(found, Ok("untenanted".to_owned()));
 }
 
 #[rstest]
-fn faults_of_tenants_are_all_listed_without_their_keys() {
+fn all_tenant_errors_are_reported_without_keys() {
     let tenants = r#"
 [[tenant]]
 name = "one"
@@ -103,16 +103,16 @@
 name = "one"
 keys = ["same-key"]
 "#;
-    let faults = RouteTable::parse(&format!("{ROUTES}{tenants}")).expect_err("faults");
+    let errors = RouteTable::parse(&format!("{ROUTES}{tenants}")).expect_err("errors");
     assert_eq!(
-        faults,
+        errors,
         [
             RouteFileError::EmptyKey("one".into()),
-            RouteFileError::TenantTwice("one".into()),
-            RouteFileError::KeyTwice("one".into()),
+            RouteFileError::DuplicateTenant("one".into()),
+            RouteFileError::DuplicateKey("one".into()),
         ]
     );
-    assert!(!format!("{faults:?}").contains("same-key"));
+    assert!(!format!("{errors:?}").contains("same-key"));
 }
 
 #[rstest]
@@ -120,18 +120,18 @@
 #[case("-2.5", "-2.5")]
 #[case("nan", "NaN")]
 #[case("inf", "inf")]
-fn weights_that_are_no_numbers_above_0_are_all_listed(#[case] weight: &str, #[case] shown: &str) {
+fn invalid_weights_are_all_reported(#[case] weight: &str, #[case] shown: &str) {
     let tenant = |name| format!("[[tenant]]\nname = \"{name}\"\nweight = {weight}\n");
     let text = format!("{ROUTES}{}{}", tenant("one"), tenant("two"));
-    let faults = RouteTable::parse(&text).expect_err("faults");
-    let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    let errors = RouteTable::parse(&text).expect_err("errors");
+    let errors: Vec<String> = errors.iter().map(ToString::to_string).collect();
     let expected = ["one", "two"]
         .map(|name| format!("tenant {name}: weight {shown} must be a number above 0"));
-    assert_eq!(faults, expected);
+    assert_eq!(errors, expected);
 }
 
 #[rstest]
-fn weights_are_kept_of_those_who_have_one() {
+fn only_declared_weights_are_kept() {
     let weighted = "[[tenant]]\nname = \"weighted\"\nweight = 2.5\n";
     let table = table(&format!("{TENANTS}{weighted}"));
     let weights = table.tenants();
