--- a/crates/engine-link/src/error.rs
+++ b/crates/engine-link/src/error.rs
@@ -11,7 +11,7 @@
     NoListener(String),
     /// As many connections to the engine are open as this node may have: nothing went out.
     #[error("not sent: all {0} connections are in use")]
-    NoConnection(usize),
+    ConnectionLimitReached(usize),
     /// The engine was closed to the request while a connection to it was being made: nothing went out.
     #[error("not sent: the engine takes no requests any more")]
     NotEligible,
@@ -25,7 +25,10 @@
     pub fn is_not_sent(&self) -> bool {
         matches!(
             self,
-            Self::NotSent(_) | Self::NoListener(_) | Self::NoConnection(_) | Self::NotEligible
+            Self::NotSent(_)
+                | Self::NoListener(_)
+                | Self::ConnectionLimitReached(_)
+                | Self::NotEligible
         )
     }
 }
--- a/crates/engine-link/src/link.rs
+++ b/crates/engine-link/src/link.rs
@@ -118,7 +118,7 @@
         let place = self
             .pool
             .take_place(target, max_connections)
-            .map_err(SendError::NoConnection)?;
+            .map_err(SendError::ConnectionLimitReached)?;
         let limits = &self.limits;
         let stream = connect(
             target.address,
--- a/crates/engine-link/tests/exchanges.rs
+++ b/crates/engine-link/tests/exchanges.rs
@@ -207,7 +207,7 @@
     let second = link
         .send(&target, 1, RequestHead::default(), &Bytes::new())
         .await;
-    assert!(matches!(second, Err(SendError::NoConnection(1))));
+    assert!(matches!(second, Err(SendError::ConnectionLimitReached(1))));
     assert_eq!(first.body.collect(BODY_LIMIT).await, Ok(Bytes::from("ok")));
     thread.join().expect("the engine");
 }
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -349,7 +349,7 @@
 
 fn judge_error(error: &SendError) -> Judged {
     match error {
-        SendError::NoConnection(_) => Judged::NoConnection,
+        SendError::ConnectionLimitReached(_) => Judged::NoConnection,
         SendError::NoListener(_) => Judged::NoListener,
         SendError::NotSent(_) => Judged::NotSent,
         SendError::NotEligible => Judged::Withheld,
