--- a/crates/engine-link/src/connect.rs
+++ b/crates/engine-link/src/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections.
+//! Opens TCP connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 
 use crate::error::SendError;
 
-/// An idle connection is probed after this time, so that a silent peer is noticed.
-const KEEPALIVE_AFTER: Duration = Duration::from_secs(1);
+/// Idle time before TCP keep-alive probes, and the interval between them, to detect a dead peer.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Opens a connection; a peer that takes no bytes for `tcp_user_timeout` ends it.
+/// Opens a connection, which fails if sent data stays unacknowledged for `tcp_user_timeout`.
 pub(crate) async fn connect(
     address: SocketAddr,
     connect_timeout: Duration,
@@ -27,13 +27,13 @@
         Ok(Err(error)) => return Err(SendError::NotSent(error.to_string())),
         Err(_) => return Err(SendError::NotSent("connect timed out".to_owned())),
     };
-    // Without these options the connection still works; it only notices a silent peer late.
+    // Errors are ignored: without these options a dead peer is only detected later.
     let _ = stream.set_nodelay(true);
     let socket = SockRef::from(&stream);
     let _ = socket.set_tcp_user_timeout(Some(tcp_user_timeout));
     let keepalive = TcpKeepalive::new()
-        .with_time(KEEPALIVE_AFTER)
-        .with_interval(KEEPALIVE_AFTER)
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(2);
     let _ = socket.set_tcp_keepalive(&keepalive);
     Ok(stream)
--- a/crates/engine-link/src/connection.rs
+++ b/crates/engine-link/src/connection.rs
@@ -13,28 +13,28 @@
 
 use crate::error::SendError;
 
-/// Room made for each read.
-const READ_BYTES: usize = 8 * 1024;
+/// Buffer space reserved for each read.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Longest head of an answer.
+/// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// An open connection that carries at most one exchange.
+/// An open connection, which carries one exchange at a time.
 pub(crate) struct Connection {
     pub(crate) stream: TcpStream,
-    /// Bytes read and not yet taken.
+    /// Bytes received and not yet decoded.
     pub(crate) received: BytesMut,
-    /// When its last exchange ended.
+    /// When the connection became idle.
     pub(crate) idle_since: BootInstant,
-    /// Until when the engine keeps it open without an exchange, as far as it said.
-    pub(crate) kept_until: Option<BootInstant>,
+    /// When reuse must stop according to the engine's `Keep-Alive` header, if it sent one.
+    pub(crate) keep_alive_until: Option<BootInstant>,
 }
 
-/// An answer's head, with the codec that reads its body.
-pub(crate) struct AnswerHead {
+/// A response head, with the codec that decodes the body.
+pub(crate) struct ReceivedHead {
     pub(crate) head: ResponseHead,
     pub(crate) codec: ClientCodec,
-    /// Whether the whole request went out before the answer began.
+    /// Whether the whole request was written before the head was received.
     pub(crate) request_written: bool,
 }
 
@@ -44,77 +44,79 @@
             stream,
             received: BytesMut::new(),
             idle_since: BootInstant::now(),
-            kept_until: None,
+            keep_alive_until: None,
         }
     }
 
-    /// Whether nothing came on the idle connection: neither bytes nor its end.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Whether the idle connection has received neither data nor a close.
+    pub(crate) fn has_no_input(&self) -> bool {
         let mut probe = [0_u8; 1];
         let read = self.stream.try_read(&mut probe);
         self.received.is_empty()
             && read.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Sends a request and waits for the head of its answer. An engine may answer before it has
-    /// read a long body, so both directions are looked at until the head is there.
+    /// Sends a request and waits for the response head. Reads while writing, since an engine may
+    /// respond before it has read the whole body.
     pub(crate) async fn exchange(
         &mut self,
         config: ServiceConfig,
         head: RequestHead,
         body: &Bytes,
-    ) -> Result<AnswerHead, SendError> {
+    ) -> Result<ReceivedHead, SendError> {
         let mut codec = ClientCodec::new(config);
         let mut outgoing = encode(&mut codec, head, body)?;
-        let mut sent_any = false;
+        let mut any_byte_sent = false;
         loop {
             if let Some(head) = decode(&mut codec, &mut self.received)? {
                 if head.status.is_informational() {
                     continue;
                 }
-                return Ok(AnswerHead {
+                return Ok(ReceivedHead {
                     head,
                     codec,
                     request_written: outgoing.is_empty(),
                 });
             }
             if self.received.len() > MAX_HEAD_BYTES {
-                return Err(SendError::MayHaveRun("the head is too long".to_owned()));
+                return Err(SendError::MayHaveRun(
+                    "the response head exceeds the size limit".to_owned(),
+                ));
             }
-            self.received.reserve(READ_BYTES);
+            self.received.reserve(READ_BUFFER_BYTES);
             let (mut reader, mut writer) = self.stream.split();
             tokio::select! {
                 written = writer.write(&outgoing), if !outgoing.is_empty() => {
                     match written {
                         Ok(count) => {
                             let _ = outgoing.split_to(count);
-                            sent_any |= count > 0;
+                            any_byte_sent |= count > 0;
                         }
-                        // The answer may have been sent before the connection ended.
-                        Err(error) if sent_any => {
-                            return self.answer_before_end(codec, &error).await;
+                        // The engine may have responded before it closed the connection.
+                        Err(error) if any_byte_sent => {
+                            return self.read_early_response(codec, &error).await;
                         }
                         Err(error) => return Err(SendError::NotSent(error.to_string())),
                     }
                 }
                 read = reader.read_buf(&mut self.received) => match read {
-                    Ok(0) => return Err(ended(sent_any, "the connection ended")),
+                    Ok(0) => return Err(connection_error(any_byte_sent, "the engine closed the connection")),
                     Ok(_) => {}
-                    Err(error) => return Err(ended(sent_any, &error.to_string())),
+                    Err(error) => return Err(connection_error(any_byte_sent, &error.to_string())),
                 },
             }
         }
     }
 
-    /// Looks for an answer that came before the connection refused more of the request.
-    async fn answer_before_end(
+    /// Reads a response that was received before a write failed; returns the write error if none was.
+    async fn read_early_response(
         &mut self,
         mut codec: ClientCodec,
         error: &io::Error,
-    ) -> Result<AnswerHead, SendError> {
+    ) -> Result<ReceivedHead, SendError> {
         let _ = self.stream.try_read_buf(&mut self.received);
         match decode(&mut codec, &mut self.received)? {
-            Some(head) => Ok(AnswerHead {
+            Some(head) => Ok(ReceivedHead {
                 head,
                 codec,
                 request_written: false,
@@ -124,8 +126,9 @@
     }
 }
 
-fn ended(sent_any: bool, message: &str) -> SendError {
-    if sent_any {
+/// The error of a lost connection, by whether the engine may have run the request.
+fn connection_error(any_byte_sent: bool, message: &str) -> SendError {
+    if any_byte_sent {
         SendError::MayHaveRun(message.to_owned())
     } else {
         SendError::NotSent(message.to_owned())
@@ -139,7 +142,7 @@
     } else {
         BodySize::Sized(body.len() as u64)
     };
-    let mut outgoing = BytesMut::with_capacity(READ_BYTES + body.len());
+    let mut outgoing = BytesMut::with_capacity(READ_BUFFER_BYTES + body.len());
     let not_sent = |error: io::Error| SendError::NotSent(error.to_string());
     let item = Message::Item((RequestHeadType::from(head), size));
     codec.encode(item, &mut outgoing).map_err(not_sent)?;
--- a/crates/engine-link/src/pool.rs
+++ b/crates/engine-link/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections of each engine, within a bound on all that are open.
+//! Idle connections by engine, with a limit on those in use.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -11,14 +11,14 @@
 use crate::connection::Connection;
 use crate::link::LinkTarget;
 
-/// For how long an idle connection is kept where the engine does not tell.
-const IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// Time for which an idle connection may be reused if the engine sent no keep-alive timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 
 /// Connections of one engine.
 #[derive(Default)]
 struct EngineConnections {
     idle: Vec<Connection>,
-    open: usize,
+    in_use: usize,
 }
 
 /// Connections of all engines.
@@ -27,17 +27,17 @@
     engines: RefCell<HashMap<LinkTarget, EngineConnections>>,
 }
 
-/// A place among the open connections of an engine, until dropped.
-pub(crate) struct Place {
+/// Counts as one connection in use to a target until dropped.
+pub(crate) struct ConnectionSlot {
     pool: Rc<ConnectionPool>,
     target: LinkTarget,
 }
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         let mut engines = self.pool.engines.borrow_mut();
         if let Some(engine) = engines.get_mut(&self.target) {
-            engine.open = engine.open.saturating_sub(1);
+            engine.in_use = engine.in_use.saturating_sub(1);
         }
     }
 }
@@ -45,7 +45,7 @@
 /// A connection in use.
 pub(crate) struct PooledConnection {
     connection: Connection,
-    place: Place,
+    slot: ConnectionSlot,
 }
 
 impl Deref for PooledConnection {
@@ -63,74 +63,74 @@
 }
 
 impl PooledConnection {
-    pub(crate) fn new(connection: Connection, place: Place) -> Self {
-        Self { connection, place }
+    pub(crate) fn new(connection: Connection, slot: ConnectionSlot) -> Self {
+        Self { connection, slot }
     }
 
-    /// Puts the connection back for the next exchange.
-    pub(crate) fn keep(self) {
-        let Self { connection, place } = self;
-        let mut engines = place.pool.engines.borrow_mut();
-        let engine = engines.entry(place.target.clone()).or_default();
+    /// Makes the connection available for the next exchange.
+    pub(crate) fn return_to_pool(self) {
+        let Self { connection, slot } = self;
+        let mut engines = slot.pool.engines.borrow_mut();
+        let engine = engines.entry(slot.target.clone()).or_default();
         engine.idle.push(connection);
     }
 }
 
 impl ConnectionPool {
-    /// The idle connection used last, if the engine is still there on it.
+    /// The most recently used idle connection that has neither expired nor received anything.
     pub(crate) fn take_idle(self: &Rc<Self>, target: &LinkTarget) -> Option<PooledConnection> {
         let now = BootInstant::now();
         let mut engines = self.engines.borrow_mut();
         let engine = engines.get_mut(target)?;
         while let Some(connection) = engine.idle.pop() {
-            if is_kept(&connection, now) && connection.is_quiet() {
-                engine.open += 1;
+            if is_unexpired(&connection, now) && connection.has_no_input() {
+                engine.in_use += 1;
                 drop(engines);
-                let place = Place {
+                let slot = ConnectionSlot {
                     pool: Rc::clone(self),
                     target: target.clone(),
                 };
-                return Some(PooledConnection { connection, place });
+                return Some(PooledConnection { connection, slot });
             }
         }
         None
     }
 
-    /// A place for a new connection; the number in use if it is `limit` or more.
-    pub(crate) fn take_place(
+    /// Reserves a slot for a new connection; fails with the number in use if that is `limit` or more.
+    pub(crate) fn reserve_slot(
         self: &Rc<Self>,
         target: &LinkTarget,
         limit: usize,
-    ) -> Result<Place, usize> {
+    ) -> Result<ConnectionSlot, usize> {
         let mut engines = self.engines.borrow_mut();
         let engine = engines.entry(target.clone()).or_default();
-        if engine.open >= limit {
-            return Err(engine.open);
+        if engine.in_use >= limit {
+            return Err(engine.in_use);
         }
-        engine.open += 1;
-        Ok(Place {
+        engine.in_use += 1;
+        Ok(ConnectionSlot {
             pool: Rc::clone(self),
             target: target.clone(),
         })
     }
 
-    /// Closes what was idle for too long, and forgets engines that `keep` does not name.
+    /// Closes idle connections that have expired and those to targets for which `keep` returns false.
     pub(crate) fn sweep(&self, keep: impl Fn(&LinkTarget) -> bool) {
         let now = BootInstant::now();
         let mut engines = self.engines.borrow_mut();
         for (target, engine) in engines.iter_mut() {
-            let known = keep(target);
+            let is_wanted = keep(target);
             engine
                 .idle
-                .retain(|connection| known && is_kept(connection, now));
+                .retain(|connection| is_wanted && is_unexpired(connection, now));
         }
-        engines.retain(|_, engine| engine.open > 0 || !engine.idle.is_empty());
+        engines.retain(|_, engine| engine.in_use > 0 || !engine.idle.is_empty());
     }
 }
 
-fn is_kept(connection: &Connection, now: BootInstant) -> bool {
+fn is_unexpired(connection: &Connection, now: BootInstant) -> bool {
     let limit = connection
-        .kept_until
-        .unwrap_or(connection.idle_since + IDLE_LIMIT);
+        .keep_alive_until
+        .unwrap_or(connection.idle_since + DEFAULT_KEEP_ALIVE);
     now < limit
 }
--- a/crates/engine-link/src/error.rs
+++ b/crates/engine-link/src/error.rs
@@ -1,22 +1,25 @@
-//! Why an exchange failed.
+//! Errors of exchanges.
 
-/// Why no answer's head came.
+/// Why no response head was received.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendError {
-    /// No byte of the request went out: the engine did not run it.
+    /// The request was not sent, so the engine did not run it.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// Nothing listens at the engine's address: nothing went out.
+    /// The connection was refused, since nothing listens at the engine's address; nothing was sent.
     #[error("not sent: nothing listens: {0}")]
     NoListener(String),
-    /// As many connections to the engine are open as this node may have: nothing went out.
+    /// The limit on connections to the engine, of which this many are in use, was reached; nothing was
+    /// sent.
     #[error("not sent: all {0} connections are in use")]
     ConnectionLimitReached(usize),
-    /// The engine was closed to the request while a connection to it was being made: nothing went out.
-    #[error("not sent: the engine takes no requests any more")]
+    /// The engine stopped being eligible for the request while the connection was opened; nothing was
+    /// sent.
+    #[error("not sent: the engine is no longer eligible for the request")]
     NotEligible,
-    /// Bytes went out and no answer came: the engine may have run it.
-    #[error("no answer: {0}")]
+    /// At least part of the request was sent and no valid response head was received, so the engine may
+    /// have run it.
+    #[error("no response: {0}")]
     MayHaveRun(String),
 }
 
@@ -33,13 +36,13 @@
     }
 }
 
-/// Why an answer's body is not whole.
+/// Why a response body could not be read to its end.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The connection ended before the body did.
-    #[error("the answer broke off: {0}")]
-    BrokenOff(String),
-    /// The bytes are no body.
-    #[error("the answer cannot be read: {0}")]
+    /// The connection failed or closed before the end of the body.
+    #[error("the response is incomplete: {0}")]
+    Incomplete(String),
+    /// The body cannot be decoded or exceeds the size limit.
+    #[error("the response is malformed: {0}")]
     Malformed(String),
 }
--- a/crates/engine-link/src/lib.rs
+++ b/crates/engine-link/src/lib.rs
@@ -1,22 +1,22 @@
-//! Kept connections to engines, and what is known when an exchange on one fails.
+//! Pooled HTTP connections to engines, with errors that say whether a request may have run.
 //!
-//! One connection carries one exchange at a time. A connection is kept only after an exchange that
-//! left nothing open: the request was written to its last byte, the answer ended where its length
-//! says, and no byte followed it. Whatever an engine sends afterwards (a surplus or late answer)
-//! ends the connection before another request goes out on it.
+//! A connection carries one exchange at a time. It returns to the pool only after a complete exchange:
+//! the whole request was written, the response ended where its length or chunks say, and no further
+//! bytes were received. If the engine sends anything on an idle connection, such as a late response,
+//! the connection is closed and not used for another request.
 //!
-//! Why an exchange failed is told by what may have happened at the engine ([`SendError`]), since
-//! that alone decides whether the request may be sent again.
+//! [`SendError`] says whether the engine may have run the request, since this decides whether the
+//! request may be sent again.
 
-mod answer;
 mod connect;
 mod connection;
+mod connection_pool;
 mod error;
 mod link;
-mod pool;
+mod response;
 
-pub use answer::{Exchange, ResponseBody};
 pub use error::{BodyError, SendError};
 pub use link::{EngineLink, LinkLimits, LinkTarget};
+pub use response::{Exchange, ResponseBody};
 
 pub use actix_http::{RequestHead, ResponseHead};
--- a/crates/engine-link/src/link.rs
+++ b/crates/engine-link/src/link.rs
@@ -1,4 +1,4 @@
-//! Sends requests to engines.
+//! Client that sends requests to engines.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,28 +8,28 @@
 use actix_http::{RequestHead, ServiceConfig};
 use bytes::Bytes;
 
-use crate::answer::Exchange;
 use crate::connect::connect;
 use crate::connection::Connection;
+use crate::connection_pool::{ConnectionPool, PooledConnection};
 use crate::error::SendError;
-use crate::pool::{ConnectionPool, PooledConnection};
+use crate::response::Exchange;
 
-/// One run of an engine at an address. Another run at the same address is another target, so that
-/// no connection to the former one is used for it.
+/// One run of an engine at an address. A restarted engine is a different target, so that connections
+/// to the previous run are not used for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LinkTarget {
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    /// Names the run.
+    /// Identifies the run.
     pub run: Arc<str>,
 }
 
-/// Bounds on the connections of a node.
+/// Timeouts of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkLimits {
-    /// Longest time to open a connection.
+    /// Time limit for opening a connection.
     pub connect_timeout: Duration,
-    /// Longest time for which a peer may leave sent bytes unacknowledged.
+    /// Longest time for which sent data may stay unacknowledged before the connection fails.
     pub tcp_user_timeout: Duration,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Connections to engines, of one thread.
+/// HTTP client for engines. Clones share one connection pool, which belongs to one thread.
 #[derive(Clone)]
 pub struct EngineLink {
     pool: Rc<ConnectionPool>,
@@ -51,7 +51,7 @@
 }
 
 impl EngineLink {
-    /// A link without connections; needs a running arbiter.
+    /// A client without connections. Must be called within a running actix arbiter.
     pub fn new(limits: LinkLimits) -> Self {
         Self {
             pool: Rc::default(),
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Sends a request and waits for the head of its answer. At most `max_connections` are open to
-    /// the target at once. Dropped, it ends the exchange.
+    /// Sends a request and waits for the response head. Fails if there is no idle connection to
+    /// the target and `max_connections` are in use. Dropping the future closes the connection.
     pub async fn send(
         &self,
         target: &LinkTarget,
@@ -69,33 +69,35 @@
         head: RequestHead,
         body: &Bytes,
     ) -> Result<Exchange, SendError> {
-        let is_open = || true;
-        self.send_if(target, max_connections, head, body, is_open)
+        let is_eligible = || true;
+        self.send_if(target, max_connections, head, body, is_eligible)
             .await
     }
 
-    /// The same, unless the engine is closed to the request once there is a connection: to make one takes
-    /// up to the limits' `connect_timeout`.
+    /// Like [`send`](Self::send), but checks `is_eligible` once there is a connection: the engine may have
+    /// become ineligible while it was opened.
     pub async fn send_if(
         &self,
         target: &LinkTarget,
         max_connections: usize,
         head: RequestHead,
         body: &Bytes,
-        is_open: impl FnOnce() -> bool,
+        is_eligible: impl FnOnce() -> bool,
     ) -> Result<Exchange, SendError> {
         let mut connection = self.connection(target, max_connections).await?;
-        if !is_open() {
-            connection.keep();
+        if !is_eligible() {
+            connection.return_to_pool();
             return Err(SendError::NotEligible);
         }
-        let answer = connection.exchange(self.config.clone(), head, body).await?;
-        Ok(Exchange::new(connection, answer))
+        let received = connection.exchange(self.config.clone(), head, body).await?;
+        Ok(Exchange::new(connection, received))
     }
 
-    /// Opens a connection and keeps it for the next exchange. Whether something listens there.
+    /// Opens a connection and adds it to the pool. Shows whether the target accepts connections.
     pub async fn open(&self, target: &LinkTarget, max_connections: usize) -> Result<(), SendError> {
-        self.new_connection(target, max_connections).await?.keep();
+        self.new_connection(target, max_connections)
+            .await?
+            .return_to_pool();
         Ok(())
     }
 
@@ -115,9 +117,9 @@
         target: &LinkTarget,
         max_connections: usize,
     ) -> Result<PooledConnection, SendError> {
-        let place = self
+        let slot = self
             .pool
-            .take_place(target, max_connections)
+            .reserve_slot(target, max_connections)
             .map_err(SendError::ConnectionLimitReached)?;
         let limits = &self.limits;
         let stream = connect(
@@ -126,10 +128,10 @@
             limits.tcp_user_timeout,
         )
         .await?;
-        Ok(PooledConnection::new(Connection::new(stream), place))
+        Ok(PooledConnection::new(Connection::new(stream), slot))
     }
 
-    /// Closes what was idle for too long, and all that is idle to targets that `keep` leaves out.
+    /// Closes idle connections that have expired and those to targets for which `keep` returns false.
     pub fn sweep(&self, keep: impl Fn(&LinkTarget) -> bool) {
         self.pool.sweep(keep);
     }
--- a/crates/engine-link/src/answer.rs
+++ b/crates/engine-link/src/response.rs
@@ -1,4 +1,4 @@
-//! An engine's answer, read piece by piece.
+//! An engine's response, whose body is read chunk by chunk.
 
 use std::time::Duration;
 
@@ -10,44 +10,45 @@
 use dalestand_clock::BootInstant;
 use tokio::io::AsyncReadExt as _;
 
-use crate::connection::{AnswerHead, Connection};
+use crate::connection::{Connection, ReceivedHead};
+use crate::connection_pool::PooledConnection;
 use crate::error::BodyError;
-use crate::pool::PooledConnection;
 
-/// Room made for each read.
-const READ_BYTES: usize = 8 * 1024;
+/// Buffer space reserved for each read.
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// A connection is given up this long before the engine would close it.
-const KEPT_MARGIN: Duration = Duration::from_millis(700);
+/// A connection is no longer reused this long before the engine's keep-alive timeout, so that a request
+/// does not race with the engine's close.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// An answer whose head has come.
+/// A response whose head has been received.
 pub struct Exchange {
-    /// The head.
+    /// The response head.
     pub head: ResponseHead,
-    /// The body.
+    /// The response body.
     pub body: ResponseBody,
 }
 
 impl Exchange {
-    pub(crate) fn new(connection: PooledConnection, answer: AnswerHead) -> Self {
-        let AnswerHead {
+    pub(crate) fn new(connection: PooledConnection, received: ReceivedHead) -> Self {
+        let ReceivedHead {
             head,
             codec,
             request_written,
-        } = answer;
-        // The codec takes an answer without a length for one without a body.
-        let until_close = lacks_length(&head);
+        } = received;
+        // The codec treats a response without a length as one without a body.
+        let until_close = ends_with_connection(&head);
         let has_body = until_close || codec.message_type() != MessageType::None;
-        let says_close = says_close(&head.headers);
-        let reusable = request_written && !until_close && !says_close && codec.keep_alive();
+        let closes = has_connection_close(&head.headers);
+        let reusable = request_written && !until_close && !closes && codec.keep_alive();
         let mut body = ResponseBody {
             connection: Some(connection),
             codec: codec.into_payload_codec(),
             until_close,
             reusable,
-            kept_for: kept_for(&head.headers),
+            keep_alive_timeout: keep_alive_timeout(&head.headers),
             length: content_length(&head.headers),
             ended: false,
         };
@@ -58,36 +59,37 @@
     }
 }
 
-/// The body of an answer. Dropped before its end, it ends the connection, which tells the engine
-/// that nobody waits any more.
+/// The body of a response. If it is dropped before its end, the connection is closed, so that the
+/// engine can cancel the request.
 pub struct ResponseBody {
     connection: Option<PooledConnection>,
     codec: ClientPayloadCodec,
     until_close: bool,
     reusable: bool,
-    kept_for: Option<Duration>,
+    keep_alive_timeout: Option<Duration>,
     length: Option<u64>,
     ended: bool,
 }
 
 impl ResponseBody {
-    /// Ends the exchange before its end.
+    /// Closes the connection and ends the body early.
     pub fn abort(&mut self) {
         self.ended = true;
         self.connection = None;
     }
 
-    /// Its length in bytes, where the head tells it.
+    /// The value of `Content-Length`, if present.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether it says where it ends, by a length or by chunks; if not, it ends with its connection.
+    /// Whether a length or chunked encoding marks the end of the body. Otherwise the body ends when the
+    /// engine closes the connection, and a truncated body may look complete.
     pub fn is_self_delimited(&self) -> bool {
         !self.until_close
     }
 
-    /// The next bytes; `None` after the end of a whole body.
+    /// The next chunk; `None` after the end of the body or after an error.
     pub async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
         if self.ended {
             return None;
@@ -104,32 +106,35 @@
                 Err(error) => return Some(Err(self.fail(error))),
             }
             let connection: &mut Connection = self.connection.as_mut()?;
-            connection.received.reserve(READ_BYTES);
+            connection.received.reserve(READ_BUFFER_BYTES);
             match connection.stream.read_buf(&mut connection.received).await {
                 Ok(0) if self.until_close => {
                     self.finish();
                     return None;
                 }
                 Ok(0) => {
-                    let error = BodyError::BrokenOff("the connection ended".to_owned());
+                    let error =
+                        BodyError::Incomplete("the engine closed the connection".to_owned());
                     return Some(Err(self.fail(error)));
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    let error = BodyError::BrokenOff(error.to_string());
+                    let error = BodyError::Incomplete(error.to_string());
                     return Some(Err(self.fail(error)));
                 }
             }
         }
     }
 
-    /// The whole body, if it is no longer than `limit` bytes.
+    /// Reads the whole body; fails if it exceeds `limit` bytes.
     pub async fn collect(&mut self, limit: usize) -> Result<Bytes, BodyError> {
         let mut collected = bytes::BytesMut::new();
         while let Some(chunk) = self.next().await {
             let chunk = chunk?;
             if collected.len() + chunk.len() > limit {
-                return Err(BodyError::Malformed("the body is too long".to_owned()));
+                return Err(BodyError::Malformed(
+                    "the body exceeds the size limit".to_owned(),
+                ));
             }
             collected.extend_from_slice(&chunk);
         }
@@ -154,7 +159,7 @@
         error
     }
 
-    /// Keeps the connection, if nothing is left open on it.
+    /// Returns the connection to the pool if the exchange on it is complete.
     fn finish(&mut self) {
         self.ended = true;
         let Some(mut connection) = self.connection.take() else {
@@ -165,15 +170,16 @@
         }
         let now = BootInstant::now();
         connection.idle_since = now;
-        connection.kept_until = self
-            .kept_for
-            .map(|kept_for| now + kept_for.saturating_sub(KEPT_MARGIN));
-        connection.keep();
+        connection.keep_alive_until = self
+            .keep_alive_timeout
+            .map(|timeout| now + timeout.saturating_sub(KEEP_ALIVE_MARGIN));
+        connection.return_to_pool();
     }
 }
 
-/// Whether a body ends where its connection does, as it does where nothing tells its length.
-fn lacks_length(head: &ResponseHead) -> bool {
+/// Whether the body extends to the end of the connection, since the head has neither a length nor a
+/// transfer encoding.
+fn ends_with_connection(head: &ResponseHead) -> bool {
     let bodiless = matches!(
         head.status,
         StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
@@ -182,7 +188,7 @@
     !bodiless && !headers.contains_key(CONTENT_LENGTH) && !headers.contains_key(TRANSFER_ENCODING)
 }
 
-fn says_close(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let mut values = headers.get_all(CONNECTION);
     values.any(|value| {
         let text = value.to_str().unwrap_or_default();
@@ -191,8 +197,8 @@
     })
 }
 
-/// For how long the engine keeps an idle connection, as `Keep-Alive: timeout=SECONDS` tells.
-fn kept_for(headers: &HeaderMap) -> Option<Duration> {
+/// The engine's timeout for idle connections, from `Keep-Alive: timeout=SECONDS`.
+fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = text.split(',').find_map(|part| {
         let part = part.trim();
--- a/crates/engine-link/tests/exchanges.rs
+++ b/crates/engine-link/tests/exchanges.rs
@@ -1,4 +1,4 @@
-//! Exchanges with engines that behave and that do not.
+//! Reuse of connections, and the errors of exchanges that fail, against scripted engines.
 
 use std::io::{Read as _, Write as _};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,9 +14,9 @@
 };
 use rstest::rstest;
 
-const BODY_LIMIT: usize = 1 << 20;
+const BODY_LIMIT_BYTES: usize = 1 << 20;
 
-/// An engine that does what it is told on each connection, one after the other.
+/// An engine that accepts one connection per script and runs the scripts in order.
 fn engine(scripts: Vec<fn(&mut TcpStream)>) -> (LinkTarget, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -51,8 +51,8 @@
     stream.write_all(text.as_bytes()).expect("written");
 }
 
-/// Closes with a reset instead of an end.
-fn reset(stream: &TcpStream) {
+/// Makes the close of a stream send a reset.
+fn reset_on_close(stream: &TcpStream) {
     let socket = socket2::SockRef::from(stream);
     socket.set_linger(Some(Duration::ZERO)).expect("linger");
 }
@@ -69,12 +69,12 @@
 }
 
 async fn body(link: &EngineLink, target: &LinkTarget) -> Result<Bytes, BodyError> {
-    let mut exchange = get(link, target).await.expect("an answer");
-    exchange.body.collect(BODY_LIMIT).await
+    let mut exchange = get(link, target).await.expect("a response");
+    exchange.body.collect(BODY_LIMIT_BYTES).await
 }
 
 #[actix_rt::test]
-async fn an_answer_without_a_length_ends_with_its_connection() {
+async fn a_response_without_a_length_ends_with_its_connection() {
     let (target, thread) = engine(vec![|stream: &mut TcpStream| {
         read_head(stream);
         write(stream, "HTTP/1.1 200 OK\r\nrequest-id: 1\r\n\r\nhello ");
@@ -85,25 +85,25 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_without_a_length_that_is_reset_is_not_whole() {
+async fn a_response_without_a_length_is_incomplete_after_a_reset() {
     let (target, thread) = engine(vec![|stream: &mut TcpStream| {
         read_head(stream);
         write(stream, "HTTP/1.1 200 OK\r\n\r\nhello");
         thread::sleep(Duration::from_millis(50));
-        reset(stream);
+        reset_on_close(stream);
     }]);
     assert!(matches!(
         body(&link(), &target).await,
-        Err(BodyError::BrokenOff(_))
+        Err(BodyError::Incomplete(_))
     ));
     thread.join().expect("the engine");
 }
 
 #[rstest]
-#[case::of_a_length("content-length: 9\r\n\r\nhell")]
-#[case::of_chunks("transfer-encoding: chunked\r\n\r\n4\r\nhell\r\n")]
+#[case::content_length("content-length: 9\r\n\r\nhell")]
+#[case::chunked("transfer-encoding: chunked\r\n\r\n4\r\nhell\r\n")]
 #[actix_rt::test]
-async fn an_answer_that_ends_before_its_length_is_not_whole(#[case] rest: &'static str) {
+async fn a_response_that_ends_before_its_length_is_incomplete(#[case] rest: &'static str) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let target = target(listener.local_addr().expect("an address"));
     let thread = thread::spawn(move || {
@@ -113,13 +113,13 @@
     });
     assert!(matches!(
         body(&link(), &target).await,
-        Err(BodyError::BrokenOff(_))
+        Err(BodyError::Incomplete(_))
     ));
     thread.join().expect("the engine");
 }
 
 #[actix_rt::test]
-async fn a_connection_that_left_nothing_open_is_used_again() {
+async fn a_connection_is_reused_after_a_complete_exchange() {
     let (target, thread) = engine(vec![|stream: &mut TcpStream| {
         for _ in 0..2 {
             read_head(stream);
@@ -141,13 +141,13 @@
     "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok",
     "HTTP/1.1 200 OK\r\n\r\n"
 )]
-#[case::says_close(
+#[case::connection_close(
     "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\nok",
     ""
 )]
 #[actix_rt::test]
-async fn a_connection_with_something_left_is_not_used_again(
-    #[case] answer: &'static str,
+async fn a_connection_with_surplus_data_or_close_is_not_reused(
+    #[case] response: &'static str,
     #[case] later: &'static str,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -155,7 +155,7 @@
     let thread = thread::spawn(move || {
         let (mut first, _) = listener.accept().expect("a connection");
         read_head(&mut first);
-        write(&mut first, answer);
+        write(&mut first, response);
         thread::sleep(Duration::from_millis(30));
         write(&mut first, later);
         let (mut second, _) = listener.accept().expect("another connection");
@@ -173,26 +173,26 @@
 }
 
 #[actix_rt::test]
-async fn a_dead_port_proves_that_nothing_was_sent() {
+async fn a_refused_connection_means_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let target = target(listener.local_addr().expect("an address"));
     drop(listener);
-    let error = get(&link(), &target).await.err().expect("no answer");
+    let error = get(&link(), &target).await.err().expect("an error");
     assert!(error.is_not_sent(), "{error}");
 }
 
 #[actix_rt::test]
-async fn a_connection_that_ends_after_the_request_proves_nothing() {
+async fn a_close_after_the_request_means_it_may_have_run() {
     let (target, thread) = engine(vec![|stream: &mut TcpStream| {
         read_head(stream);
     }]);
-    let error = get(&link(), &target).await.err().expect("no answer");
+    let error = get(&link(), &target).await.err().expect("an error");
     assert!(matches!(error, SendError::MayHaveRun(_)), "{error}");
     thread.join().expect("the engine");
 }
 
 #[actix_rt::test]
-async fn no_more_connections_are_open_than_allowed() {
+async fn the_connection_limit_is_enforced() {
     let (target, thread) = engine(vec![|stream: &mut TcpStream| {
         read_head(stream);
         write(stream, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\no");
@@ -203,17 +203,20 @@
     let mut first = link
         .send(&target, 1, RequestHead::default(), &Bytes::new())
         .await
-        .expect("an answer");
+        .expect("a response");
     let second = link
         .send(&target, 1, RequestHead::default(), &Bytes::new())
         .await;
     assert!(matches!(second, Err(SendError::ConnectionLimitReached(1))));
-    assert_eq!(first.body.collect(BODY_LIMIT).await, Ok(Bytes::from("ok")));
+    assert_eq!(
+        first.body.collect(BODY_LIMIT_BYTES).await,
+        Ok(Bytes::from("ok"))
+    );
     thread.join().expect("the engine");
 }
 
 #[actix_rt::test]
-async fn an_engine_may_answer_before_it_has_read_the_body() {
+async fn a_response_before_the_body_is_read_is_returned() {
     let (target, thread) = engine(vec![|stream: &mut TcpStream| {
         read_head(stream);
         write(
@@ -226,19 +229,20 @@
     head.method = Method::POST;
     let long = Bytes::from(vec![b'x'; 32 << 20]);
     let exchange = link().send(&target, 1, head, &long).await;
-    let exchange = exchange.expect("an answer");
+    let exchange = exchange.expect("a response");
     assert_eq!(exchange.head.status.as_u16(), 503);
     thread.join().expect("the engine");
 }
 
-/// The engine closed the connection long ago; what is sent on it is lost, and may have run.
+/// The engine closes the connection while the node is suspended. A request sent on it would fail, and
+/// may have run.
 #[actix_rt::test]
-async fn a_connection_that_was_idle_through_a_suspension_is_not_used_again() {
+async fn a_connection_that_expired_during_a_suspension_is_not_reused() {
     let serve: fn(&mut TcpStream) = |stream| {
         read_head(stream);
         write(stream, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nab");
     };
-    // The first connection looks open, and whatever comes on it is not answered.
+    // The first connection stays open, but no further request on it is answered.
     let serve_once: fn(&mut TcpStream) = |stream| {
         read_head(stream);
         write(stream, "HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nab");
