--- a/crates/routes/src/tenant.rs
+++ b/crates/routes/src/tenant.rs
@@ -113,7 +113,6 @@
 }
 
 impl KeyIndex {
-    /// An index without keys.
     pub(crate) fn new() -> Self {
         Self {
             secret: rand::random(),
