--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -364,7 +364,7 @@
 
 fn classify_error(error: &SendError) -> Verdict {
     match error {
-        SendError::NoConnection(_) => Verdict::NoConnection,
+        SendError::ConnectionLimitReached(_) => Verdict::NoConnection,
         SendError::NoListener(_) => Verdict::NoListener,
         SendError::NotSent(_) => Verdict::NotSent,
         SendError::NotEligible => Verdict::Withheld,
--- a/crates/forwarding/tests/store_era.rs
+++ b/crates/forwarding/tests/store_era.rs
@@ -187,7 +187,7 @@
 }
 
 #[actix_rt::test]
-async fn fencing_tokens_rise_over_eras() {
+async fn order_tokens_rise_over_eras() {
     let (node, _engine) = start_in_era(1).await;
     let token = || async {
         let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
