--- a/crates/routing/src/call_counts.rs
+++ b/crates/routing/src/call_counts.rs
@@ -1,4 +1,4 @@
-//! Counts the calls of one request, to tell which of them are repeated sends.
+//! Counts the calls of one request, and determines which of them are repeated sends.
 //!
 //! Every call that reaches an engine counts, whatever its purpose and outcome, except the first prefill that an engine
 //! accepts. Each counted call after the first is a repeated send.
@@ -33,13 +33,14 @@
 }
 
 impl CallCounts {
-    /// Whether the next call must be taken from the retry budget. This includes prefills, although one may turn out not
-    /// to count.
+    /// Whether the next call must be taken from the retry budget before it is sent. If its outcome shows that it does
+    /// not count, as for an accepted first prefill, [`Self::record`] returns true.
     pub fn is_repeat(&self) -> bool {
         self.counted > 0
     }
 
-    /// Records the outcome of a call. Returns whether the call does not count, so that its budget is to be given back.
+    /// Records the outcome of a call. Returns true if the call does not count; what was taken from the budget for it is
+    /// then to be given back.
     pub fn record(&mut self, purpose: CallPurpose, outcome: CallOutcome) -> bool {
         let is_first_prefill = purpose == CallPurpose::Prefill && !self.is_prefilled;
         match outcome {
--- a/crates/routing/src/learning.rs
+++ b/crates/routing/src/learning.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Weighted linear regression over recent observations, regularised by a prior.
+/// Weighted linear regression over recent observations, regularized by a prior.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinearFit {
     weight: f64,
@@ -115,7 +115,7 @@
     }
 }
 
-/// Learnt speeds of a pool's engines in one role.
+/// Learned speeds of a pool's engines in one role.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RoleSpeeds {
     /// Time to the first token in seconds, by prompt tokens to prefill until then.
@@ -149,7 +149,7 @@
     }
 }
 
-/// All speeds that a node has learnt.
+/// All speeds that a node has learned.
 #[derive(Clone, Debug)]
 pub(crate) struct LearnedSpeeds {
     prior: PriorSpeeds,
--- a/crates/routing/src/overload/class_scheduler.rs
+++ b/crates/routing/src/overload/class_scheduler.rs
@@ -27,7 +27,7 @@
 /// Strict priority scheduler with a guaranteed minimum ([`MIN_CLASS_SHARE`]) for each waiting class.
 #[derive(Clone, Debug, Default)]
 pub struct ClassScheduler {
-    /// Places owed to each waiting class, as fractions of one.
+    /// Credit of each waiting class, in places. The class with the highest credit is served next if it has at least one.
     credits: BTreeMap<u8, f64>,
 }
 
--- a/crates/routing/src/overload/mod.rs
+++ b/crates/routing/src/overload/mod.rs
@@ -1,8 +1,8 @@
 //! Overload control: shares a pool's capacity among nodes, priorities and tenants when demand exceeds it.
 //!
 //! Each node decides by itself from figures that nodes exchange, without a message for each request. A pool's capacity
-//! (its "room") is counted in places: requests that its engines hold at a time. A pool is "short" when its places are
-//! nearly all taken.
+//! is counted in places: requests that its engines hold at a time. A pool is "short" when nearly all of its places are
+//! taken.
 //!
 //! - [`RoomAccount`] estimates how many places this node may use.
 //! - [`AdmissionQueue`] orders the requests that wait for a place.
@@ -30,6 +30,6 @@
     /// Within the share, or the tenant's demand does not exceed it.
     #[default]
     Within,
-    /// Beyond the share.
+    /// Beyond the share, by which the tenant is limited.
     Over,
 }
--- a/crates/routing/src/overload/pool_admission.rs
+++ b/crates/routing/src/overload/pool_admission.rs
@@ -107,7 +107,7 @@
 }
 
 impl PoolAdmission {
-    /// Updates the account from the current load. Returns whether the pool became short, or ceased to be.
+    /// Updates capacity and share from the current load. Returns whether the pool became short, or ceased to be.
     pub fn update(&mut self, now: MonotonicTime, load: &PoolLoad) -> bool {
         let factor = self
             .capacity_factor
@@ -128,7 +128,7 @@
         self.is_short
     }
 
-    /// The account as of the last [`Self::update`]; `None` if the load is unknown.
+    /// Capacity and share as of the last [`Self::update`]; `None` if the load is unknown.
     pub fn account(&self) -> Option<&RoomAccount> {
         self.account.as_ref()
     }
@@ -219,8 +219,8 @@
         !self.is_short || self.account.as_ref().is_none_or(has_place)
     }
 
-    /// Gives a free place to the next queued request, if there are both. Once the pool is no longer short, repeated
-    /// calls empty the queue.
+    /// Gives a free place, if there is one, to the next queued request, if any. Once the pool is no longer short,
+    /// repeated calls empty the queue.
     pub fn release(&mut self, now: MonotonicTime, own_taken: u32) -> Option<WaiterId> {
         if self.queue.is_empty() || !self.has_place(own_taken) {
             return None;
--- a/crates/routing/src/overload/queue.rs
+++ b/crates/routing/src/overload/queue.rs
@@ -34,7 +34,7 @@
     by_expiry: BTreeSet<SortKey>,
     /// Requests that can only meet their deadline, by [`expiry_key`].
     late: BTreeSet<SortKey>,
-    /// Places owed to the first request of `by_expiry`, as a fraction of one.
+    /// Credit of the first request of `by_expiry`, in places.
     expiry_credit: f64,
 }
 
--- a/crates/routing/src/overload/room_account.rs
+++ b/crates/routing/src/overload/room_account.rs
@@ -81,8 +81,8 @@
 }
 
 impl RoomAccount {
-    /// Computes the account from `load`; `factor` scales the number of places. `None` if there is nothing to share
-    /// (one node or fewer than two engines), or if the other nodes' load is unknown.
+    /// Computes capacity and share from `load`; `factor` scales the number of places. `None` if there is nothing to
+    /// share (one node or fewer than two engines), or if the other nodes' load is unknown.
     pub fn of(load: &PoolLoad, factor: CapacityFactor) -> Option<Self> {
         let figures_age = load.figures_age?;
         if load.nodes < 2 || load.engines < 2 || load.slots == 0 {
@@ -96,7 +96,7 @@
         let own_places = if taken < places {
             by_demand.max(own_taken + part * (places - taken))
         } else {
-            // Over capacity, each node scales down what it holds, halfway towards its fraction of the demand.
+            // Over capacity, the mean of this node's requests, scaled down to the capacity, and its share by demand.
             f64::midpoint(own_taken * places / taken, by_demand)
         };
         let all = &load.all;
--- a/crates/routing/src/overload/shares.rs
+++ b/crates/routing/src/overload/shares.rs
@@ -88,7 +88,8 @@
     limited: HashMap<TenantCode, TenantShare>,
     /// Tenants with figures of their own whose demand does not exceed their share.
     unlimited: HashMap<TenantCode, TenantShare>,
-    /// Requests that each limited tenant may still send within its share, as fractions of one.
+    /// Credit of each limited tenant, in requests. It grows with each request by the fraction within the share, and a
+    /// request is within the share if the credit then covers it.
     credits: HashMap<TenantCode, f64>,
     shortage: ShortageDetector,
     computed_at: MonotonicTime,
--- a/crates/routing/src/overload/shortage.rs
+++ b/crates/routing/src/overload/shortage.rs
@@ -68,7 +68,7 @@
 pub struct AttemptRates {
     /// Requests per second that engines began to serve.
     pub begun_per_s: f64,
-    /// Requests per second that were refused for good. Calls that one engine refused and another accepted don't count,
+    /// Requests per second that no engine accepted. Calls that one engine refused and another accepted do not count,
     /// because they also depend on the choice of engine.
     pub failed_per_s: f64,
     /// Whether the pool has idle slots; see [`CapacityUnit::has_idle_slots`].
@@ -76,7 +76,7 @@
 }
 
 impl AttemptRates {
-    /// The contribution of events since the rates were `earlier`, `elapsed` ago.
+    /// The rates without the events that `earlier` contains. Those are the rates `elapsed` ago and have decayed since.
     fn since(self, earlier: Self, elapsed: Duration) -> Self {
         let kept = (-elapsed.as_secs_f64() / RATE_TIME_CONSTANT_S).exp();
         Self {
@@ -141,7 +141,7 @@
         Some((throughput * recent.growth()).max(peak * MIN_CAPACITY_FRACTION))
     }
 
-    /// Notes that the capacity suffices for all demand.
+    /// Records that the capacity suffices for all demand.
     pub fn end(&mut self) {
         self.peak_throughput = None;
     }
--- a/crates/routing/src/overload/tenant_meters.rs
+++ b/crates/routing/src/overload/tenant_meters.rs
@@ -171,7 +171,7 @@
     rows
 }
 
-/// Sum of the fractions of `all` in both units.
+/// Size of `work` relative to `all`: the sum of its fractions of the slots and of the prompt tokens.
 fn relative_demand(work: WorkRate, all: WorkRate) -> f32 {
     let fraction = |work: f32, all: f32| if all > 0.0 { work / all } else { 0.0 };
     fraction(work.slots, all.slots) + fraction(work.prompt_tokens_per_s, all.prompt_tokens_per_s)
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -29,7 +29,7 @@
 }
 
 /// Selects engines from reports that are always somewhat out of date, corrected for the requests that this node has
-/// sent since, and with speeds learnt from this node's requests.
+/// sent since, and with speeds learned from this node's requests.
 #[derive(Clone, Debug)]
 pub struct Router {
     config: RouterConfig,
--- a/crates/routing/src/staged/admission.rs
+++ b/crates/routing/src/staged/admission.rs
@@ -1,7 +1,7 @@
 //! Load shedding before a request is sent, and the response timeout after it was sent.
 //!
 //! Under overload, every request sent to an engine delays all others there. A request that cannot be answered
-//! in time is rejected before any engine works on it. A request that was sent is not cancelled while it takes no
+//! in time is refused before any engine works on it. A request that was sent is not cancelled while it takes no
 //! longer than estimated, because its work would have to be repeated.
 
 use std::time::Duration;
@@ -15,10 +15,10 @@
 /// Response timeout as a multiple of the estimated latency.
 const RESPONSE_TIMEOUT_FACTOR: f64 = 2.0;
 
-/// Maximum retry-after time as a share of the request's remaining time.
+/// Maximum retry delay as a share of the request's remaining time.
 const RETRY_AFTER_SHARE: f64 = 1.0 / 3.0;
 
-/// Minimum retry-after time.
+/// Minimum retry delay.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Time limits of a request.
@@ -50,10 +50,10 @@
     }
 }
 
-/// The retry-after time to return if the request is to be rejected; `None` if it is to be sent.
+/// The retry delay for the caller if the request is to be refused; `None` if it is to be sent.
 ///
-/// A request is rejected if queueing makes it miss its objective. One that would miss it even without queueing is
-/// rejected only if the queueing time alone reaches the objective, because load is not the cause of its latency.
+/// A request is refused if queueing makes it miss its objective. One that would miss it even without queueing is
+/// refused only if the queueing time alone reaches the objective, because load is not the cause of its latency.
 pub fn rejection_retry_after(expected: LatencyEstimate, bounds: TimeBounds) -> Option<Duration> {
     let left_s = bounds.left.as_secs_f64();
     let objective_s = bounds.objective.as_secs_f64();
--- a/crates/routing/src/staged/decode_start_times.rs
+++ b/crates/routing/src/staged/decode_start_times.rs
@@ -1,4 +1,4 @@
-//! Times that decode engines take to start a response from a transferred KV cache, learnt from measurements.
+//! Times that decode engines take to start a response from a transferred KV cache, learned from measurements.
 //!
 //! An engine starts requests one after the other, at a cost that does not depend on the prompt. If few decode
 //! engines serve many requests, this is their bottleneck.
--- a/crates/routing/src/staged/engine_rate_limits.rs
+++ b/crates/routing/src/staged/engine_rate_limits.rs
@@ -14,7 +14,7 @@
 /// different limit in each response. Permit requests carry the newest limit in any case.
 const MIN_ANNOUNCED_CHANGE: f64 = 0.1;
 
-/// The last known limit of an engine. Kept after the limit has ended, to recognise older reports of it.
+/// The last known limit of an engine. Kept after the limit has ended, to recognize older reports of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct KnownLimit {
     /// `None` once it has ended.
--- a/crates/routing/src/staged/part_directory.rs
+++ b/crates/routing/src/staged/part_directory.rs
@@ -172,8 +172,8 @@
         confirmed.map(|part| part.tokens).sum()
     }
 
-    /// Engines that cache the last parts of the prompt that any engine caches. Engines with later parts
-    /// come first.
+    /// Engines that cache parts of the prompt, up to [`MAX_HOLDERS`]. Engines that cache later parts come
+    /// first.
     pub fn holders(&self, parts: &[PromptPart]) -> Vec<EngineKey> {
         let mut found = Vec::new();
         for (part, prefix_tokens) in parts_with_prefix(parts) {
--- a/crates/routing/src/staged/prefill_speeds.rs
+++ b/crates/routing/src/staged/prefill_speeds.rs
@@ -1,4 +1,4 @@
-//! Prefill times of engines, learnt from measured prefills.
+//! Prefill times of engines, learned from measured prefills.
 
 use std::collections::HashMap;
 
--- a/crates/routing/src/staged/signals.rs
+++ b/crates/routing/src/staged/signals.rs
@@ -29,7 +29,7 @@
 /// engine's slots.
 const RECOVERED_AT_PROBES: u32 = 8;
 
-/// Retry-after time while an engine is being probed; longer than a typical call.
+/// Retry delay of requests refused while an engine is being probed; longer than a typical call.
 const PROBE_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Number of stored backoffs from which expired ones are removed.
@@ -103,8 +103,9 @@
 
     /// Records an engine's registry entry, as reported by the key-value service in `era`.
     ///
-    /// An accepting entry clears the draining state unless it comes from a later era. Within one era it is newer:
-    /// the engine has restarted, or another writer had marked it. A later era may have started from an older copy.
+    /// An entry that is not draining reverts a draining entry of the same era, because it was written later: the engine
+    /// has restarted, or another writer had marked it as draining. It does not revert one of an earlier era, because the new era
+    /// may have started from an older backup.
     pub fn record_entry(&mut self, engine: EngineKey, accepting: bool, era: u64) {
         let known = self.entry_draining.get(engine);
         if !accepting {
--- a/crates/routing/tests/overload.rs
+++ b/crates/routing/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Rejection of requests that would miss their objective because of queues, and response timeouts.
+//! Refusal of requests that would miss their objective because of queues, and response timeouts.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
