--- a/crates/planner/src/composition.rs
+++ b/crates/planner/src/composition.rs
@@ -158,7 +158,7 @@
     fn can_serve(&self, workload: &Workload, multiple: f64) -> bool {
         let prefill = (multiple * workload.prefill - self.prefill as f64).max(0.0);
         let decode = (multiple * workload.decode - self.decode as f64).max(0.0);
-        // Mixed engines always decode beside their prefill, even where decode engines have room.
+        // Mixed engines always decode beside their prefill, even if decode engines have free capacity.
         let overhead = if workload.decode > 0.0 {
             workload.mixed_loss * prefill
         } else {
--- a/crates/planner/src/engine_scaling/autoscaler.rs
+++ b/crates/planner/src/engine_scaling/autoscaler.rs
@@ -21,7 +21,7 @@
 /// Tracks the demand and the spot reclamations of one pool and decides its engine counts.
 #[derive(Clone, Debug, Default)]
 pub struct Autoscaler {
-    /// Engines that the demand needs.
+    /// Engines needed to serve the demand.
     pub need: NeedTracker,
     /// Reclamations of spot engines.
     pub losses: SpotLossTracker,
--- a/crates/planner/src/engine_scaling/decision.rs
+++ b/crates/planner/src/engine_scaling/decision.rs
@@ -97,7 +97,7 @@
             let total = work.total();
             write!(
                 formatter,
-                "{:.0}/s asked, {:.0}/s begun, {:.0} of {:.0} slots busy, {:.0} prompt tokens/s; ",
+                "{:.0} requests/s arriving, {:.0}/s started, {:.0} of {:.0} slots busy, {:.0} prompt tokens/s; ",
                 total.asked_per_s,
                 total.begun_per_s,
                 total.busy_slots,
@@ -108,7 +108,7 @@
         if let Some(need) = &self.need {
             write!(
                 formatter,
-                "busy engines {:.1} expected, {:.1} at most in {:.0} s, {:.1} in {:.0} s, known for {:.0} s; ",
+                "busy engines needed: {:.1} forecast, peak {:.1} in {:.0} s, {:.1} in {:.0} s, history of {:.0} s; ",
                 need.forecast,
                 need.highest_for_spot,
                 need.spot_kept_s,
@@ -119,8 +119,8 @@
         }
         write!(
             formatter,
-            "standing {} spot, {} on demand; wanted {} and {}, cost {:.1}; {} losses, {} zones at once, {:.0} s \
-             missed of {:.0} s, {} short after the next{}",
+            "serving {} spot, {} on demand; target {} and {}, cost {:.1}; {} losses of spot engines, {} zones at once, \
+             lasting {:.0} s of {:.0} s observed; {} engines missing after the next{}",
             serving.spot,
             serving.on_demand,
             wanted.spot,
@@ -131,7 +131,11 @@
             losses.record.missed_s,
             losses.record.observed_s,
             losses.short,
-            if losses.insured { ", insured" } else { "" }
+            if losses.insured {
+                ", covered by on-demand engines"
+            } else {
+                ""
+            }
         )
     }
 }
--- a/crates/planner/src/engine_scaling/fixed.rs
+++ b/crates/planner/src/engine_scaling/fixed.rs
@@ -29,7 +29,7 @@
     let missing = baseline_total.saturating_sub(spot_total);
     let reserved = (f64::from(baseline_total) * policy.on_demand_share).ceil();
     let serving_in = |zone| serving.get(zone).copied().unwrap_or_default();
-    // On-demand engines go only where there is room beside the serving spot engines.
+    // Only as many on-demand engines as the maximum allows beside the serving spot engines.
     let room = |zone, baseline: u32| baseline.min(bounds.max.saturating_sub(serving_in(zone).spot));
     let room_total: u32 = baseline
         .iter()
--- a/crates/planner/src/engine_scaling/losses.rs
+++ b/crates/planner/src/engine_scaling/losses.rs
@@ -86,7 +86,7 @@
 pub struct SpotLossTracker {
     record: LossRecord,
     observed_at: Option<MonotonicTime>,
-    /// Zones in a loss, with the number of spot engines they had before.
+    /// Zones that have lost their spot engines, with the number that they had before.
     lost: BTreeMap<ZoneName, u32>,
 }
 
--- a/crates/planner/src/mix_duration.rs
+++ b/crates/planner/src/mix_duration.rs
@@ -60,8 +60,9 @@
         self.since = now;
     }
 
-    /// Expected remaining duration of the current mix: the rest of the average duration, but at least
-    /// as long as the mix has lasted, up to the average.
+    /// Expected remaining duration of the current mix. At first it is the rest of the average duration.
+    /// Once the mix has lasted for half of that, it is the time for which the mix has lasted, up to the
+    /// average duration.
     pub(crate) fn remaining(&self, now: MonotonicTime) -> Duration {
         let lasted = now.since(self.since);
         let left = self.average.saturating_sub(lasted);
--- a/crates/planner/src/speeds.rs
+++ b/crates/planner/src/speeds.rs
@@ -23,13 +23,13 @@
 /// Ratio of estimated work to engine time above which the speeds are corrected.
 const MAX_WORK_RATIO: f64 = 1.1;
 
-/// Minimum fraction of time spent on prefill in a sample for the mixed loss.
+/// Minimum fraction of time spent on prefill in a sample from which `mixed_loss` is learned.
 const MIN_PREFILL_SHARE: f64 = 0.1;
 
-/// Upper bound of the mixed loss.
+/// Upper bound of `mixed_loss`.
 const MAX_MIXED_LOSS: f64 = 3.0;
 
-/// Weight of a new sample in the moving average of the mixed loss.
+/// Weight of a new sample in the moving average of `mixed_loss`.
 const MIXED_LOSS_WEIGHT: f64 = 0.03;
 
 /// Time costs of an engine.
@@ -81,7 +81,7 @@
 }
 
 /// Learns [`EngineSpeeds`] from busy engines: token costs by a Kalman filter over prefill and decode
-/// engines, and the mixed loss from mixed engines whose prompt queue is never empty.
+/// engines, and `mixed_loss` from mixed engines whose prompt queue is never empty.
 #[derive(Clone, Debug)]
 pub struct SpeedEstimate {
     prior: EngineSpeeds,
--- a/crates/planner/tests/engines_by_demand.rs
+++ b/crates/planner/tests/engines_by_demand.rs
@@ -103,11 +103,11 @@
 #[rstest]
 fn without_load_data_the_fixed_rule_decides() {
     let fleet = Fleet::new();
-    let account = fleet.decide();
-    assert_eq!(account.rule, ScalingRule::Fixed);
+    let decision = fleet.decide();
+    assert_eq!(decision.rule, ScalingRule::Fixed);
     let baseline = (0..3).map(|number| (zone(number), 15)).collect();
     let fixed = fixed_targets(&baseline, &fleet.serving, BOUNDS, POLICY);
-    assert_eq!(account.targets, fixed);
+    assert_eq!(decision.targets, fixed);
 }
 
 #[rstest]
@@ -143,8 +143,8 @@
     let mut fleet = Fleet::new();
     fleet.run(60.0, |_| 10.0);
     assert!(fleet.total() < 30);
-    let account = fleet.run(5.0, |at| 10.0 + 2.0 * at);
-    let need = account.need.expect("a need");
+    let decision = fleet.run(5.0, |at| 10.0 + 2.0 * at);
+    let need = decision.need.expect("a need");
     assert!(
         need.forecast > 22.0,
         "20 needed now, 28 once new engines serve: {need:?}"
@@ -180,10 +180,10 @@
         missed_s: 25.0 * f64::from(losses),
         observed_s,
     });
-    let account = fleet.run(40.0, |_| 12.0);
-    assert_eq!(account.losses.insured, insured, "{account}");
+    let decision = fleet.run(40.0, |_| 12.0);
+    assert_eq!(decision.losses.insured, insured, "{decision}");
     let on_demand: u32 = fleet.serving.values().map(|zone| zone.on_demand).sum();
-    assert_eq!(on_demand >= 15, insured, "{account}");
+    assert_eq!(on_demand >= 15, insured, "{decision}");
 }
 
 #[rstest]
@@ -202,8 +202,8 @@
     );
     // They stay until spot engines serve in their place, not just until some are ordered.
     fleet.spot_unavailable.clear();
-    let account = fleet.decide();
-    assert!(account.wanted().on_demand >= 18, "{account}");
+    let decision = fleet.decide();
+    assert!(decision.wanted().on_demand >= 18, "{decision}");
 }
 
 /// Zones alternately refuse and accept orders for spot engines that never arrive. On-demand engines that boot meanwhile
@@ -244,10 +244,10 @@
     fleet.run(60.0, |_| 5.0);
     let before = fleet.total();
     fleet.at_ms += 10_000;
-    let account = fleet.decide();
-    assert_eq!(account.rule, ScalingRule::Fixed, "no current sample");
-    let account = fleet.run(0.25, |_| 5.0);
-    assert_eq!(account.rule, ScalingRule::DemandRising);
+    let decision = fleet.decide();
+    assert_eq!(decision.rule, ScalingRule::Fixed, "no current sample");
+    let decision = fleet.run(0.25, |_| 5.0);
+    assert_eq!(decision.rule, ScalingRule::DemandRising);
     assert!(fleet.total() >= before);
 }
 
@@ -349,11 +349,11 @@
             fleet.at_ms += TICK_MS;
             let now = MonotonicTime::from_millis(fleet.at_ms);
             fleet.autoscaler.need.observe(now, need, BOOT);
-            let account = fleet.decide();
-            for target in account.targets.iter().flat_map(BTreeMap::values) {
+            let decision = fleet.decide();
+            for target in decision.targets.iter().flat_map(BTreeMap::values) {
                 prop_assert!(u64::from(target.on_demand) + u64::from(target.spot) <= u64::from(max));
             }
-            prop_assert!(account.cost.is_finite());
+            prop_assert!(decision.cost.is_finite());
         }
     }
 }
