--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -125,7 +125,7 @@
     pub fn tick(&mut self, now: MonotonicTime) -> Vec<Action> {
         if self.has_unwanted_order_in_doubt() {
             // The engine may still accept the order; only a higher epoch prevents that.
-            self.lease.give_up(now);
+            self.lease.relinquish(now);
         }
         let mut actions = self.lease.tick(now);
         if let Some(grant) = self.lease.grant(now) {
@@ -175,7 +175,7 @@
         }
         if outcome.state().highest_epoch > call.epoch {
             // Another holder has taken over. This node needs a new, higher epoch to continue.
-            self.lease.give_up(now);
+            self.lease.relinquish(now);
             return;
         }
         if let Some(control) = self.engines.get_mut(&call.engine) {
@@ -189,7 +189,7 @@
             return;
         }
         if state.highest_epoch > call.epoch {
-            self.lease.give_up(now);
+            self.lease.relinquish(now);
             return;
         }
         if let Some(control) = self.engines.get_mut(&call.engine) {
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -111,7 +111,7 @@
         if let Authority::Held(grant) = self.authority
             && now >= grant.valid_until()
         {
-            self.give_up(now);
+            self.relinquish(now);
         }
         let mut actions: Vec<Action> = self
             .to_release
@@ -178,13 +178,13 @@
     /// Records that a lease no longer exists at the service. Answers about other leases are ignored.
     pub(crate) fn gone(&mut self, now: MonotonicTime, lease: u64) {
         if matches!(self.authority, Authority::Held(grant) if grant.lease == lease) {
-            self.give_up(now);
+            self.relinquish(now);
             self.to_release = None;
         }
     }
 
     /// Gives the lease up and schedules its release.
-    pub(crate) fn give_up(&mut self, now: MonotonicTime) {
+    pub(crate) fn relinquish(&mut self, now: MonotonicTime) {
         if let Authority::Held(grant) = self.authority {
             self.to_release = Some(grant.lease);
             self.authority = Authority::None;
