--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -83,7 +83,7 @@
 #[serde(into = "FingerprintHalves", from = "FingerprintHalves")]
 pub struct RequestFingerprint([u8; FINGERPRINT_BYTES]);
 
-/// Two integers serialise to 18 bytes, an array of bytes to up to 35.
+/// Two integers serialize to 18 bytes, an array of bytes to up to 35.
 type FingerprintHalves = (u64, u64);
 
 impl From<RequestFingerprint> for FingerprintHalves {
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -94,8 +94,8 @@
     Known,
     /// The record was new.
     New,
-    /// The record was new, but does not count as the request completed at this node recently. Other
-    /// nodes have to be told.
+    /// The record was new but does not count, because the request has completed at this node
+    /// recently. This has to be sent to the other nodes.
     Cleared,
 }
 
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -4,7 +4,7 @@
 //! another id and to another node, and crashes one engine after the other. A request to which
 //! enough crashes are attributed is *stopped*: nodes refuse it, apart from occasional trials.
 //!
-//! * [`FingerprintKey`] computes the fingerprint by which nodes recognise a request.
+//! * [`FingerprintKey`] computes the fingerprint by which nodes recognize a request.
 //! * [`UnfinishedRuns`] matches runs without a complete answer with engines that ended.
 //! * [`CrashLedger`] holds the resulting evidence, as a set that nodes merge, and decides which
 //!   requests are stopped.
--- a/crates/quarantine/src/unfinished.rs
+++ b/crates/quarantine/src/unfinished.rs
@@ -39,7 +39,7 @@
 }
 
 impl UnfinishedRuns {
-    /// Creates an empty collection. A run and the end of its engine are matched if they are learnt
+    /// Creates an empty collection. A run and the end of its engine are matched if they are learned
     /// within `window` of each other.
     pub fn new(window: Duration) -> Self {
         Self {
