--- a/crates/dissemination/src/membership.rs
+++ b/crates/dissemination/src/membership.rs
@@ -59,7 +59,7 @@
 /// A node that relays fleet-wide state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Relay {
-    /// Its number.
+    /// Its numeric id.
     pub number: NodeNumber,
     /// Its UDP address for other nodes.
     pub address: SocketAddr,
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -70,10 +70,10 @@
     pub token: u64,
 }
 
-/// Requests started on engines during one life of a node.
+/// Requests started on engines during one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct UsageReport {
-    /// The node and the life that counted them.
+    /// The node and its incarnation that counted them.
     pub origin: NodeLife,
     /// Changed counts, by window.
     pub windows: Vec<WindowCounts>,
@@ -99,7 +99,7 @@
     pub at_most_ms: u64,
 }
 
-/// Events observed by one node, each sent once.
+/// Events observed by one node. Each is sent once, except crashes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct News {
     /// The observing node, which ignores them when they are relayed back to it.
--- a/crates/dissemination/src/permits.rs
+++ b/crates/dissemination/src/permits.rs
@@ -9,11 +9,11 @@
 /// The request rate that one engine accepts from all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct EngineLimit {
-    /// The engine's start that announced the limit.
+    /// The engine, with the start of its process for which the limit applies.
     pub start: EngineStart,
     /// The limit; `None` if it was lifted.
     pub rate: Option<RequestRate>,
-    /// Milliseconds since the engine's answer that stated this. The most recent statement wins.
+    /// Milliseconds since the engine's answer that stated this. The most recent answer wins.
     pub age_ms: u32,
 }
 
--- a/crates/dissemination/src/subscription.rs
+++ b/crates/dissemination/src/subscription.rs
@@ -12,7 +12,8 @@
 const MAX_OTHER_ZONE_PROBES: usize = 2;
 
 /// Relays of other zones are probed after this multiple of the silence limit: relays of the member's
-/// own zone get time to answer first, because what another zone sends uses the links between zones.
+/// own zone get time to answer first, because tables from another zone use bandwidth of the links
+/// between zones.
 const OTHER_ZONES_SILENCE_FACTOR: f64 = 1.5;
 
 /// How often a member that follows a relay of another zone probes one of its own zone.
@@ -89,7 +90,7 @@
         true
     }
 
-    /// Whether the member listens to a relay of another zone.
+    /// Whether the member follows a relay of another zone.
     fn follows_other_zone(&self) -> bool {
         let current = self.current.as_ref();
         current.is_some_and(|current| current.zone != self.zone)
@@ -115,12 +116,12 @@
         self.current.as_ref()
     }
 
-    /// When the followed relay was last heard; zero if none ever was.
+    /// When the member last received a table of its relay; zero if it never did.
     pub fn last_heard_at(&self) -> MonotonicTime {
         self.last_heard_at
     }
 
-    /// Whether the member currently hears no relay.
+    /// Whether the member currently receives tables of no relay.
     pub fn is_silent(&self, now: MonotonicTime) -> bool {
         self.current.is_none() || now.since(self.last_heard_at) > self.silence_limit
     }
