--- a/cmd/src/room/mod.rs
+++ b/cmd/src/room/mod.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use dalestand_forwarding::RoomReport;
+use dalestand_forwarding::CapacityReport;
 use getopts::{Matches, Options};
 
 pub use self::table::room_table;
@@ -61,7 +61,7 @@
         Ok(body) => body,
         Err(error) => return failure(error),
     };
-    match parse::<RoomReport>(&body) {
+    match parse::<CapacityReport>(&body) {
         // A report of a newer build has more in it than this program knows.
         Ok(_) if json => print_json(&body),
         Ok(report) => print!("{}", room_table(&report)),
--- a/cmd/src/room/table.rs
+++ b/cmd/src/room/table.rs
@@ -1,8 +1,8 @@
 //! The report of room and demand as a table for a terminal.
 
 use dalestand_forwarding::{
-    ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolRoom, ReportSources,
-    RoomReport, TenantDemand,
+    CapacityReport, ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolCapacity,
+    ReportSources, TenantDemand,
 };
 use dalestand_routing::{TenantCode, WorkKind};
 
@@ -10,7 +10,7 @@
 const INDENT: &str = "  ";
 
 /// The report as text.
-pub fn room_table(report: &RoomReport) -> String {
+pub fn room_table(report: &CapacityReport) -> String {
     let declaration = report.declaration;
     let declaration = declaration.map_or("no declaration".to_owned(), |revision| {
         format!("declaration {revision}")
@@ -58,7 +58,7 @@
     ages.join(", ")
 }
 
-fn push_pool(text: &mut String, pool: &PoolRoom) {
+fn push_pool(text: &mut String, pool: &PoolCapacity) {
     let name = printable(pool.pool.as_str());
     let engines = counted(pool.engine_count(), "engine");
     let slots = counted(pool.slots() as usize, "slot");
--- a/cmd/tests/room.rs
+++ b/cmd/tests/room.rs
@@ -4,15 +4,15 @@
 
 use dalestand_cmd::room::room_table;
 use dalestand_forwarding::{
-    ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolRoom, ReportSources,
-    RoomReport, TenantDemand,
+    CapacityReport, ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolCapacity,
+    ReportSources, TenantDemand,
 };
 use dalestand_routing::{ClassFigures, TenantCode, TenantFigures, WorkKind, WorkRate};
 use dalestand_types::{NodeId, PoolName, Revision, ZoneName};
 use rstest::rstest;
 
-fn unknowing() -> RoomReport {
-    RoomReport {
+fn unknowing() -> CapacityReport {
+    CapacityReport {
         node: NodeId::from("front-1"),
         zone: ZoneName::from("a"),
         declaration: None,
@@ -23,8 +23,8 @@
     }
 }
 
-fn empty_pool() -> PoolRoom {
-    PoolRoom {
+fn empty_pool() -> PoolCapacity {
+    PoolCapacity {
         pool: PoolName::from("guide"),
         engines: Vec::new(),
         busy_slots: 0.0,
@@ -37,7 +37,7 @@
     }
 }
 
-fn busy_pool() -> PoolRoom {
+fn busy_pool() -> PoolCapacity {
     let work = |slots, prompt_tokens_per_s| WorkRate {
         slots,
         prompt_tokens_per_s,
@@ -50,7 +50,7 @@
             begun: work(20.0, 300.0),
         },
     };
-    PoolRoom {
+    PoolCapacity {
         engines: vec![EngineGroup {
             zone: ZoneName::from("a"),
             work: WorkKind::Decode,
@@ -99,7 +99,7 @@
 
 #[rstest]
 fn an_empty_pool_has_one_line() {
-    let report = RoomReport {
+    let report = CapacityReport {
         declaration: Some(Revision(3)),
         pools: vec![empty_pool()],
         ..unknowing()
@@ -111,7 +111,7 @@
 
 #[rstest]
 fn figures_stand_in_columns_under_their_names() {
-    let report = RoomReport {
+    let report = CapacityReport {
         nodes_known: 5,
         sources: ReportSources {
             members: 1,
--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use dalestand_duties::{NodeLife, WindowCounts};
+use dalestand_duties::{NodeIncarnation, WindowCounts};
 use dalestand_quarantine::CrashRecord;
 use dalestand_types::PoolName;
 use serde::{Deserialize, Serialize};
@@ -70,11 +70,11 @@
     pub token: u64,
 }
 
-/// Requests started on engines during one life of a node.
+/// Requests started on engines during one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct UsageReport {
-    /// The node and the life that counted them.
-    pub origin: NodeLife,
+    /// The node incarnation that counted them.
+    pub origin: NodeIncarnation,
     /// Changed counts, by window.
     pub windows: Vec<WindowCounts>,
 }
--- a/crates/dissemination/tests/golden.rs
+++ b/crates/dissemination/tests/golden.rs
@@ -16,7 +16,7 @@
     PlacedPart, Placement, PlacementState, PoolDemand, Relay, Report, RoleChange, SlownessRow,
     SumScope, SummedRows, SumsMessage, Table, TenantRow, TenantRows, UsageReport,
 };
-use dalestand_duties::NodeLife;
+use dalestand_duties::NodeIncarnation;
 use dalestand_quarantine::{CrashRecord, EngineRunId, RequestFingerprint};
 use dalestand_routing::{
     ClassFigures, SlownessFigures, TenantCode, TenantFigures, WorkKind, WorkRate,
@@ -327,7 +327,10 @@
 
 fn usage() -> UsageReport {
     UsageReport {
-        origin: NodeLife { node: 1, life: 5 },
+        origin: NodeIncarnation {
+            node: 1,
+            incarnation: 5,
+        },
         windows: Vec::new(),
     }
 }
--- a/crates/duties/src/counters.rs
+++ b/crates/duties/src/counters.rs
@@ -67,14 +67,14 @@
     }
 
     /// Has all counts sent again, for a receiver that may know none.
-    pub fn send_all_again(&mut self) {
+    pub fn resend_all(&mut self) {
         for counter in self.windows.values_mut().flat_map(BTreeMap::values_mut) {
             counter.sends_left = SENDS_PER_CHANGE;
         }
     }
 
     /// Forgets windows before `window`.
-    pub fn forget_before(&mut self, window: WindowIndex) {
+    pub fn remove_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
 }
--- a/crates/duties/src/ledger.rs
+++ b/crates/duties/src/ledger.rs
@@ -9,13 +9,14 @@
 use crate::report::TenantCounts;
 use crate::window::WindowIndex;
 
-/// One life of a node: a node that is restarted counts from zero again.
+/// One incarnation of a node: the counters of a node start from zero when it is restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct NodeLife {
+pub struct NodeIncarnation {
     /// Number of the node.
     pub node: u64,
-    /// Drawn at its start.
-    pub life: u64,
+    /// Random number drawn when the process starts.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 /// Counts of all nodes by window.
@@ -24,12 +25,12 @@
 /// lost and overtaken.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
-    windows: BTreeMap<WindowIndex, HashMap<NodeLife, HashMap<TenantName, u64>>>,
+    windows: BTreeMap<WindowIndex, HashMap<NodeIncarnation, HashMap<TenantName, u64>>>,
 }
 
 impl UsageLedger {
     /// Takes in what one life of a node counted.
-    pub fn merge(&mut self, origin: NodeLife, windows: Vec<WindowCounts>) {
+    pub fn merge(&mut self, origin: NodeIncarnation, windows: Vec<WindowCounts>) {
         for WindowCounts { window, counts } in windows {
             let lives = self.windows.entry(window).or_default();
             let known = lives.entry(origin).or_default();
@@ -51,7 +52,7 @@
     }
 
     /// Forgets windows before `window`.
-    pub fn forget_before(&mut self, window: WindowIndex) {
+    pub fn remove_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
 }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -18,8 +18,8 @@
 mod window;
 
 pub use counters::{TenantCount, UsageCounters, WindowCounts};
-pub use ledger::{NodeLife, UsageLedger};
+pub use ledger::{NodeIncarnation, UsageLedger};
 pub use report::{TenantCounts, WindowReport};
-pub use schedule::{ReportSchedule, ScheduleTerms};
+pub use schedule::{ReportSchedule, ReportTiming};
 pub use wall_clock::WallClock;
 pub use window::{UsageWindows, WindowIndex};
--- a/crates/duties/src/schedule.rs
+++ b/crates/duties/src/schedule.rs
@@ -8,13 +8,13 @@
 
 /// When reports are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ScheduleTerms {
+pub struct ReportTiming {
     /// The windows.
     pub windows: UsageWindows,
     /// Time after the end of a window in which nodes send what they counted in it.
-    pub settle: Duration,
+    pub settle_delay: Duration,
     /// Time after the end of a window in which its report must have been made.
-    pub late: Duration,
+    pub deadline: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -29,13 +29,13 @@
 /// predecessor may have reported: by the frozen report, exactly the same.
 #[derive(Clone, Debug)]
 pub struct ReportSchedule {
-    terms: ScheduleTerms,
+    terms: ReportTiming,
     windows: BTreeMap<WindowIndex, ReportState>,
 }
 
 impl ReportSchedule {
     /// A schedule with nothing done.
-    pub fn new(terms: ScheduleTerms) -> Self {
+    pub fn new(terms: ReportTiming) -> Self {
         Self {
             terms,
             windows: BTreeMap::new(),
@@ -44,8 +44,8 @@
 
     /// The oldest window that is to be reported at this time since the start of 1970.
     pub fn due(&self, unix_time: Duration) -> Option<WindowIndex> {
-        let first = self.oldest_in_time(unix_time)?;
-        let settled = unix_time.checked_sub(self.terms.settle)?;
+        let first = self.oldest_reportable(unix_time)?;
+        let settled = unix_time.checked_sub(self.terms.settle_delay)?;
         let end = self.terms.windows.at(settled);
         let windows = (first.0..end.0).map(WindowIndex);
         let mut open =
@@ -54,8 +54,8 @@
     }
 
     /// The oldest window whose report is not too late.
-    pub fn oldest_in_time(&self, unix_time: Duration) -> Option<WindowIndex> {
-        let late = unix_time.checked_sub(self.terms.late)?;
+    pub fn oldest_reportable(&self, unix_time: Duration) -> Option<WindowIndex> {
+        let late = unix_time.checked_sub(self.terms.deadline)?;
         Some(self.terms.windows.at(late))
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Forgets windows before `window`.
-    pub fn forget_before(&mut self, window: WindowIndex) {
+    pub fn remove_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
 }
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dalestand_duties::{
-    NodeLife, ReportSchedule, ScheduleTerms, TenantCounts, UsageCounters, UsageLedger,
+    NodeIncarnation, ReportSchedule, ReportTiming, TenantCounts, UsageCounters, UsageLedger,
     UsageWindows, WallClock, WindowIndex, WindowReport,
 };
 use dalestand_types::{MonotonicTime, TenantName};
@@ -20,11 +20,11 @@
     TenantName::from(format!("tenant-{number}"))
 }
 
-fn terms() -> ScheduleTerms {
-    ScheduleTerms {
+fn terms() -> ReportTiming {
+    ReportTiming {
         windows: UsageWindows::new(5 * SECOND),
-        settle: Duration::from_millis(1_400),
-        late: 10 * SECOND,
+        settle_delay: Duration::from_millis(1_400),
+        deadline: 10 * SECOND,
     }
 }
 
@@ -106,10 +106,10 @@
     assert_eq!(counters.take_changed().len(), 1);
     assert_eq!(counters.take_changed().len(), 1);
     assert!(counters.take_changed().is_empty());
-    counters.send_all_again();
+    counters.resend_all();
     assert_eq!(counters.take_changed().len(), 1);
-    counters.forget_before(WindowIndex(2));
-    counters.send_all_again();
+    counters.remove_before(WindowIndex(2));
+    counters.resend_all();
     assert!(counters.take_changed().is_empty());
 }
 
@@ -151,11 +151,11 @@
             if step == taken_over_at {
                 ledger = UsageLedger::default();
                 late.clear();
-                nodes.iter_mut().for_each(UsageCounters::send_all_again);
+                nodes.iter_mut().for_each(UsageCounters::resend_all);
             }
             if step % 5 == 0 {
                 for (number, node) in nodes.iter_mut().enumerate() {
-                    let origin = NodeLife { node: number as u64, life: 1 };
+                    let origin = NodeIncarnation { node: number as u64, incarnation: 1 };
                     let message = node.take_changed();
                     match fates.next().unwrap_or(Fate::Once) {
                         Fate::Lost => {}
@@ -170,8 +170,8 @@
             }
         }
         for (number, node) in nodes.iter_mut().enumerate() {
-            node.send_all_again();
-            let origin = NodeLife { node: number as u64, life: 1 };
+            node.resend_all();
+            let origin = NodeIncarnation { node: number as u64, incarnation: 1 };
             ledger.merge(origin, node.take_changed());
         }
         for (origin, message) in late {
@@ -186,12 +186,12 @@
     #[test]
     fn lives_of_a_node_add_up(first in 0_u64..50, second in 0_u64..50) {
         let mut ledger = UsageLedger::default();
-        for (life, requests) in [(1, first), (2, second)] {
+        for (incarnation, requests) in [(1, first), (2, second)] {
             let mut counters = UsageCounters::default();
             for _ in 0..requests {
                 counters.count(WindowIndex(1), &tenant(1));
             }
-            ledger.merge(NodeLife { node: 7, life }, counters.take_changed());
+            ledger.merge(NodeIncarnation { node: 7, incarnation }, counters.take_changed());
         }
         let total = ledger.total(WindowIndex(1));
         prop_assert_eq!(total.values().sum::<u64>(), first + second);
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -25,13 +25,13 @@
 use crate::fleet::engines::Fleet;
 use crate::fleet::placements::Placements;
 use crate::fleet_sums::FleetSums;
-use crate::node::counts::InFlight;
+use crate::node::in_flight::InFlight;
 use crate::node::metrics::ForwardingMetrics;
 use crate::node::settings::ForwardingSettings;
 use crate::permits::state::PermitState;
 use crate::quarantine::state::QuarantineState;
-use crate::roles::authority::Authority;
 use crate::roles::demand::DemandMeter;
+use crate::roles::fleet_lease::FleetLease;
 use crate::serve::class_counts::ClassCounts;
 use crate::serve::held_bytes::HeldBytes;
 use crate::serve::pool_admissions::PoolAdmissions;
@@ -75,7 +75,7 @@
     /// Leave to send requests to engines that take only so many.
     pub(crate) permits: PermitState,
     /// Whether this node acts for all.
-    pub(crate) authority: Authority,
+    pub(crate) fleet_lease: FleetLease,
     /// Requests by tenant.
     pub(crate) usage: UsageCounts,
     /// Prompt tokens asked for.
@@ -91,7 +91,7 @@
     /// Figures that add up over all nodes.
     pub(crate) sums: FleetSums,
     /// What was weighed when engines were last ordered, by pool; empty unless this node orders them.
-    pub(crate) scaling_accounts: RefCell<BTreeMap<PoolName, ScalingDecision>>,
+    pub(crate) scaling_decisions: RefCell<BTreeMap<PoolName, ScalingDecision>>,
     /// Requests that end engines.
     pub(crate) quarantine: QuarantineState,
     pub(crate) metrics: ForwardingMetrics,
@@ -104,7 +104,7 @@
     entries: RefCell<HashMap<String, EngineEntry>>,
     fleet: RefCell<Fleet>,
     stopping: Cell<bool>,
-    asks_for_parts: Cell<bool>,
+    parts_requested: Cell<bool>,
     nodes: RefCell<NodeCount>,
 }
 
@@ -133,7 +133,7 @@
             work_changed: Notify::new(),
             dissemination: Dissemination::new(&settings),
             permits: PermitState::default(),
-            authority: Authority::default(),
+            fleet_lease: FleetLease::default(),
             usage: UsageCounts::new(NodeNumber::of(settings.node.as_str()), settings.usage()),
             placements: RefCell::default(),
             demand: RefCell::default(),
@@ -142,7 +142,7 @@
             tenant_shares: Rc::default(),
             admissions: PoolAdmissions::default(),
             sums: FleetSums::default(),
-            scaling_accounts: RefCell::default(),
+            scaling_decisions: RefCell::default(),
             quarantine: QuarantineState::default(),
             store_era: watch::Sender::new(0),
             started: BootInstant::now(),
@@ -151,7 +151,7 @@
             entries: RefCell::default(),
             fleet: RefCell::default(),
             stopping: Cell::new(false),
-            asks_for_parts: Cell::new(false),
+            parts_requested: Cell::new(false),
             nodes: RefCell::default(),
             settings,
         }
@@ -168,15 +168,15 @@
     }
 
     /// Notes that the declaration in force stood at a time.
-    pub(crate) fn declaration_confirmed(&self, at: BootInstant) {
+    pub(crate) fn confirm_declaration(&self, at: BootInstant) {
         self.declaration_confirmed_at.set(at);
     }
 
     /// Whether keys may be judged by the declaration in force. Where the settings ask for it, a node
     /// that cannot confirm the declaration refuses keys: one of them may have been taken away.
-    pub(crate) fn keys_hold(&self) -> bool {
+    pub(crate) fn keys_are_current(&self) -> bool {
         let unconfirmed = self.declaration_confirmed_at.get().elapsed();
-        let holds = self.settings.declaration_holds();
+        let holds = self.settings.declaration_validity();
         holds.is_none_or(|holds| unconfirmed <= holds)
     }
 
@@ -224,13 +224,13 @@
     }
 
     /// Takes an engine out that has said that it drains; whether that is news here.
-    pub(crate) fn engine_drains(&self, engine: EngineKey) -> bool {
+    pub(crate) fn drain_engine(&self, engine: EngineKey) -> bool {
         let is_news = self.router.borrow_mut().signals.record_draining(engine);
         is_news && self.fleet.borrow_mut().drain(engine)
     }
 
     /// Forgets all that was known of an engine but where it is: it has started again.
-    pub(crate) fn engine_restarted(&self, engine: EngineKey) {
+    pub(crate) fn reset_engine(&self, engine: EngineKey) {
         self.router.borrow_mut().forget_engine(engine);
         let born = self.born(engine);
         self.fleet.borrow_mut().set_born(engine, born);
@@ -251,7 +251,7 @@
     }
 
     /// Notes entries of engines by their keys, or that they are gone.
-    pub(crate) fn change_entries(&self, changes: Vec<(String, Option<EngineEntry>)>) {
+    pub(crate) fn apply_entry_changes(&self, changes: Vec<(String, Option<EngineEntry>)>) {
         let table = self.table();
         let mut fleet = self.fleet.borrow_mut();
         let mut entries = self.entries.borrow_mut();
@@ -324,21 +324,21 @@
 
     /// Notes that the key-value service was restored from an older copy: leases are gone with what was written
     /// since, whatever their time.
-    pub(crate) fn era_has_risen(&self, era: u64) {
-        self.authority.drop_mandate();
+    pub(crate) fn begin_store_era(&self, era: u64) {
+        self.fleet_lease.clear();
         self.quarantine.rewrite_stored();
         self.store_era.send_replace(era);
     }
 
     /// Notes bytes that are written to this node's link.
-    pub(crate) fn sent(&self, bytes: usize) {
+    pub(crate) fn record_sent_bytes(&self, bytes: usize) {
         let time = self.settings.link_time(bytes);
         self.uplink.borrow_mut().push(self.now(), time);
     }
 
     /// Notes that an engine was ordered to change its role: it is avoided, here and at the other
     /// nodes, until its entry shows the change, for `at_most` this time.
-    pub(crate) fn changes_role(&self, engine: EngineKey, at_most: Duration) {
+    pub(crate) fn begin_role_change(&self, engine: EngineKey, at_most: Duration) {
         let until = self.now() + at_most;
         self.router
             .borrow_mut()
@@ -349,14 +349,14 @@
     }
 
     /// Has relays say what they know of kept parts.
-    pub(crate) fn ask_for_parts(&self) {
-        self.asks_for_parts.set(true);
+    pub(crate) fn request_parts(&self) {
+        self.parts_requested.set(true);
         self.work_changed.notify_one();
     }
 
     /// Whether relays are to be asked for kept parts; they are asked once.
-    pub(crate) fn asks_for_parts(&self) -> bool {
-        self.asks_for_parts.replace(false)
+    pub(crate) fn take_parts_request(&self) -> bool {
+        self.parts_requested.replace(false)
     }
 
     /// Whether a planned stop has begun.
@@ -375,7 +375,7 @@
     }
 
     /// Notes how many nodes there are, this one among them.
-    pub(crate) fn set_nodes(&self, nodes: usize) {
+    pub(crate) fn set_node_count(&self, nodes: usize) {
         let now = self.now();
         self.nodes.borrow_mut().set(now, nodes);
         self.budget.borrow_mut().set_nodes(now, nodes);
@@ -399,7 +399,7 @@
 
 /// The budget of a node that starts now.
 fn retry_budget(settings: &ForwardingSettings) -> SharedRetryBudget {
-    let mut budget = SharedRetryBudget::new(settings.retry_terms());
+    let mut budget = SharedRetryBudget::new(settings.retry_limits());
     if settings.retries.former_life {
         budget.note_restart(MonotonicTime::ZERO);
     }
--- a/crates/forwarding/src/dissemination/bulk.rs
+++ b/crates/forwarding/src/dissemination/bulk.rs
@@ -22,7 +22,7 @@
         };
         burst += send_encoded(&context, &socket, &[address], &datagram);
         if burst >= BURST_BYTES {
-            context.sent(burst);
+            context.record_sent_bytes(burst);
             context.metrics.bulk_dropped(queue.take_dropped());
             actix_rt::time::sleep(pause_after(&context.settings, burst)).await;
             burst = 0;
--- a/crates/forwarding/src/dissemination/engine_notices.rs
+++ b/crates/forwarding/src/dissemination/engine_notices.rs
@@ -51,7 +51,7 @@
         } else {
             send_as_member(&context, &socket)
         };
-        context.sent(sent_bytes);
+        context.record_sent_bytes(sent_bytes);
     }
 }
 
--- a/crates/forwarding/src/dissemination/receive/declaration.rs
+++ b/crates/forwarding/src/dissemination/receive/declaration.rs
@@ -26,7 +26,7 @@
     if let Some(request) = request {
         let message = Message::DeclarationRequest(request);
         let sent_bytes = send_message(context, socket, &[relay], &message);
-        context.sent(sent_bytes);
+        context.record_sent_bytes(sent_bytes);
     }
 }
 
--- a/crates/forwarding/src/dissemination/receive/entries.rs
+++ b/crates/forwarding/src/dissemination/receive/entries.rs
@@ -39,7 +39,7 @@
     };
     let message = Message::EntriesRequest(request);
     let sent_bytes = send_message(context, socket, &[relay], &message);
-    context.sent(sent_bytes);
+    context.record_sent_bytes(sent_bytes);
 }
 
 /// Sends a member the entries that differ from its own.
--- a/crates/forwarding/src/dissemination/receive/loads.rs
+++ b/crates/forwarding/src/dissemination/receive/loads.rs
@@ -80,7 +80,7 @@
             disaggregated_tokens_per_s: pool.disaggregated_tokens_per_s,
             colocated_tokens_per_s: pool.colocated_tokens_per_s,
         };
-        meter.reported(now, source, pool.pool, demand);
+        meter.set_reported(now, source, pool.pool, demand);
     }
 }
 
--- a/crates/forwarding/src/dissemination/receive/mod.rs
+++ b/crates/forwarding/src/dissemination/receive/mod.rs
@@ -78,6 +78,6 @@
         Message::PermitRequest(request) => grants::respond(context, socket, sender, &request),
         Message::PermitAnswer(answer) => requester::handle_answer(context, answer),
         Message::Sums(sums) => sums::handle(context, sums),
-        Message::Usage(report) => context.usage.take_report(report),
+        Message::Usage(report) => context.usage.merge_report(report),
     }
 }
--- a/crates/forwarding/src/dissemination/receive/table.rs
+++ b/crates/forwarding/src/dissemination/receive/table.rs
@@ -34,7 +34,7 @@
         log_event!(context.logger, Event::RelayFollowed, "relay" => table.node.0,
             "nodes" => table.node_count);
     }
-    context.set_nodes(table.node_count as usize);
+    context.set_node_count(table.node_count as usize);
     dissemination.set_reported_node_count(table.node_count as usize);
     dissemination.set_lease_holder(table.holder);
     if !table.relays.is_empty() {
--- a/crates/forwarding/src/dissemination/send.rs
+++ b/crates/forwarding/src/dissemination/send.rs
@@ -81,7 +81,7 @@
 }
 
 fn ask_for_parts(context: &Context, socket: &UdpSocket) {
-    if !context.asks_for_parts() {
+    if !context.take_parts_request() {
         return;
     }
     let subscription = context.dissemination.subscription.borrow();
@@ -121,7 +121,7 @@
     if demand_is_due {
         last.demand = last.message;
     }
-    context.sent(sent_bytes);
+    context.record_sent_bytes(sent_bytes);
     let has_members = !dissemination.subscribers.borrow().addresses().is_empty();
     let least = if has_members {
         exchange_interval(dissemination.other_relays().len())
@@ -210,7 +210,7 @@
         news: News::none(dissemination.node),
     };
     let sent_bytes = send(context, socket, &[relay.address], &Message::Report(probe));
-    context.sent(sent_bytes);
+    context.record_sent_bytes(sent_bytes);
 }
 
 /// Sends one report if there is anything to report; returns the time until the next.
@@ -264,6 +264,6 @@
         news,
     };
     let sent_bytes = send(context, socket, &addresses, &Message::Report(report));
-    context.sent(sent_bytes);
+    context.record_sent_bytes(sent_bytes);
     pause_after(&context.settings, sent_bytes).max(REPORT_INTERVAL)
 }
--- a/crates/forwarding/src/dissemination/sums.rs
+++ b/crates/forwarding/src/dissemination/sums.rs
@@ -56,7 +56,7 @@
             send_as_member(&context, &socket, round_number)
         };
         round_number += 1;
-        context.sent(sent_bytes);
+        context.record_sent_bytes(sent_bytes);
         let paced = Duration::from_secs_f64(sent_bytes as f64 / BYTES_PER_S);
         pause = paced.clamp(SEND_INTERVAL, MAX_SEND_INTERVAL);
     }
@@ -199,7 +199,7 @@
     };
     if is_relevant {
         let invalid = apply_rows(&context.sums, now, source, message.rows);
-        context.metrics.rows_unsound(invalid);
+        context.metrics.invalid_rows(invalid);
     }
 }
 
--- a/crates/forwarding/src/dissemination/tables.rs
+++ b/crates/forwarding/src/dissemination/tables.rs
@@ -50,7 +50,7 @@
             relays_sent_at = BootInstant::now();
         }
         let sent_bytes = send_table(&context, &socket, &members, includes_relays);
-        context.sent(sent_bytes);
+        context.record_sent_bytes(sent_bytes);
         let member_bytes = sent_bytes as f64 / members.len() as f64;
         let member_pause = Duration::from_secs_f64(member_bytes / MEMBER_BYTES_PER_S);
         // Exceeding the limit must not delay the next table so much that members consider their
--- a/crates/forwarding/src/duties/mod.rs
+++ b/crates/forwarding/src/duties/mod.rs
@@ -1,4 +1,4 @@
-//! What one node does for the whole fleet under the lease that [`crate::roles::authority`] keeps: usage
+//! What one node does for the whole fleet under the lease that [`crate::roles::fleet_lease`] keeps: usage
 //! reports by tenant ([`usage_report`]) and the number of engines ([`scaling`]).
 
 use dalestand_edge::PlatformError;
--- a/crates/forwarding/src/duties/report_slots.rs
+++ b/crates/forwarding/src/duties/report_slots.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use dalestand_duties::{ScheduleTerms, WindowIndex, WindowReport};
+use dalestand_duties::{ReportTiming, WindowIndex, WindowReport};
 use dalestand_edge::{CasOutcome, Entry, KeyValue, PlatformError, WriteExpectation};
 use dalestand_types::Revision;
 use error_stack::{Report, ResultExt as _};
@@ -38,8 +38,8 @@
 
 impl ReportSlots {
     /// Slots enough for all windows that may still be reported.
-    pub(crate) fn new(terms: ScheduleTerms) -> Self {
-        let window = terms.windows.at(terms.late).0;
+    pub(crate) fn new(terms: ReportTiming) -> Self {
+        let window = terms.windows.at(terms.deadline).0;
         Self {
             slots: window + 2,
             written: HashMap::new(),
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -29,8 +29,8 @@
 use crate::context::Context;
 use crate::duties::outcome_label;
 use crate::node::settings::ScalingMode;
-use crate::roles::authority::Authority;
-use crate::roles::authority::while_held;
+use crate::roles::fleet_lease::FleetLease;
+use crate::roles::fleet_lease::while_held;
 
 /// How often the engines are looked at.
 const LOOK_INTERVAL: Duration = Duration::from_millis(250);
@@ -66,7 +66,7 @@
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: Authority,
+    authority: FleetLease,
     pools: HashMap<PoolName, ScaledPool>,
     /// Engines that may come or go now.
     allowance: f64,
@@ -78,7 +78,7 @@
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: Authority,
+    authority: FleetLease,
 ) {
     let mut scaler = Scaler {
         context,
@@ -177,7 +177,7 @@
         let may_order = self.authority.mandate(now).is_some();
         if !may_order {
             self.pools.values_mut().for_each(|pool| pool.held = None);
-            self.context.scaling_accounts.borrow_mut().clear();
+            self.context.scaling_decisions.borrow_mut().clear();
         }
         if !may_order && !self.context.dissemination.role(now).is_relay {
             self.pools.clear();
@@ -232,7 +232,7 @@
             return;
         };
         let orders = self.due(pool, &account);
-        let accounts = &self.context.scaling_accounts;
+        let accounts = &self.context.scaling_decisions;
         accounts.borrow_mut().insert(pool.clone(), account.clone());
         for order in orders {
             let count = step(order.from, order.count, self.allowance as u32);
--- a/crates/forwarding/src/duties/tests.rs
+++ b/crates/forwarding/src/duties/tests.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use async_trait::async_trait;
-use dalestand_duties::{ScheduleTerms, TenantCounts, UsageWindows, WindowIndex, WindowReport};
+use dalestand_duties::{ReportTiming, TenantCounts, UsageWindows, WindowIndex, WindowReport};
 use dalestand_edge::duty_calls::EngineTenure;
 use dalestand_edge::{
     CasOutcome, Entry, KeyValue, LeaseId, Listing, PlatformError, WatchBatch, WriteExpectation,
@@ -129,11 +129,11 @@
     }
 }
 
-fn terms() -> ScheduleTerms {
-    ScheduleTerms {
+fn terms() -> ReportTiming {
+    ReportTiming {
         windows: UsageWindows::new(Duration::from_secs(5)),
-        settle: Duration::from_secs(1),
-        late: Duration::from_secs(10),
+        settle_delay: Duration::from_secs(1),
+        deadline: Duration::from_secs(10),
     }
 }
 
--- a/crates/forwarding/src/duties/usage_counts.rs
+++ b/crates/forwarding/src/duties/usage_counts.rs
@@ -5,8 +5,8 @@
 
 use dalestand_dissemination::{NodeNumber, UsageReport};
 use dalestand_duties::{
-    NodeLife, ScheduleTerms, TenantCounts, UsageCounters, UsageLedger, UsageWindows, WallClock,
-    WindowIndex,
+    NodeIncarnation, ReportTiming, TenantCounts, UsageCounters, UsageLedger, UsageWindows,
+    WallClock, WindowIndex,
 };
 use dalestand_routes::Caller;
 use dalestand_types::MonotonicTime;
@@ -25,8 +25,8 @@
 
 /// What this node counted, and as the holder of the lease what others did.
 pub(crate) struct UsageCounts {
-    terms: Option<ScheduleTerms>,
-    pub(super) origin: NodeLife,
+    terms: Option<ReportTiming>,
+    pub(super) origin: NodeIncarnation,
     wall_clock: RefCell<WallClock>,
     pub(super) counters: RefCell<UsageCounters>,
     pub(super) ledger: RefCell<UsageLedger>,
@@ -37,16 +37,16 @@
 impl UsageCounts {
     /// Counts of a node that starts now; nothing is counted without `settings`.
     pub(crate) fn new(node: NodeNumber, settings: Option<UsageSettings>) -> Self {
-        let terms = settings.map(|settings| ScheduleTerms {
+        let terms = settings.map(|settings| ReportTiming {
             windows: UsageWindows::new(settings.window),
-            settle: SETTLE,
-            late: settings.late,
+            settle_delay: SETTLE,
+            deadline: settings.report_deadline,
         });
         Self {
             terms,
-            origin: NodeLife {
+            origin: NodeIncarnation {
                 node: node.0,
-                life: rand::random(),
+                incarnation: rand::random(),
             },
             wall_clock: RefCell::new(WallClock::new(MonotonicTime::ZERO, unix_time())),
             counters: RefCell::default(),
@@ -56,7 +56,7 @@
     }
 
     /// When reports are made; `None` where none are asked for.
-    pub(crate) fn terms(&self) -> Option<ScheduleTerms> {
+    pub(crate) fn timing(&self) -> Option<ReportTiming> {
         self.terms
     }
 
@@ -81,12 +81,12 @@
     }
 
     /// Requests counted since the start.
-    pub(crate) fn counted(&self) -> u64 {
+    pub(crate) fn counted_requests(&self) -> u64 {
         self.counted.get()
     }
 
     /// Takes in what another node counted.
-    pub(crate) fn take_report(&self, report: UsageReport) {
+    pub(crate) fn merge_report(&self, report: UsageReport) {
         if self.terms.is_some() {
             let mut ledger = self.ledger.borrow_mut();
             ledger.merge(report.origin, report.windows);
@@ -102,16 +102,16 @@
     }
 
     /// Forgets windows that can no longer be reported.
-    pub(super) fn forget(&self, now: MonotonicTime) {
+    pub(super) fn remove_expired(&self, now: MonotonicTime) {
         let Some(terms) = self.terms else { return };
-        let oldest = self.unix_time(now).saturating_sub(terms.late);
+        let oldest = self.unix_time(now).saturating_sub(terms.deadline);
         let window = terms.windows.at(oldest);
-        self.counters.borrow_mut().forget_before(window);
-        self.ledger.borrow_mut().forget_before(window);
+        self.counters.borrow_mut().remove_before(window);
+        self.ledger.borrow_mut().remove_before(window);
     }
 
     /// Time until the next message: the end of the window, if it comes before.
-    pub(super) fn pause(&self, now: MonotonicTime, terms: ScheduleTerms) -> Duration {
+    pub(super) fn time_to_next_send(&self, now: MonotonicTime, terms: ReportTiming) -> Duration {
         let unix_time = self.unix_time(now);
         let end = terms.windows.end(terms.windows.at(unix_time));
         (end.saturating_sub(unix_time) + AFTER_WINDOW).min(SEND_INTERVAL)
--- a/crates/forwarding/src/duties/usage_messages.rs
+++ b/crates/forwarding/src/duties/usage_messages.rs
@@ -15,22 +15,22 @@
 
 /// Sends this node's counts to the holder of the lease for as long as it is polled.
 pub(crate) async fn send_usage(context: Rc<Context>, socket: Rc<UdpSocket>) {
-    let Some(terms) = context.usage.terms() else {
+    let Some(terms) = context.usage.timing() else {
         return;
     };
     let mut sent_to: Option<LeaseHolder> = None;
     loop {
-        let pause = context.usage.pause(context.now(), terms);
+        let pause = context.usage.time_to_next_send(context.now(), terms);
         actix_rt::time::sleep(pause).await;
         let now = context.now();
         context.usage.observe_clock(now);
-        context.usage.forget(now);
+        context.usage.remove_expired(now);
         let Some(holder) = context.dissemination.lease_holder() else {
             continue;
         };
         if sent_to != Some(holder) {
             // A new holder knows nothing.
-            context.usage.counters.borrow_mut().send_all_again();
+            context.usage.counters.borrow_mut().resend_all();
             sent_to = Some(holder);
         }
         let changed = context.usage.counters.borrow_mut().take_changed();
@@ -59,7 +59,7 @@
                 }],
             };
             let sent_bytes = send(context, socket, &[holder], &Message::Usage(report));
-            context.sent(sent_bytes);
+            context.record_sent_bytes(sent_bytes);
         }
     }
 }
--- a/crates/forwarding/src/duties/usage_report.rs
+++ b/crates/forwarding/src/duties/usage_report.rs
@@ -11,8 +11,8 @@
 use crate::context::Context;
 use crate::duties::outcome_label;
 use crate::duties::report_slots::ReportSlots;
-use crate::roles::authority::while_held;
-use crate::roles::authority::{Authority, Mandate};
+use crate::roles::fleet_lease::while_held;
+use crate::roles::fleet_lease::{FleetLease, HeldLease};
 
 /// How often the holder looks for windows that are due. It is also the pause after a failed call:
 /// of the time in which a report must be made some seconds are left at most.
@@ -23,7 +23,7 @@
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: Authority,
+    authority: FleetLease,
     schedule: ReportSchedule,
     slots: ReportSlots,
 }
@@ -33,9 +33,9 @@
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: Authority,
+    authority: FleetLease,
 ) {
-    let Some(terms) = context.usage.terms() else {
+    let Some(terms) = context.usage.timing() else {
         return;
     };
     let mut reporter = Reporter {
@@ -46,7 +46,7 @@
         schedule: ReportSchedule::new(terms),
         slots: ReportSlots::new(terms),
     };
-    let mut held: Option<Mandate> = None;
+    let mut held: Option<HeldLease> = None;
     loop {
         actix_rt::time::sleep(LOOK_INTERVAL).await;
         let now = reporter.context.now();
@@ -68,8 +68,8 @@
     async fn report_due(&mut self) {
         loop {
             let unix_time = self.context.usage.unix_time(self.context.now());
-            if let Some(oldest) = self.schedule.oldest_in_time(unix_time) {
-                self.schedule.forget_before(oldest);
+            if let Some(oldest) = self.schedule.oldest_reportable(unix_time) {
+                self.schedule.remove_before(oldest);
             }
             let Some(window) = self.schedule.due(unix_time) else {
                 return;
--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -45,7 +45,7 @@
 
 impl Follower for DeclarationFollower {
     fn confirmed(&self, called_at: BootInstant) {
-        self.0.declaration_confirmed(called_at);
+        self.0.confirm_declaration(called_at);
     }
 
     fn listed(&self, listing: Listing, _after_outage: bool) {
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -109,7 +109,7 @@
         drop(router);
         changes.push((record.key, Some(entry)));
     }
-    context.change_entries(changes);
+    context.apply_entry_changes(changes);
 }
 
 /// Has changed entries sent to other nodes, if this one passes state on. Those of a first reading are
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -43,7 +43,7 @@
         actix_rt::time::sleep(LOOK_INTERVAL).await;
     }
     actix_rt::time::sleep(RELAYS_KNOWN_WITHIN).await;
-    context.ask_for_parts();
+    context.request_parts();
     if !context.dissemination.role(context.now()).is_relay {
         return;
     }
--- a/crates/forwarding/src/fleet/registration.rs
+++ b/crates/forwarding/src/fleet/registration.rs
@@ -18,8 +18,8 @@
 use crate::node::settings::ForwardingSettings;
 use crate::quarantine::fleet_key::QUARANTINE_PREFIX;
 use crate::quarantine::stopped_entries::apply_stored;
-use crate::roles::authority::Authority;
-use crate::roles::hold::HOLDER_KEY;
+use crate::roles::fleet_lease::FleetLease;
+use crate::roles::lease_keeper::HOLDER_KEY;
 
 /// Leading part of the keys of nodes' entries; the zone and the name follow.
 const NODE_PREFIX: &str = "dalestand/nodes/";
@@ -57,19 +57,19 @@
 #[derive(Clone)]
 pub(crate) struct NodeFollower {
     context: Rc<Context>,
-    authority: Authority,
+    fleet_lease: FleetLease,
     /// Nodes whose entries had lapsed when the service came back, and that have not registered since.
     lapsed: Rc<RefCell<HashSet<String>>>,
-    /// Name and token of the node that holds the authority.
+    /// Name and token of the node that holds the lease.
     holder: Rc<RefCell<Option<(String, u64)>>>,
 }
 
 impl NodeFollower {
-    /// A follower that tells `authority` whether some node holds it.
-    pub(crate) fn new(context: Rc<Context>, authority: Authority) -> Self {
+    /// A follower that tells `fleet_lease` whether some node holds it.
+    pub(crate) fn new(context: Rc<Context>, fleet_lease: FleetLease) -> Self {
         Self {
             context,
-            authority,
+            fleet_lease,
             lapsed: Rc::default(),
             holder: Rc::default(),
         }
@@ -89,7 +89,7 @@
 
     fn set(&self, directory: &mut NodeDirectory, key: &str, value: Option<&str>, revision: u64) {
         if key == HOLDER_KEY {
-            self.authority.set_taken(value.is_some());
+            self.fleet_lease.set_taken(value.is_some());
             let holder = value.map(|name| (name.to_owned(), revision));
             self.holder.replace(holder);
         } else if key.starts_with(QUARANTINE_PREFIX) {
@@ -118,7 +118,7 @@
         if let Some((name, token)) = &*self.holder.borrow() {
             dissemination.set_lease_holder_by_name(name, *token);
         }
-        self.context.set_nodes(dissemination.node_count());
+        self.context.set_node_count(dissemination.node_count());
     }
 }
 
@@ -144,7 +144,7 @@
 
 impl Follower for NodeFollower {
     fn listed(&self, listing: Listing, after_outage: bool) {
-        self.authority.set_taken(false);
+        self.fleet_lease.set_taken(false);
         self.holder.replace(None);
         self.context.dissemination.update_directory(|directory| {
             if after_outage {
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -131,7 +131,7 @@
         return;
     }
     let run = name(context, engine);
-    if !context.engine_drains(engine) {
+    if !context.drain_engine(engine) {
         return;
     }
     log_event!(context.logger, Event::EngineDrains, "engine" => run.as_deref().unwrap_or_default(),
@@ -167,7 +167,7 @@
     if known == 0 {
         return;
     }
-    context.engine_restarted(engine);
+    context.reset_engine(engine);
     log_event!(context.logger, Event::EngineRestarted, "engine" => run.as_deref().unwrap_or_default(),
         "born" => born, "former" => known, "source" => ?source);
     let start = EngineStart {
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -27,9 +27,9 @@
 
 pub use error::ForwardingError;
 pub use fleet::engines::{Fleet, FleetEngine};
-pub use node::room_report::{
-    ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolRoom, ReportSources,
-    RoomReport, TenantDemand,
+pub use node::capacity_report::{
+    CapacityReport, ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolCapacity,
+    ReportSources, TenantDemand,
 };
 pub use node::settings::{DutySettings, ForwardingSettings, SettingsFault, UsageSettings};
 pub use node::start::{ForwardingNode, ReadSettings, run};
--- a/crates/forwarding/src/node/room.rs
+++ b/crates/forwarding/src/node/capacity.rs
@@ -11,9 +11,9 @@
 use crate::context::Context;
 use crate::dissemination::own_figures::update_own_figures;
 use crate::fleet_sums::{FleetSums, SlownessKey};
-use crate::node::room_report::{
-    ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolRoom, ReportSources,
-    RoomReport, TenantDemand,
+use crate::node::capacity_report::{
+    CapacityReport, ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolCapacity,
+    ReportSources, TenantDemand,
 };
 
 /// Tenants listed of one pool: what a screen shows.
@@ -34,7 +34,7 @@
 const SPEED_DIFFERS: f64 = 1.1;
 
 /// What this node knows at `now`.
-pub(crate) fn room_report(context: &Context, now: MonotonicTime) -> RoomReport {
+pub(crate) fn capacity_report(context: &Context, now: MonotonicTime) -> CapacityReport {
     // What lapsed while the process stood still must not be shown.
     update_own_figures(context, now);
     context.sums.refresh(now);
@@ -45,7 +45,7 @@
         .map(|pool| pool.name.clone())
         .collect();
     names.sort();
-    RoomReport {
+    CapacityReport {
         node: context.settings.node.clone(),
         zone: context.settings.zone.clone(),
         declaration: table.map(|table| table.revision()),
@@ -81,11 +81,11 @@
     }
 }
 
-fn pool_room(context: &Context, pool: PoolName) -> PoolRoom {
+fn pool_room(context: &Context, pool: PoolName) -> PoolCapacity {
     let classes = class_demand(&context.sums, &pool);
     let (tenants, tenants_unlisted) = tenant_demand(context, &pool);
     let (speeds, speeds_unlisted) = engine_speeds(context, &pool);
-    PoolRoom {
+    PoolCapacity {
         engines: engine_groups(context, &pool),
         busy_slots: classes.iter().map(|class| class.figures.busy_slots).sum(),
         classes,
@@ -100,7 +100,7 @@
 
 /// The numbers of engines that this node last decided, if it orders them.
 fn engine_scaling(context: &Context, pool: &PoolName) -> Option<EngineScaling> {
-    let accounts = context.scaling_accounts.borrow();
+    let accounts = context.scaling_decisions.borrow();
     let account = accounts.get(pool)?;
     let wanted = account.wanted();
     Some(EngineScaling {
--- a/crates/forwarding/src/node/room_report.rs
+++ b/crates/forwarding/src/node/capacity_report.rs
@@ -6,7 +6,7 @@
 
 /// What a node knows.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RoomReport {
+pub struct CapacityReport {
     /// The node that reports.
     pub node: NodeId,
     /// Its zone.
@@ -20,7 +20,7 @@
     /// Age of the newest figures that other nodes reported.
     pub ages: FigureAges,
     /// The pools of the declaration, by name.
-    pub pools: Vec<PoolRoom>,
+    pub pools: Vec<PoolCapacity>,
 }
 
 /// Nodes whose reports count now. A member has the sums of the fleet from its relay; a relay has those of its
@@ -48,7 +48,7 @@
 
 /// One pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PoolRoom {
+pub struct PoolCapacity {
     /// Its name.
     pub pool: PoolName,
     /// Engines that take new work, by zone and by what they do.
@@ -70,7 +70,7 @@
     pub scaling: Option<EngineScaling>,
 }
 
-impl PoolRoom {
+impl PoolCapacity {
     /// Engines that take new work.
     pub fn engine_count(&self) -> usize {
         self.engines.iter().map(|group| group.engines).sum()
--- a/crates/forwarding/src/node/era_store.rs
+++ b/crates/forwarding/src/node/era_store.rs
@@ -128,7 +128,7 @@
             log_event!(self.context.logger, Event::KeyValueRestored, "era" => era,
                 "former" => newest);
             self.newest.set(Some(era));
-            self.context.era_has_risen(era);
+            self.context.begin_store_era(era);
             actix_rt::spawn(write_again(
                 Rc::clone(&self.store),
                 Rc::clone(&self.context),
--- a/crates/forwarding/src/node/metrics/mod.rs
+++ b/crates/forwarding/src/node/metrics/mod.rs
@@ -56,7 +56,7 @@
     choice_seconds: Histogram,
     load_age_seconds: Histogram,
     news_dropped: IntCounter,
-    rows_unsound: IntCounter,
+    invalid_rows: IntCounter,
     room: RoomFigures,
     bulk_dropped: IntCounter,
     entries: IntGauge,
@@ -169,7 +169,7 @@
                 "peer_news_dropped_total",
                 "News that were not passed on because too many waited.",
             )?,
-            rows_unsound: figures.counter(
+            invalid_rows: figures.counter(
                 "peer_sums_unsound_total",
                 "Rows of figures of other nodes that were passed over because no node can have counted them.",
             )?,
@@ -262,12 +262,12 @@
     }
 
     /// Notes rows of figures that no node can have counted.
-    pub(crate) fn rows_unsound(&self, count: usize) {
-        self.rows_unsound.inc_by(count as u64);
+    pub(crate) fn invalid_rows(&self, count: usize) {
+        self.invalid_rows.inc_by(count as u64);
     }
 
     /// Notes what became of a request for a place in a pool that is short, and for how long it waited.
-    pub(crate) fn room_decision(&self, outcome: &str, waited: Duration) {
+    pub(crate) fn admission_decision(&self, outcome: &str, waited: Duration) {
         self.room.decided(outcome, waited);
     }
 
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -13,7 +13,7 @@
 use super::ForwardingMetrics;
 use super::engine_signals::StandingSignals;
 use crate::context::Context;
-use crate::node::room::room_report;
+use crate::node::capacity::capacity_report;
 use crate::quarantine::evidence::stopped_count;
 
 /// Where the figures are.
@@ -41,9 +41,10 @@
         self.is_relay.set(i64::from(role.is_relay));
         self.reads_store.set(i64::from(role.reads_store));
         let report_age = context.router.borrow().work.mean_report_age(now, |_| true);
-        let held = context.authority.held_token();
+        let held = context.fleet_lease.held_token();
         self.authority_token.set(held.unwrap_or_default() as i64);
-        self.usage_counted.set(context.usage.counted() as i64);
+        self.usage_counted
+            .set(context.usage.counted_requests() as i64);
         self.report_age_ms.set(report_age.as_millis() as i64);
         self.signals.set(&standing_signals(context));
         for sender in UNKNOWN_SENDERS {
@@ -52,7 +53,7 @@
         }
         self.requests_stopped.set(stopped_count(context) as i64);
         self.set_repeats_left(context);
-        self.scaling.set(&context.scaling_accounts.borrow());
+        self.scaling.set(&context.scaling_decisions.borrow());
         self.set_tenants_over_share(context);
         self.room.set(context.admissions.summaries());
         self.sums.set(context, now);
@@ -102,7 +103,7 @@
 async fn answer(context: Rc<Context>, request: Request) -> Answer {
     match request.path() {
         METRICS_PATH => metrics_answer(&context),
-        ROOM_PATH => json_answer(StatusCode::OK, &room_report(&context, context.now())),
+        ROOM_PATH => json_answer(StatusCode::OK, &capacity_report(&context, context.now())),
         _ => status_answer(StatusCode::NOT_FOUND),
     }
 }
--- a/crates/forwarding/src/node/metrics/sums.rs
+++ b/crates/forwarding/src/node/metrics/sums.rs
@@ -8,7 +8,7 @@
 
 use super::figures::Figures;
 use crate::context::Context;
-use crate::node::room::{class_demand, figure_ages};
+use crate::node::capacity::{class_demand, figure_ages};
 
 /// Gauges of the sums.
 pub(super) struct SumFigures {
--- a/crates/forwarding/src/node/reload.rs
+++ b/crates/forwarding/src/node/reload.rs
@@ -41,7 +41,7 @@
 }
 
 fn take(context: &Context, settings: &ForwardingSettings) {
-    let terms = settings.retry_terms();
+    let terms = settings.retry_limits();
     context.budget.borrow_mut().set_limits(terms);
     log_event!(context.logger, Event::SettingsRead, "retry_ratio" => terms.ratio,
         "retry_slack" => terms.slack,
--- a/crates/forwarding/src/node/settings.rs
+++ b/crates/forwarding/src/node/settings.rs
@@ -126,7 +126,7 @@
     /// Length of a window.
     pub window: Duration,
     /// Time after the end of a window in which it must be reported.
-    pub late: Duration,
+    pub report_deadline: Duration,
 }
 
 /// The shortest drain bound of a deployment so far.
@@ -303,7 +303,7 @@
 
     /// For how long a declaration that is not confirmed holds for requests with keys; `None` where it
     /// holds for as long as it is known.
-    pub fn declaration_holds(&self) -> Option<Duration> {
+    pub fn declaration_validity(&self) -> Option<Duration> {
         let revocation = self
             .revocation
             .filter(|revocation| revocation.fail_closed)?;
@@ -317,8 +317,11 @@
             return None;
         }
         let window = Duration::try_from_secs_f64(duties.usage_window_s?).ok()?;
-        let late = Duration::try_from_secs_f64(duties.usage_late_s?).ok()?;
-        Some(UsageSettings { window, late })
+        let report_deadline = Duration::try_from_secs_f64(duties.usage_late_s?).ok()?;
+        Some(UsageSettings {
+            window,
+            report_deadline,
+        })
     }
 
     /// Whether the fleet sets the number of its engines.
@@ -345,7 +348,7 @@
     }
 
     /// Bounds of the budget of repeated sends.
-    pub fn retry_terms(&self) -> SharedRetryLimits {
+    pub fn retry_limits(&self) -> SharedRetryLimits {
         SharedRetryLimits {
             ratio: self.retries.ratio,
             slack: self.retries.slack,
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -43,8 +43,8 @@
 use crate::node::stop::stop;
 use crate::quarantine::fleet_key::load_fingerprint_key;
 use crate::quarantine::stopped_entries::persist_stopped_requests;
-use crate::roles::authority::Authority;
-use crate::roles::hold::hold;
+use crate::roles::fleet_lease::FleetLease;
+use crate::roles::lease_keeper::acquire_and_renew;
 use crate::roles::role_control::control_roles;
 use crate::serve::forward::forward;
 
@@ -184,7 +184,7 @@
     connections
 }
 
-fn start_followers(context: &Rc<Context>, store: &Rc<dyn KeyValue>) -> Authority {
+fn start_followers(context: &Rc<Context>, store: &Rc<dyn KeyValue>) -> FleetLease {
     let recovery = RecoverySignal::default();
     let start = |prefix: &str| FollowTask {
         store: Rc::clone(store),
@@ -195,7 +195,7 @@
     };
     let declaration = DeclarationFollower(Rc::clone(context));
     let mut task = start(context.form.configuration_key());
-    if let Some(holds) = context.settings.declaration_holds() {
+    if let Some(holds) = context.settings.declaration_validity() {
         // Confirmed three times before it no longer holds: a call may be lost.
         task.watch_wait = holds / 3;
     }
@@ -210,7 +210,7 @@
         engines,
         context.dissemination.subscribe_reads_store(),
     ));
-    let authority = context.authority.clone();
+    let authority = context.fleet_lease.clone();
     let nodes = NodeFollower::new(Rc::clone(context), authority.clone());
     actix_rt::spawn(follow(
         start(OWN_PREFIX),
@@ -218,7 +218,11 @@
         context.dissemination.subscribe_reads_store(),
     ));
     let holding = Rc::clone(context);
-    actix_rt::spawn(hold(holding, Rc::clone(store), authority.clone()));
+    actix_rt::spawn(acquire_and_renew(
+        holding,
+        Rc::clone(store),
+        authority.clone(),
+    ));
     actix_rt::spawn(control_roles(Rc::clone(context), authority.clone()));
     authority
 }
@@ -228,7 +232,7 @@
     context: &Rc<Context>,
     store: &Rc<dyn KeyValue>,
     calls: &Rc<dyn DutyCalls>,
-    authority: &Authority,
+    authority: &FleetLease,
 ) {
     let (context, store) = (Rc::clone(context), Rc::clone(store));
     if context.settings.scales_engines() {
--- a/crates/forwarding/src/permits/grants.rs
+++ b/crates/forwarding/src/permits/grants.rs
@@ -54,7 +54,7 @@
     };
     let message = Message::PermitAnswer(answer);
     let sent_bytes = send(context, socket, &[asker], &message);
-    context.sent(sent_bytes);
+    context.record_sent_bytes(sent_bytes);
 }
 
 /// Issues permits to this node itself.
--- a/crates/forwarding/src/permits/requester.rs
+++ b/crates/forwarding/src/permits/requester.rs
@@ -157,7 +157,7 @@
     if let Some(socket) = desk.socket.get() {
         let message = Message::PermitRequest(request);
         let sent_bytes = send(context, socket, &[relay.address], &message);
-        context.sent(sent_bytes);
+        context.record_sent_bytes(sent_bytes);
     }
     number
 }
--- a/crates/forwarding/src/roles/demand.rs
+++ b/crates/forwarding/src/roles/demand.rs
@@ -38,7 +38,7 @@
 
 impl DemandMeter {
     /// Notes a prompt.
-    pub(crate) fn note(
+    pub(crate) fn record(
         &mut self,
         at: MonotonicTime,
         pool: &PoolName,
@@ -64,7 +64,7 @@
     }
 
     /// Notes what a source reported.
-    pub(crate) fn reported(
+    pub(crate) fn set_reported(
         &mut self,
         now: MonotonicTime,
         source: LoadSource,
--- a/crates/forwarding/src/roles/authority.rs
+++ b/crates/forwarding/src/roles/fleet_lease.rs
@@ -1,4 +1,4 @@
-//! Authority over the engines' stages: one node holds it, under a lease of the key-value service.
+//! FleetLease over the engines' stages: one node holds it, under a lease of the key-value service.
 //!
 //! The revision of the write that took the key is the fencing token: it rises with every holder. A
 //! holder counts its lease on the boot clock from before the last renewal was sent, and looks again
@@ -18,7 +18,7 @@
 
 /// What a holder may order under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Mandate {
+pub(crate) struct HeldLease {
     /// The fencing token.
     pub(crate) token: u64,
     /// No order before this time.
@@ -29,15 +29,15 @@
 
 /// Whether this node holds the authority.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Authority {
-    pub(super) mandate: Rc<Cell<Option<Mandate>>>,
+pub(crate) struct FleetLease {
+    pub(super) mandate: Rc<Cell<Option<HeldLease>>>,
     /// Whether some node holds it, as far as is known.
     pub(super) is_taken: Rc<Cell<bool>>,
 }
 
-impl Authority {
+impl FleetLease {
     /// The mandate, if an order may be given at `now`.
-    pub(crate) fn mandate(&self, now: MonotonicTime) -> Option<Mandate> {
+    pub(crate) fn mandate(&self, now: MonotonicTime) -> Option<HeldLease> {
         let mandate = self.mandate.get()?;
         (now >= mandate.quiet_until && now < mandate.valid_until).then_some(mandate)
     }
@@ -55,7 +55,7 @@
     }
 
     /// Gives the authority up: the lease under which it was held is gone.
-    pub(crate) fn drop_mandate(&self) {
+    pub(crate) fn clear(&self) {
         self.mandate.set(None);
     }
 
@@ -69,7 +69,7 @@
 /// call goes on: a machine that is suspended while it connects to an engine must not send the order
 /// when it wakes.
 pub(crate) async fn while_held<C: Future>(
-    authority: &Authority,
+    authority: &FleetLease,
     token: u64,
     now: impl Fn() -> MonotonicTime,
     call: C,
--- a/crates/forwarding/src/roles/authority/tests.rs
+++ b/crates/forwarding/src/roles/fleet_lease/tests.rs
@@ -8,14 +8,14 @@
 use proptest::prelude::*;
 use rstest::rstest;
 
-use super::{Authority, Mandate, while_held};
-use crate::roles::hold::grant;
+use super::{FleetLease, HeldLease, while_held};
+use crate::roles::lease_keeper::grant;
 
 const TIME_TO_LIVE: Duration = Duration::from_secs(3);
 
-fn mandate(token: u64, sent_at: MonotonicTime, acquired_at: MonotonicTime) -> Mandate {
+fn mandate(token: u64, sent_at: MonotonicTime, acquired_at: MonotonicTime) -> HeldLease {
     let grant = grant(LeaseId(1), token, sent_at, TIME_TO_LIVE);
-    Mandate {
+    HeldLease {
         token,
         quiet_until: acquired_at + TIME_TO_LIVE,
         valid_until: grant.valid_until(),
@@ -29,7 +29,7 @@
 #[actix_rt::test]
 async fn a_call_ends_with_the_lease(#[case] suspended: Duration, #[case] goes_on: bool) {
     let acquired_at = MonotonicTime::from_millis(10_000);
-    let authority = Authority::default();
+    let authority = FleetLease::default();
     let renewed_at = acquired_at + TIME_TO_LIVE;
     authority
         .mandate
@@ -60,9 +60,9 @@
         // The service counts from the arrival of the renewal, at the earliest when it was sent.
         let lease_ends = renewed_at + TIME_TO_LIVE;
         let taken_at = lease_ends + Duration::from_millis(taken_after_ms);
-        let former = Authority::default();
+        let former = FleetLease::default();
         former.mandate.set(Some(mandate(1, renewed_at, MonotonicTime::ZERO)));
-        let next = Authority::default();
+        let next = FleetLease::default();
         let acquired_at = taken_at + Duration::from_millis(answered_after_ms);
         next.mandate.set(Some(mandate(2, acquired_at, acquired_at)));
         let at = MonotonicTime::from_millis(asked_ms);
@@ -78,7 +78,7 @@
 /// A process that stood still past its lease believes nothing when it wakes.
 #[test]
 fn a_mandate_ends_by_the_clock_alone() {
-    let authority = Authority::default();
+    let authority = FleetLease::default();
     let renewed_at = MonotonicTime::from_millis(10_000);
     authority
         .mandate
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_new_holder_is_quiet_for_a_whole_lease() {
-    let authority = Authority::default();
+    let authority = FleetLease::default();
     let acquired_at = MonotonicTime::from_millis(10_000);
     let mut held = mandate(1, acquired_at, acquired_at);
     held.valid_until = acquired_at + Duration::from_secs(60);
--- a/crates/forwarding/src/roles/hold.rs
+++ b/crates/forwarding/src/roles/lease_keeper.rs
@@ -11,7 +11,7 @@
 use error_stack::Report;
 
 use crate::context::Context;
-use crate::roles::authority::{Authority, Mandate};
+use crate::roles::fleet_lease::{FleetLease, HeldLease};
 
 /// The key that names the holder.
 pub(crate) const HOLDER_KEY: &str = "dalestand/holder";
@@ -27,7 +27,11 @@
 
 /// Takes and keeps the authority for as long as it is polled, while this node is a relay: relays
 /// know the demand of the whole fleet, and few of them ask for the authority when it is free.
-pub(crate) async fn hold(context: Rc<Context>, store: Rc<dyn KeyValue>, authority: Authority) {
+pub(crate) async fn acquire_and_renew(
+    context: Rc<Context>,
+    store: Rc<dyn KeyValue>,
+    authority: FleetLease,
+) {
     loop {
         let turn = context.dissemination.relay_index();
         sleep(LOOK_INTERVAL + TURN * turn).await;
@@ -39,7 +43,7 @@
             Ok(Some((lease, mandate, sent_at))) => {
                 log_event!(context.logger, Event::LeaseAcquired, "token" => mandate.token);
                 authority.mandate.set(Some(mandate));
-                keep(&context, &*store, &authority, lease, sent_at).await;
+                renew(&context, &*store, &authority, lease, sent_at).await;
                 authority.mandate.set(None);
                 authority.set_taken(false);
                 log_event!(context.logger, Event::LeaseLost, "token" => mandate.token);
@@ -53,7 +57,7 @@
 async fn acquire(
     context: &Context,
     store: &dyn KeyValue,
-) -> Result<Option<(LeaseId, Mandate, MonotonicTime)>, Report<PlatformError>> {
+) -> Result<Option<(LeaseId, HeldLease, MonotonicTime)>, Report<PlatformError>> {
     let time_to_live = context.settings.lease();
     let sent_at = context.now();
     let lease = store.grant_lease(time_to_live).await?;
@@ -72,7 +76,7 @@
         return Ok(None);
     };
     let grant = grant(lease, revision.0, sent_at, time_to_live);
-    let mandate = Mandate {
+    let mandate = HeldLease {
         token: revision.0,
         quiet_until: context.now() + time_to_live,
         valid_until: grant.valid_until(),
@@ -96,10 +100,10 @@
 }
 
 /// Renews the lease until it is gone or was not renewed in time.
-async fn keep(
+async fn renew(
     context: &Context,
     store: &dyn KeyValue,
-    authority: &Authority,
+    authority: &FleetLease,
     lease: LeaseId,
     acquired_at: MonotonicTime,
 ) {
@@ -119,7 +123,7 @@
             Ok(true) => {
                 renewed_at = sent_at;
                 let grant = grant(lease, mandate.token, sent_at, time_to_live);
-                authority.mandate.set(Some(Mandate {
+                authority.mandate.set(Some(HeldLease {
                     valid_until: grant.valid_until(),
                     ..mandate
                 }));
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -16,7 +16,7 @@
 use futures_util::stream::{self, StreamExt as _};
 
 use crate::context::Context;
-use crate::roles::authority::{Authority, while_held};
+use crate::roles::fleet_lease::{FleetLease, while_held};
 use crate::serve::engine_call::call_engine;
 
 /// How often the demand is looked at.
@@ -35,7 +35,7 @@
 const ORDERS_AT_ONCE: usize = 16;
 
 /// Changes stages for as long as it is polled.
-pub(crate) async fn control_roles(context: Rc<Context>, authority: Authority) {
+pub(crate) async fn control_roles(context: Rc<Context>, authority: FleetLease) {
     let mut pools: HashMap<PoolName, StageBalancer> = HashMap::new();
     let mut left_alone: HashMap<EngineKey, MonotonicTime> = HashMap::new();
     let mut under_way = PendingChanges::default();
@@ -73,7 +73,7 @@
 /// Gives an order to each of `engines`, some at a time; yields those that have not taken it.
 async fn order_all(
     context: &Rc<Context>,
-    authority: &Authority,
+    authority: &FleetLease,
     pool: &PoolName,
     engines: Vec<StagedEngine>,
     change: StageChange,
@@ -204,7 +204,7 @@
 /// Gives the order; whether the engine has taken it or may have.
 async fn order(
     context: &Rc<Context>,
-    authority: &Authority,
+    authority: &FleetLease,
     pool: &PoolName,
     engine: &StagedEngine,
     change: StageChange,
@@ -250,7 +250,7 @@
                 "token" => mandate.token, "sequence" => sequence);
         }
     }
-    context.changes_role(engine.key, avoided);
+    context.begin_role_change(engine.key, avoided);
     true
 }
 
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -275,7 +275,7 @@
     outcome: &'static str,
     waited: Duration,
 ) {
-    context.metrics.room_decision(outcome, waited);
+    context.metrics.admission_decision(outcome, waited);
     progress.admission = decision.account.map(|account| AdmissionRecord {
         outcome,
         account,
--- a/crates/forwarding/src/serve/admit.rs
+++ b/crates/forwarding/src/serve/admit.rs
@@ -28,7 +28,7 @@
     let route = Arc::clone(route);
     let caller = table.identify(&route, &facts.key);
     let caller = caller.map_err(|_| Failure::Unauthorized)?;
-    if caller.tenant().is_some() && !context.keys_hold() {
+    if caller.tenant().is_some() && !context.keys_are_current() {
         return Err(Failure::NoConfiguration);
     }
     let body = read_body(request, table.callers().max_body_bytes).await;
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -129,7 +129,7 @@
     let mut watch = RunWatch::new(context, progress, &engine, call.pool);
     let sent_at = BootInstant::now();
     let known_limit = limit(context, engine.key);
-    context.sent(progress.sent_bytes());
+    context.record_sent_bytes(progress.sent_bytes());
     let target = known.target();
     let sent = send(
         context,
--- a/crates/forwarding/src/serve/plan.rs
+++ b/crates/forwarding/src/serve/plan.rs
@@ -115,5 +115,5 @@
         PrefillPlace::Colocated
     };
     let now = context.now();
-    context.demand.borrow_mut().note(now, pool, place, tokens);
+    context.demand.borrow_mut().record(now, pool, place, tokens);
 }
--- a/crates/forwarding/src/serve/relay.rs
+++ b/crates/forwarding/src/serve/relay.rs
@@ -12,7 +12,7 @@
 use tokio::task::yield_now;
 
 use crate::context::Context;
-use crate::node::counts::InFlightGuard;
+use crate::node::in_flight::InFlightGuard;
 use crate::quarantine::run_watch::Unfinished;
 use crate::serve::attempt::EngineAnswer;
 use crate::serve::event_stream::EventSplitter;
--- a/crates/forwarding/tests/room.rs
+++ b/crates/forwarding/tests/room.rs
@@ -10,13 +10,13 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use dalestand_forwarding::{EngineGroup, FigureAges, ReportSources, RoomReport};
+use dalestand_forwarding::{CapacityReport, EngineGroup, FigureAges, ReportSources};
 use dalestand_routing::WorkKind;
 use dalestand_types::ZoneName;
 use support::{TestEngine, TestNode, get, sound};
 
 /// First tries a second of the pool, as a node knows them.
-fn asked(report: &RoomReport) -> f32 {
+fn asked(report: &CapacityReport) -> f32 {
     let classes = report.pools.iter().flat_map(|pool| &pool.classes);
     classes.map(|class| class.figures.asked_per_s).sum()
 }
--- a/crates/forwarding/tests/support/node.rs
+++ b/crates/forwarding/tests/support/node.rs
@@ -7,7 +7,7 @@
 
 use dalestand_edge::KeyValue;
 use dalestand_edge::unknown_headers::UnknownHeaders;
-use dalestand_forwarding::{ForwardingNode, ForwardingSettings, RoomReport};
+use dalestand_forwarding::{CapacityReport, ForwardingNode, ForwardingSettings};
 use dalestand_telemetry::discard_logger;
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::task::{JoinHandle, LocalSet};
@@ -190,7 +190,7 @@
     }
 
     /// What it knows of room and demand.
-    pub async fn room(&self) -> RoomReport {
+    pub async fn room(&self) -> CapacityReport {
         let answer = get(self.metrics, "host: a.example\r\n", "/room").await;
         let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
