--- a/crates/duties/src/counters.rs
+++ b/crates/duties/src/counters.rs
@@ -1,4 +1,4 @@
-//! What one node has counted.
+//! Request counters of one node.
 
 use std::collections::BTreeMap;
 
@@ -7,24 +7,24 @@
 
 use crate::window::WindowIndex;
 
-/// Messages that carry each change of a count. One may be lost.
+/// Each changed count is sent in this many messages, so that one of them may be lost.
 const SENDS_PER_CHANGE: u8 = 2;
 
-/// Requests of one tenant.
+/// Number of requests of one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantCount {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: TenantName,
-    /// Requests that engines began.
+    /// Requests that engines started.
     pub requests: u64,
 }
 
-/// Requests of one window, as far as one life of one node counted them.
+/// Requests that one incarnation of a node counted in one window.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowCounts {
-    /// The window.
+    /// The window in which the requests started.
     pub window: WindowIndex,
-    /// Its requests by tenant.
+    /// Requests by tenant.
     pub counts: Vec<TenantCount>,
 }
 
@@ -34,14 +34,14 @@
     sends_left: u8,
 }
 
-/// Requests by window and tenant at one node.
+/// Requests that one node counted, by window and tenant.
 #[derive(Clone, Debug, Default)]
 pub struct UsageCounters {
     windows: BTreeMap<WindowIndex, BTreeMap<TenantName, Counter>>,
 }
 
 impl UsageCounters {
-    /// Counts a request that an engine began in `window`.
+    /// Counts a request that an engine started in `window`.
     pub fn count(&mut self, window: WindowIndex, tenant: &TenantName) {
         let counters = self.windows.entry(window).or_default();
         let counter = counters.entry(tenant.clone()).or_default();
@@ -49,7 +49,7 @@
         counter.sends_left = SENDS_PER_CHANGE;
     }
 
-    /// Counts that are to be sent now: those that changed a short time ago.
+    /// Returns the counts that still have to be sent and uses up one transmission of each.
     pub fn take_changed(&mut self) -> Vec<WindowCounts> {
         let windows = self.windows.iter_mut();
         let changed = windows.map(|(window, counters)| WindowCounts {
@@ -66,14 +66,14 @@
         changed.filter(|window| !window.counts.is_empty()).collect()
     }
 
-    /// Has all counts sent again, for a receiver that may know none.
+    /// Marks all counts for sending, for a receiver that may have none of them.
     pub fn resend_all(&mut self) {
         for counter in self.windows.values_mut().flat_map(BTreeMap::values_mut) {
             counter.sends_left = SENDS_PER_CHANGE;
         }
     }
 
-    /// Forgets windows before `window`.
+    /// Removes the counts of windows before `window`.
     pub fn remove_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
--- a/crates/duties/src/ledger.rs
+++ b/crates/duties/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What all nodes have counted, as far as the holder heard.
+//! Request counts of all nodes, as received by the lease holder.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,28 +12,28 @@
 /// One incarnation of a node: the counters of a node start from zero when it is restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct NodeIncarnation {
-    /// Number of the node.
+    /// Numeric ID of the node.
     pub node: u64,
     /// Random number drawn when the process starts.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
-/// Counts of all nodes by window.
+/// Request counts of all nodes by window.
 ///
-/// Invariant: the count of a life, window and tenant never falls, so that messages may be repeated,
-/// lost and overtaken.
+/// Invariant: the count of an incarnation, window and tenant never decreases, so messages may be
+/// duplicated, lost or reordered.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
     windows: BTreeMap<WindowIndex, HashMap<NodeIncarnation, HashMap<TenantName, u64>>>,
 }
 
 impl UsageLedger {
-    /// Takes in what one life of a node counted.
+    /// Merges counts received from one incarnation of a node; the higher count wins.
     pub fn merge(&mut self, origin: NodeIncarnation, windows: Vec<WindowCounts>) {
         for WindowCounts { window, counts } in windows {
-            let lives = self.windows.entry(window).or_default();
-            let known = lives.entry(origin).or_default();
+            let incarnations = self.windows.entry(window).or_default();
+            let known = incarnations.entry(origin).or_default();
             for count in counts {
                 let requests = known.entry(count.tenant).or_default();
                 *requests = count.requests.max(*requests);
@@ -41,17 +41,17 @@
         }
     }
 
-    /// All requests of a window, by tenant.
+    /// Total requests of all nodes in a window, by tenant.
     pub fn total(&self, window: WindowIndex) -> TenantCounts {
         let mut total = TenantCounts::new();
-        let lives = self.windows.get(&window).into_iter();
-        for (tenant, requests) in lives.flat_map(HashMap::values).flatten() {
+        let incarnations = self.windows.get(&window).into_iter();
+        for (tenant, requests) in incarnations.flat_map(HashMap::values).flatten() {
             *total.entry(tenant.clone()).or_default() += requests;
         }
         total
     }
 
-    /// Forgets windows before `window`.
+    /// Removes the counts of windows before `window`.
     pub fn remove_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
--- a/crates/duties/src/lib.rs
+++ b/crates/duties/src/lib.rs
@@ -1,14 +1,14 @@
-//! What one node does for the whole fleet, under its lease: usage reports by tenant.
+//! Usage reports by tenant, which the node that holds the fleet lease makes for the whole fleet.
 //!
-//! * Each node counts the requests that engines began, by tenant and window of wall-clock time
+//! * Each node counts the requests that engines started, by tenant and window of wall-clock time
 //!   ([`UsageCounters`]), and sends the counts to the holder of the lease.
-//! * The holder merges them ([`UsageLedger`]). Counts only grow, so a message that is repeated or
-//!   overtaken changes nothing, and a new holder is brought up to date by sending all again.
-//! * Once a window is over, its report is *frozen*: written to the key-value service under a
-//!   condition before it is sent, so that a successor sends exactly the same ([`WindowReport`],
-//!   [`ReportSchedule`]).
+//! * The holder merges them ([`UsageLedger`]). Counts only grow, so duplicated or reordered messages
+//!   change nothing, and nodes bring a new holder up to date by sending all counts again.
+//! * Once a window has ended, its report is *frozen*: written to the key-value service by
+//!   compare-and-swap before it is sent, so that a later holder sends the same report
+//!   ([`WindowReport`], [`ReportSchedule`]).
 //!
-//! Everything here is pure: times come in as values, and nothing is sent.
+//! This crate does no I/O: callers pass the time and send the messages.
 
 mod counters;
 mod ledger;
--- a/crates/duties/src/report.rs
+++ b/crates/duties/src/report.rs
@@ -1,4 +1,4 @@
-//! A window's report, as it is written to the key-value service before it is sent.
+//! The usage report of one window, in the form stored in the key-value service.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +7,26 @@
 
 use crate::window::WindowIndex;
 
-/// Requests that engines began, by tenant.
+/// Number of requests that engines started, by tenant.
 pub type TenantCounts = BTreeMap<TenantName, u64>;
 
-/// The report of one window. Once written it never changes: two reports of one window with
-/// different counts would bill tenants twice.
+/// Usage report of one window. It must not change once stored: two different reports of the same
+/// window would bill tenants twice.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WindowReport {
-    /// The window.
+    /// The reported window.
     pub window: WindowIndex,
-    /// Its requests.
+    /// Requests in the window, by tenant.
     pub counts: TenantCounts,
 }
 
 impl WindowReport {
-    /// The report as text for the key-value service.
+    /// Encodes the report as JSON for the key-value service.
     pub fn to_text(&self) -> Result<String, serde_json::Error> {
         serde_json::to_string(self)
     }
 
-    /// Reads a report that [`Self::to_text`] wrote.
+    /// Parses the output of [`Self::to_text`].
     pub fn parse(text: &str) -> Result<Self, serde_json::Error> {
         serde_json::from_str(text)
     }
--- a/crates/duties/src/schedule.rs
+++ b/crates/duties/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Which windows the holder has still to report.
+//! Tracks which windows the lease holder still has to report.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,60 +6,60 @@
 use crate::report::WindowReport;
 use crate::window::{UsageWindows, WindowIndex};
 
-/// When reports are made.
+/// When the usage report of a window is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportTiming {
-    /// The windows.
+    /// Length of the windows.
     pub windows: UsageWindows,
-    /// Time after the end of a window in which nodes send what they counted in it.
+    /// Time after the end of a window that is left for nodes to send their counts to the holder.
     pub settle_delay: Duration,
-    /// Time after the end of a window in which its report must have been made.
+    /// Time after the end of a window by which its report must have been accepted.
     pub deadline: Duration,
 }
 
 #[derive(Clone, Debug)]
 enum ReportState {
-    /// Written to the key-value service, and not known to have been taken.
+    /// Stored in the key-value service; the platform has not confirmed it yet.
     Frozen(WindowReport),
-    /// Taken.
+    /// Accepted by the platform, or too late to report.
     Done,
 }
 
-/// Windows that one holder reports. A new holder starts without any, and reports again what its
-/// predecessor may have reported: by the frozen report, exactly the same.
+/// Reporting state of the windows at one lease holder. A new holder starts with an empty schedule and
+/// reports again what its predecessor may have reported; the stored report makes both the same.
 #[derive(Clone, Debug)]
 pub struct ReportSchedule {
-    terms: ReportTiming,
+    timing: ReportTiming,
     windows: BTreeMap<WindowIndex, ReportState>,
 }
 
 impl ReportSchedule {
-    /// A schedule with nothing done.
-    pub fn new(terms: ReportTiming) -> Self {
+    /// Creates a schedule in which no window has been reported.
+    pub fn new(timing: ReportTiming) -> Self {
         Self {
-            terms,
+            timing,
             windows: BTreeMap::new(),
         }
     }
 
-    /// The oldest window that is to be reported at this time since the start of 1970.
+    /// The oldest window whose report is due at `unix_time` and not done yet.
     pub fn due(&self, unix_time: Duration) -> Option<WindowIndex> {
         let first = self.oldest_reportable(unix_time)?;
-        let settled = unix_time.checked_sub(self.terms.settle_delay)?;
-        let end = self.terms.windows.at(settled);
+        let settled = unix_time.checked_sub(self.timing.settle_delay)?;
+        let end = self.timing.windows.at(settled);
         let windows = (first.0..end.0).map(WindowIndex);
         let mut open =
             windows.filter(|window| !matches!(self.windows.get(window), Some(ReportState::Done)));
         open.next()
     }
 
-    /// The oldest window whose report is not too late.
+    /// The oldest window whose reporting deadline has not passed.
     pub fn oldest_reportable(&self, unix_time: Duration) -> Option<WindowIndex> {
-        let late = unix_time.checked_sub(self.terms.deadline)?;
-        Some(self.terms.windows.at(late))
+        let oldest = unix_time.checked_sub(self.timing.deadline)?;
+        Some(self.timing.windows.at(oldest))
     }
 
-    /// The report of a window, if it was written.
+    /// The stored report of a window, if it is still to be sent.
     pub fn frozen(&self, window: WindowIndex) -> Option<&WindowReport> {
         match self.windows.get(&window)? {
             ReportState::Frozen(report) => Some(report),
@@ -67,18 +67,18 @@
         }
     }
 
-    /// Notes that a report was written.
-    pub fn freeze(&mut self, report: WindowReport) {
+    /// Records that a report was stored.
+    pub fn record_frozen(&mut self, report: WindowReport) {
         let window = report.window;
         self.windows.insert(window, ReportState::Frozen(report));
     }
 
-    /// Notes that the report of a window was taken.
-    pub fn done(&mut self, window: WindowIndex) {
+    /// Records that a window needs no further report.
+    pub fn mark_done(&mut self, window: WindowIndex) {
         self.windows.insert(window, ReportState::Done);
     }
 
-    /// Forgets windows before `window`.
+    /// Removes windows before `window`.
     pub fn remove_before(&mut self, window: WindowIndex) {
         self.windows = self.windows.split_off(&window);
     }
--- a/crates/duties/src/wall_clock.rs
+++ b/crates/duties/src/wall_clock.rs
@@ -1,27 +1,28 @@
-//! Wall-clock time that does not follow jumps.
+//! Wall-clock time that ignores short-lived jumps of the system clock.
 
 use std::time::Duration;
 
 use dalestand_types::MonotonicTime;
 
-/// A difference from the system's time below this is drift, which is followed; more is a jump.
-/// Clocks that are kept in step drift by some milliseconds a minute.
-const LARGEST_DRIFT: Duration = Duration::from_millis(200);
+/// A difference up to this is drift and is followed; a larger one is a jump. Synchronised clocks
+/// drift by milliseconds a minute.
+const MAX_DRIFT: Duration = Duration::from_millis(200);
 
-/// A jump that lasts for so long is the true time: a clock that was set wrongly is set back sooner.
-const JUMP_BELIEVED_AFTER: Duration = Duration::from_secs(60);
+/// A jump that persists for this long is accepted; a clock set by mistake is corrected sooner.
+const JUMP_ACCEPTED_AFTER: Duration = Duration::from_secs(60);
 
-/// The time since the start of 1970 by the monotonic clock. The system's time of day may jump by
-/// seconds and return; usage that is counted by it would fall into wrong windows meanwhile.
+/// Unix time derived from the monotonic clock. The system clock may jump by seconds and return; usage
+/// counted by it would fall into the wrong windows meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
-    /// Time since the start of 1970 at the monotonic clock's start.
+    /// Unix time at the zero of the monotonic clock.
     origin: Duration,
+    /// When the current jump was first observed.
     jumped_at: Option<MonotonicTime>,
 }
 
 impl WallClock {
-    /// A clock that reads `unix_time` at `now`.
+    /// Creates a clock that reads `unix_time` at `now`.
     pub fn new(now: MonotonicTime, unix_time: Duration) -> Self {
         Self {
             origin: origin(now, unix_time),
@@ -29,22 +30,22 @@
         }
     }
 
-    /// The time at `now`.
+    /// Unix time at `now`.
     pub fn at(&self, now: MonotonicTime) -> Duration {
         self.origin + now.since(MonotonicTime::ZERO)
     }
 
-    /// Notes what the system says the time is at `now`.
+    /// Compares the clock with the system's `unix_time` at `now`: follows drift, and a jump that persists.
     pub fn observe(&mut self, now: MonotonicTime, unix_time: Duration) {
-        let seen = origin(now, unix_time);
-        if seen.abs_diff(self.origin) <= LARGEST_DRIFT {
-            self.origin = seen;
+        let observed = origin(now, unix_time);
+        if observed.abs_diff(self.origin) <= MAX_DRIFT {
+            self.origin = observed;
             self.jumped_at = None;
             return;
         }
         let jumped_at = *self.jumped_at.get_or_insert(now);
-        if now.since(jumped_at) >= JUMP_BELIEVED_AFTER {
-            self.origin = seen;
+        if now.since(jumped_at) >= JUMP_ACCEPTED_AFTER {
+            self.origin = observed;
             self.jumped_at = None;
         }
     }
--- a/crates/duties/tests/usage.rs
+++ b/crates/duties/tests/usage.rs
@@ -1,4 +1,4 @@
-//! Usage by tenant: counted once, whatever is lost, repeated or restarted.
+//! Usage is counted exactly once when messages are lost or duplicated and nodes restart.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     TenantName::from(format!("tenant-{number}"))
 }
 
-fn terms() -> ReportTiming {
+fn timing() -> ReportTiming {
     ReportTiming {
         windows: UsageWindows::new(5 * SECOND),
         settle_delay: Duration::from_millis(1_400),
@@ -40,26 +40,26 @@
     assert!(windows.end(WindowIndex(window)) > unix_time);
 }
 
-/// The time of day may jump by seconds and return; windows are those of true time all along.
+/// A clock jump that is later undone must not move counts to another window.
 #[rstest]
 #[case::forward(3_000)]
 #[case::back(-3_000)]
-fn a_jump_that_returns_moves_no_count(#[case] jump_ms: i64) {
+fn a_reverted_clock_jump_moves_no_count(#[case] jump_ms: i64) {
     let start = Duration::from_secs(1_000_000);
     let mut clock = WallClock::new(at(0), start);
     for second in 1..40_u64 {
         let now = at(second * 1_000);
-        let truth = start + Duration::from_secs(second);
+        let actual = start + Duration::from_secs(second);
         let jumped = (10..30).contains(&second);
         let shift = if jumped { jump_ms } else { 0 };
-        let told = truth.as_millis() as i64 + shift;
-        clock.observe(now, Duration::from_millis(told as u64));
-        assert_eq!(clock.at(now), truth, "after {second} s");
+        let reported = actual.as_millis() as i64 + shift;
+        clock.observe(now, Duration::from_millis(reported as u64));
+        assert_eq!(clock.at(now), actual, "after {second} s");
     }
 }
 
 #[rstest]
-fn a_clock_that_was_set_for_good_is_believed_in_the_end() {
+fn a_lasting_clock_change_is_accepted() {
     let start = Duration::from_secs(1_000_000);
     let mut clock = WallClock::new(at(0), start);
     let ahead = Duration::from_secs(7);
@@ -71,36 +71,36 @@
 }
 
 #[rstest]
-fn a_window_is_due_once_nodes_have_sent_and_until_it_is_too_late() {
-    let mut schedule = ReportSchedule::new(terms());
-    // Window 20 is over at 105 s.
+fn a_window_is_due_between_settle_delay_and_deadline() {
+    let mut schedule = ReportSchedule::new(timing());
+    // Window 20 ends at 105 s.
     let second = |second: f64| Duration::from_secs_f64(second);
     assert_eq!(schedule.due(second(106.3)), Some(WindowIndex(19)));
-    schedule.done(WindowIndex(19));
+    schedule.mark_done(WindowIndex(19));
     assert_eq!(schedule.due(second(106.3)), None, "not yet settled");
     assert_eq!(schedule.due(second(106.5)), Some(WindowIndex(20)));
-    schedule.done(WindowIndex(20));
+    schedule.mark_done(WindowIndex(20));
     assert_eq!(schedule.due(second(106.5)), None);
-    // A new holder takes up whatever is not too late.
-    let successor = ReportSchedule::new(terms());
+    // A new holder reports every window whose deadline has not passed.
+    let successor = ReportSchedule::new(timing());
     assert_eq!(successor.due(second(114.9)), Some(WindowIndex(20)));
     assert_eq!(successor.due(second(115.1)), Some(WindowIndex(21)));
 }
 
 #[rstest]
-fn a_report_reads_back_as_it_was_written() {
+fn a_report_round_trips() {
     let counts = TenantCounts::from([(tenant(1), 412), (tenant(2), 7)]);
     let report = WindowReport {
         window: WindowIndex(353_445_120),
         counts,
     };
-    let text = report.to_text().expect("a text");
-    assert_eq!(WindowReport::parse(&text).expect("a report"), report);
+    let text = report.to_text().expect("encodes");
+    assert_eq!(WindowReport::parse(&text).expect("parses"), report);
     assert!(WindowReport::parse("{}").is_err());
 }
 
 #[rstest]
-fn a_change_is_sent_twice_and_then_no_more() {
+fn a_change_is_sent_twice() {
     let mut counters = UsageCounters::default();
     counters.count(WindowIndex(1), &tenant(1));
     assert_eq!(counters.take_changed().len(), 1);
@@ -113,58 +113,58 @@
     assert!(counters.take_changed().is_empty());
 }
 
-/// What may become of one message.
+/// Delivery of one message.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     Lost,
     Once,
     Twice,
-    Late,
+    Delayed,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn delivery() -> impl Strategy<Value = Delivery> {
     prop_oneof![
-        1 => Just(Fate::Lost),
-        5 => Just(Fate::Once),
-        2 => Just(Fate::Twice),
-        2 => Just(Fate::Late),
+        1 => Just(Delivery::Lost),
+        5 => Just(Delivery::Once),
+        2 => Just(Delivery::Twice),
+        2 => Just(Delivery::Delayed),
     ]
 }
 
 proptest! {
-    /// Nodes count, messages are lost, doubled and overtaken, the holder changes: the newest holder
-    /// knows all that was counted as soon as one message of each change came through.
+    /// After lost, duplicated and reordered messages and a change of holder, one more message from each
+    /// node gives the new holder all counts.
     #[test]
-    fn a_holder_knows_what_all_nodes_counted(
+    fn a_new_holder_gets_all_counts(
         counted in proptest::collection::vec((0_usize..4, 0_u8..3, 0_u64..3), 1..120),
-        fates in proptest::collection::vec(fate(), 40),
+        deliveries in proptest::collection::vec(delivery(), 40),
         taken_over_at in 0_usize..120,
     ) {
         let mut nodes = vec![UsageCounters::default(); 4];
         let mut ledger = UsageLedger::default();
-        let mut late = Vec::new();
+        let mut delayed = Vec::new();
         let mut expected: std::collections::BTreeMap<u64, TenantCounts> = Default::default();
-        let mut fates = fates.into_iter().cycle();
+        let mut deliveries = deliveries.into_iter().cycle();
         for (step, (node, name, window)) in counted.iter().enumerate() {
             nodes[*node].count(WindowIndex(*window), &tenant(*name));
             *expected.entry(*window).or_default().entry(tenant(*name)).or_default() += 1;
             if step == taken_over_at {
                 ledger = UsageLedger::default();
-                late.clear();
+                delayed.clear();
                 nodes.iter_mut().for_each(UsageCounters::resend_all);
             }
             if step % 5 == 0 {
                 for (number, node) in nodes.iter_mut().enumerate() {
                     let origin = NodeIncarnation { node: number as u64, incarnation: 1 };
                     let message = node.take_changed();
-                    match fates.next().unwrap_or(Fate::Once) {
-                        Fate::Lost => {}
-                        Fate::Once => ledger.merge(origin, message),
-                        Fate::Twice => {
+                    match deliveries.next().unwrap_or(Delivery::Once) {
+                        Delivery::Lost => {}
+                        Delivery::Once => ledger.merge(origin, message),
+                        Delivery::Twice => {
                             ledger.merge(origin, message.clone());
                             ledger.merge(origin, message);
                         }
-                        Fate::Late => late.push((origin, message)),
+                        Delivery::Delayed => delayed.push((origin, message)),
                     }
                 }
             }
@@ -174,7 +174,7 @@
             let origin = NodeIncarnation { node: number as u64, incarnation: 1 };
             ledger.merge(origin, node.take_changed());
         }
-        for (origin, message) in late {
+        for (origin, message) in delayed {
             ledger.merge(origin, message);
         }
         for (window, counts) in expected {
@@ -182,9 +182,9 @@
         }
     }
 
-    /// A node that is restarted counts from zero: its lives add up.
+    /// A restarted node counts from zero; the counts of its incarnations add up.
     #[test]
-    fn lives_of_a_node_add_up(first in 0_u64..50, second in 0_u64..50) {
+    fn incarnations_of_a_node_add_up(first in 0_u64..50, second in 0_u64..50) {
         let mut ledger = UsageLedger::default();
         for (incarnation, requests) in [(1, first), (2, second)] {
             let mut counters = UsageCounters::default();
--- a/crates/forwarding/src/duties/usage_report.rs
+++ b/crates/forwarding/src/duties/usage_report.rs
@@ -90,7 +90,7 @@
             },
         };
         let Some(report) = frozen else {
-            self.schedule.done(window);
+            self.schedule.mark_done(window);
             return true;
         };
         self.send(&report).await
@@ -102,7 +102,7 @@
         let frozen = self.slots.freeze(&*self.store, report).await;
         match frozen {
             Ok(Some(report)) => {
-                self.schedule.freeze(report.clone());
+                self.schedule.record_frozen(report.clone());
                 Ok(Some(report))
             }
             Ok(None) => Ok(None),
@@ -134,7 +134,7 @@
         metrics.duty_call("usage", outcome_label(&answered));
         match answered {
             Ok(DutyOutcome::Taken) => {
-                self.schedule.done(window);
+                self.schedule.mark_done(window);
                 log_event!(self.context.logger, Event::UsageReported, "window" => window.0,
                     "token" => mandate.token, "tenants" => report.counts.len(),
                     "requests" => report.counts.values().sum::<u64>());
