--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -174,7 +174,7 @@
 impl Scaler {
     async fn look(&mut self) {
         let now = self.context.now();
-        let may_order = self.authority.mandate(now).is_some();
+        let may_order = self.authority.active(now).is_some();
         if !may_order {
             self.pools.values_mut().for_each(|pool| pool.held = None);
             self.context.scaling_decisions.borrow_mut().clear();
@@ -367,7 +367,7 @@
         account: &ScalingDecision,
     ) -> bool {
         // Looked at again right before the call.
-        let Some(mandate) = self.authority.mandate(self.context.now()) else {
+        let Some(mandate) = self.authority.active(self.context.now()) else {
             return false;
         };
         let authority = DutyAuthority {
--- a/crates/forwarding/src/duties/usage_report.rs
+++ b/crates/forwarding/src/duties/usage_report.rs
@@ -50,7 +50,7 @@
     loop {
         actix_rt::time::sleep(LOOK_INTERVAL).await;
         let now = reporter.context.now();
-        let mandate = reporter.authority.mandate(now);
+        let mandate = reporter.authority.active(now);
         if mandate.map(|mandate| mandate.token) != held.map(|mandate| mandate.token) {
             // What another holder reported meanwhile is not known here.
             reporter.schedule = ReportSchedule::new(terms);
@@ -116,7 +116,7 @@
 
     async fn send(&mut self, report: &WindowReport) -> bool {
         // Looked at again right before the call: the write before it may have taken long.
-        let Some(mandate) = self.authority.mandate(self.context.now()) else {
+        let Some(mandate) = self.authority.active(self.context.now()) else {
             return false;
         };
         let authority = DutyAuthority {
@@ -143,7 +143,7 @@
             Ok(DutyOutcome::Refused) => {
                 log_event!(self.context.logger, Event::DutyRefused, "duty" => "usage",
                     "token" => mandate.token, "window" => window.0);
-                self.authority.give_up(mandate.token);
+                self.authority.relinquish(mandate.token);
                 false
             }
             Err(error) => {
--- a/crates/forwarding/src/roles/demand.rs
+++ b/crates/forwarding/src/roles/demand.rs
@@ -1,4 +1,4 @@
-//! Prompt tokens that callers ask for, by where they are best prefilled.
+//! Demand for prompt prefill in tokens per second, by where the prompts are best prefilled.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -7,37 +7,37 @@
 use dalestand_routing::staged::LoadSource;
 use dalestand_types::{MonotonicTime, PoolName};
 
-/// Time over which demand is taken.
-const WINDOW: Duration = Duration::from_secs(6);
+/// Window over which the token rate is averaged.
+const RATE_WINDOW: Duration = Duration::from_secs(6);
 
-/// A report counts for this long; it comes once a second.
-const REPORT_COUNTS: Duration = Duration::from_secs(3);
+/// A report counts for this long; reports arrive once a second.
+const REPORT_VALIDITY: Duration = Duration::from_secs(3);
 
-/// Where the tokens of a prompt are best read.
+/// Where a prompt is best prefilled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PrefillPlace {
-    /// At an engine that only reads.
+    /// On a separate prefill engine.
     Disaggregated,
-    /// Where they are answered.
+    /// On the engine that decodes the answer.
     Colocated,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct PromptArrival {
     at: MonotonicTime,
     place: PrefillPlace,
     tokens: u32,
 }
 
-/// Demand at this node and, as they reported, at others.
+/// Prefill demand measured at this node and reported by other nodes.
 #[derive(Debug, Default)]
 pub(crate) struct DemandMeter {
-    own: HashMap<PoolName, VecDeque<Asked>>,
+    local: HashMap<PoolName, VecDeque<PromptArrival>>,
     reported: HashMap<(LoadSource, PoolName), (StageDemand, MonotonicTime)>,
 }
 
 impl DemandMeter {
-    /// Notes a prompt.
+    /// Records a prompt that arrived at this node.
     pub(crate) fn record(
         &mut self,
         at: MonotonicTime,
@@ -45,25 +45,28 @@
         place: PrefillPlace,
         tokens: u32,
     ) {
-        let asked = self.own.entry(pool.clone()).or_default();
-        asked.push_back(Asked { at, place, tokens });
+        let arrivals = self.local.entry(pool.clone()).or_default();
+        arrivals.push_back(PromptArrival { at, place, tokens });
     }
 
     /// Demand at this node, by pool.
-    pub(crate) fn own(&mut self, now: MonotonicTime) -> Vec<(PoolName, StageDemand)> {
-        for asked in self.own.values_mut() {
-            while asked.front().is_some_and(|one| now.since(one.at) > WINDOW) {
-                asked.pop_front();
+    pub(crate) fn local(&mut self, now: MonotonicTime) -> Vec<(PoolName, StageDemand)> {
+        for arrivals in self.local.values_mut() {
+            while arrivals
+                .front()
+                .is_some_and(|arrival| now.since(arrival.at) > RATE_WINDOW)
+            {
+                arrivals.pop_front();
             }
         }
-        self.own.retain(|_, asked| !asked.is_empty());
-        let pools = self.own.iter();
+        self.local.retain(|_, arrivals| !arrivals.is_empty());
+        let pools = self.local.iter();
         pools
-            .map(|(pool, asked)| (pool.clone(), rate(now, asked)))
+            .map(|(pool, arrivals)| (pool.clone(), rate(now, arrivals)))
             .collect()
     }
 
-    /// Notes what a source reported.
+    /// Stores the demand that a source reported.
     pub(crate) fn set_reported(
         &mut self,
         now: MonotonicTime,
@@ -74,15 +77,15 @@
         self.reported.insert((source, pool), (demand, now));
     }
 
-    /// Demand at this node and at the sources that `counts` names, by pool.
+    /// Sum of the demand at this node and at the sources for which `counts` is true, by pool.
     pub(crate) fn sum_of(
         &mut self,
         now: MonotonicTime,
         counts: impl Fn(LoadSource) -> bool,
     ) -> HashMap<PoolName, StageDemand> {
         self.reported
-            .retain(|_, (_, reported_at)| now.since(*reported_at) < REPORT_COUNTS);
-        let mut sums: HashMap<PoolName, StageDemand> = self.own(now).into_iter().collect();
+            .retain(|_, (_, reported_at)| now.since(*reported_at) < REPORT_VALIDITY);
+        let mut sums: HashMap<PoolName, StageDemand> = self.local(now).into_iter().collect();
         let counted = self.reported.iter();
         for ((_, pool), (demand, _)) in counted.filter(|((source, _), _)| counts(*source)) {
             let sum = sums.entry(pool.clone()).or_default();
@@ -92,21 +95,21 @@
         sums
     }
 
-    /// Demand for a pool at all nodes.
+    /// Demand for a pool, summed over all nodes.
     pub(crate) fn total(&mut self, now: MonotonicTime, pool: &PoolName) -> StageDemand {
         let sums = self.sum_of(now, |_| true);
         sums.get(pool).copied().unwrap_or_default()
     }
 }
 
-fn rate(now: MonotonicTime, asked: &VecDeque<Asked>) -> StageDemand {
-    // A node that has just started has seen less than a window.
-    let seen = WINDOW.min(now.since(MonotonicTime::ZERO));
-    let seen_s = seen.as_secs_f64().max(1.0);
+fn rate(now: MonotonicTime, arrivals: &VecDeque<PromptArrival>) -> StageDemand {
+    // A node that has just started has observed less than a full window.
+    let observed = RATE_WINDOW.min(now.since(MonotonicTime::ZERO));
+    let observed_s = observed.as_secs_f64().max(1.0);
     let mut demand = StageDemand::default();
-    for one in asked {
-        let per_s = f64::from(one.tokens) / seen_s;
-        match one.place {
+    for arrival in arrivals {
+        let per_s = f64::from(arrival.tokens) / observed_s;
+        match arrival.place {
             PrefillPlace::Disaggregated => demand.disaggregated_tokens_per_s += per_s,
             PrefillPlace::Colocated => demand.colocated_tokens_per_s += per_s,
         }
--- a/crates/forwarding/src/roles/fleet_lease.rs
+++ b/crates/forwarding/src/roles/fleet_lease.rs
@@ -1,9 +1,9 @@
-//! FleetLease over the engines' stages: one node holds it, under a lease of the key-value service.
+//! The fleet lease: the node that holds it may change engine roles and make calls for the fleet.
 //!
-//! The revision of the write that took the key is the fencing token: it rises with every holder. A
-//! holder counts its lease on the boot clock from before the last renewal was sent, and looks again
-//! right before each order, so that a process that stood still or was suspended gives none. A new holder is
-//! quiet for the time of a whole lease first: orders of two holders never lie closer.
+//! The fencing token is the revision of the write that took the holder's key, so it rises with every
+//! holder. A holder measures its lease on the boot clock, from before the last renewal was sent, and
+//! checks it again right before each order, so a process that was paused or suspended sends none. A
+//! new holder waits for one lease duration first, which keeps orders of two holders that far apart.
 
 #[cfg(test)]
 mod tests;
@@ -16,68 +16,68 @@
 
 use dalestand_types::MonotonicTime;
 
-/// What a holder may order under.
+/// The lease as its holder has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeldLease {
     /// The fencing token.
     pub(crate) token: u64,
-    /// No order before this time.
-    pub(super) quiet_until: MonotonicTime,
-    /// No order from this time on.
+    /// The holder may act from this time on.
+    pub(super) active_from: MonotonicTime,
+    /// The lease ends at this time unless it is renewed.
     pub(super) valid_until: MonotonicTime,
 }
 
-/// Whether this node holds the authority.
+/// State of the fleet lease at this node. Clones share it.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetLease {
-    pub(super) mandate: Rc<Cell<Option<HeldLease>>>,
-    /// Whether some node holds it, as far as is known.
+    pub(super) held: Rc<Cell<Option<HeldLease>>>,
+    /// Whether the holder's key is known to exist, at this node or another.
     pub(super) is_taken: Rc<Cell<bool>>,
 }
 
 impl FleetLease {
-    /// The mandate, if an order may be given at `now`.
-    pub(crate) fn mandate(&self, now: MonotonicTime) -> Option<HeldLease> {
-        let mandate = self.mandate.get()?;
-        (now >= mandate.quiet_until && now < mandate.valid_until).then_some(mandate)
+    /// The lease, if this node holds it and may act under it at `now`.
+    pub(crate) fn active(&self, now: MonotonicTime) -> Option<HeldLease> {
+        let held = self.held.get()?;
+        (now >= held.active_from && now < held.valid_until).then_some(held)
     }
 
-    /// The token, if this node holds the lease, whether or not it may order already.
+    /// The fencing token if this node holds the lease, even if it may not act yet.
     pub(crate) fn held_token(&self) -> Option<u64> {
-        self.mandate.get().map(|mandate| mandate.token)
+        self.held.get().map(|held| held.token)
     }
 
-    /// Gives the authority under `token` up: the platform has seen a higher one.
-    pub(crate) fn give_up(&self, token: u64) {
-        if self.mandate.get().is_some_and(|held| held.token == token) {
-            self.mandate.set(None);
+    /// Drops the lease with this token after the platform has seen a higher one.
+    pub(crate) fn relinquish(&self, token: u64) {
+        if self.held.get().is_some_and(|held| held.token == token) {
+            self.held.set(None);
         }
     }
 
-    /// Gives the authority up: the lease under which it was held is gone.
+    /// Drops the lease after it was lost in the key-value service.
     pub(crate) fn clear(&self) {
-        self.mandate.set(None);
+        self.held.set(None);
     }
 
-    /// Notes whether the holder's key stands.
+    /// Records whether the holder's key exists.
     pub(crate) fn set_taken(&self, is_taken: bool) {
         self.is_taken.set(is_taken);
     }
 }
 
-/// What `call` yields, as long as the authority under `token` allows it. That is looked at each time the
-/// call goes on: a machine that is suspended while it connects to an engine must not send the order
-/// when it wakes.
+/// Polls `call` while this node holds the lease with `token`; returns `None` once it does not. The lease
+/// is checked before each poll: a machine that is suspended while it connects to an engine must not
+/// send the order after it resumes.
 pub(crate) async fn while_held<C: Future>(
-    authority: &FleetLease,
+    fleet_lease: &FleetLease,
     token: u64,
     now: impl Fn() -> MonotonicTime,
     call: C,
 ) -> Option<C::Output> {
     let mut call = pin!(call);
     poll_fn(|task| {
-        let mandate = authority.mandate(now());
-        if mandate.is_none_or(|mandate| mandate.token != token) {
+        let held = fleet_lease.active(now());
+        if held.is_none_or(|held| held.token != token) {
             return Poll::Ready(None);
         }
         call.as_mut().poll(task).map(Some)
--- a/crates/forwarding/src/roles/fleet_lease/tests.rs
+++ b/crates/forwarding/src/roles/fleet_lease/tests.rs
@@ -1,4 +1,4 @@
-//! When a mandate allows an order.
+//! A node acts under the fleet lease only while the lease is valid.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -13,27 +13,27 @@
 
 const TIME_TO_LIVE: Duration = Duration::from_secs(3);
 
-fn mandate(token: u64, sent_at: MonotonicTime, acquired_at: MonotonicTime) -> HeldLease {
+fn held_lease(token: u64, sent_at: MonotonicTime, acquired_at: MonotonicTime) -> HeldLease {
     let grant = grant(LeaseId(1), token, sent_at, TIME_TO_LIVE);
     HeldLease {
         token,
-        quiet_until: acquired_at + TIME_TO_LIVE,
+        active_from: acquired_at + TIME_TO_LIVE,
         valid_until: grant.valid_until(),
     }
 }
 
-/// A call that is under way while the machine is suspended is not gone on with, if the lease ended.
+/// A call in progress is dropped if the machine was suspended past the end of the lease.
 #[rstest]
 #[case::within_the_lease(Duration::from_secs(1), true)]
 #[case::longer_than_the_lease(TIME_TO_LIVE, false)]
 #[actix_rt::test]
-async fn a_call_ends_with_the_lease(#[case] suspended: Duration, #[case] goes_on: bool) {
+async fn a_call_ends_with_the_lease(#[case] suspended: Duration, #[case] completes: bool) {
     let acquired_at = MonotonicTime::from_millis(10_000);
-    let authority = FleetLease::default();
+    let fleet_lease = FleetLease::default();
     let renewed_at = acquired_at + TIME_TO_LIVE;
-    authority
-        .mandate
-        .set(Some(mandate(1, renewed_at, acquired_at)));
+    fleet_lease
+        .held
+        .set(Some(held_lease(1, renewed_at, acquired_at)));
     let now = Cell::new(renewed_at);
     let sent = Cell::new(false);
     let call = async {
@@ -41,68 +41,67 @@
         tokio::task::yield_now().await;
         sent.set(true);
     };
-    let ended = while_held(&authority, 1, || now.get(), call).await;
-    assert_eq!((ended.is_some(), sent.get()), (goes_on, goes_on));
+    let outcome = while_held(&fleet_lease, 1, || now.get(), call).await;
+    assert_eq!((outcome.is_some(), sent.get()), (completes, completes));
 }
 
 proptest! {
-    /// A holder that was lost, or stood still, gave its last order before the service's lease ended;
-    /// the next one, which cannot have taken the key before that, is quiet for a whole lease. So two
-    /// holders' orders lie at least a lease apart.
+    /// A lost or paused holder acts only before its lease ends in the key-value service. The next one
+    /// takes the key after that and waits one lease duration before it acts.
     #[test]
-    fn orders_of_two_holders_lie_a_lease_apart(
+    fn orders_of_two_holders_are_a_lease_apart(
         renewed_ms in 0_u64..20_000,
         answered_after_ms in 0_u64..3_000,
         taken_after_ms in 0_u64..5_000,
         asked_ms in 0_u64..60_000,
     ) {
         let renewed_at = MonotonicTime::from_millis(renewed_ms);
-        // The service counts from the arrival of the renewal, at the earliest when it was sent.
+        // The service counts from the arrival of the renewal, at the earliest from its sending.
         let lease_ends = renewed_at + TIME_TO_LIVE;
         let taken_at = lease_ends + Duration::from_millis(taken_after_ms);
         let former = FleetLease::default();
-        former.mandate.set(Some(mandate(1, renewed_at, MonotonicTime::ZERO)));
+        former.held.set(Some(held_lease(1, renewed_at, MonotonicTime::ZERO)));
         let next = FleetLease::default();
         let acquired_at = taken_at + Duration::from_millis(answered_after_ms);
-        next.mandate.set(Some(mandate(2, acquired_at, acquired_at)));
+        next.held.set(Some(held_lease(2, acquired_at, acquired_at)));
         let at = MonotonicTime::from_millis(asked_ms);
-        if former.mandate(at).is_some() {
+        if former.active(at).is_some() {
             prop_assert!(at < lease_ends);
         }
-        if next.mandate(at).is_some() {
+        if next.active(at).is_some() {
             prop_assert!(at >= lease_ends + TIME_TO_LIVE);
         }
     }
 }
 
-/// A process that stood still past its lease believes nothing when it wakes.
+/// A process that was paused past the end of its lease may not act when it resumes.
 #[test]
-fn a_mandate_ends_by_the_clock_alone() {
-    let authority = FleetLease::default();
+fn a_lease_ends_by_the_local_clock_alone() {
+    let fleet_lease = FleetLease::default();
     let renewed_at = MonotonicTime::from_millis(10_000);
-    authority
-        .mandate
-        .set(Some(mandate(1, renewed_at, MonotonicTime::ZERO)));
+    fleet_lease
+        .held
+        .set(Some(held_lease(1, renewed_at, MonotonicTime::ZERO)));
     assert!(
-        authority
-            .mandate(MonotonicTime::from_millis(12_300))
+        fleet_lease
+            .active(MonotonicTime::from_millis(12_300))
             .is_some()
     );
-    assert_eq!(authority.mandate(MonotonicTime::from_millis(12_400)), None);
-    assert_eq!(authority.mandate(MonotonicTime::from_millis(60_000)), None);
+    assert_eq!(fleet_lease.active(MonotonicTime::from_millis(12_400)), None);
+    assert_eq!(fleet_lease.active(MonotonicTime::from_millis(60_000)), None);
 }
 
 #[test]
-fn a_new_holder_is_quiet_for_a_whole_lease() {
-    let authority = FleetLease::default();
+fn a_new_holder_waits_for_one_lease_duration() {
+    let fleet_lease = FleetLease::default();
     let acquired_at = MonotonicTime::from_millis(10_000);
-    let mut held = mandate(1, acquired_at, acquired_at);
+    let mut held = held_lease(1, acquired_at, acquired_at);
     held.valid_until = acquired_at + Duration::from_secs(60);
-    authority.mandate.set(Some(held));
-    assert_eq!(authority.mandate(MonotonicTime::from_millis(12_999)), None);
+    fleet_lease.held.set(Some(held));
+    assert_eq!(fleet_lease.active(MonotonicTime::from_millis(12_999)), None);
     assert!(
-        authority
-            .mandate(MonotonicTime::from_millis(13_000))
+        fleet_lease
+            .active(MonotonicTime::from_millis(13_000))
             .is_some()
     );
 }
--- a/crates/forwarding/src/roles/lease_keeper.rs
+++ b/crates/forwarding/src/roles/lease_keeper.rs
@@ -1,4 +1,4 @@
-//! Takes the authority over the engines' roles, and keeps it.
+//! Acquires the fleet lease and renews it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,42 +13,42 @@
 use crate::context::Context;
 use crate::roles::fleet_lease::{FleetLease, HeldLease};
 
-/// The key that names the holder.
+/// Key whose value is the name of the holder.
 pub(crate) const HOLDER_KEY: &str = "dalestand/holder";
 
-/// Renewals in the time of a lease.
+/// Number of renewals within one lease duration.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// How often a node that does not hold the authority looks whether it is free.
-const LOOK_INTERVAL: Duration = Duration::from_millis(400);
+/// How often a relay that does not hold the lease checks whether it is free.
+const CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Relays ask for a free authority one after the other, this far apart.
-const TURN: Duration = Duration::from_millis(300);
+/// Added to the interval for each further relay, so that relays do not all try at once.
+const RELAY_STAGGER: Duration = Duration::from_millis(300);
 
-/// Takes and keeps the authority for as long as it is polled, while this node is a relay: relays
-/// know the demand of the whole fleet, and few of them ask for the authority when it is free.
+/// Acquires and renews the fleet lease while this node is a relay; never returns. Only relays try: they
+/// know the demand of the whole fleet, and they are few.
 pub(crate) async fn acquire_and_renew(
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
-    authority: FleetLease,
+    fleet_lease: FleetLease,
 ) {
     loop {
-        let turn = context.dissemination.relay_index();
-        sleep(LOOK_INTERVAL + TURN * turn).await;
+        let relay_index = context.dissemination.relay_index();
+        sleep(CHECK_INTERVAL + RELAY_STAGGER * relay_index).await;
         let is_relay = context.dissemination.role(context.now()).is_relay;
-        if !is_relay || authority.is_taken.get() || context.is_stopping() || !context.is_ready() {
+        if !is_relay || fleet_lease.is_taken.get() || context.is_stopping() || !context.is_ready() {
             continue;
         }
         match acquire(&context, &*store).await {
-            Ok(Some((lease, mandate, sent_at))) => {
-                log_event!(context.logger, Event::LeaseAcquired, "token" => mandate.token);
-                authority.mandate.set(Some(mandate));
-                renew(&context, &*store, &authority, lease, sent_at).await;
-                authority.mandate.set(None);
-                authority.set_taken(false);
-                log_event!(context.logger, Event::LeaseLost, "token" => mandate.token);
+            Ok(Some((lease, held, sent_at))) => {
+                log_event!(context.logger, Event::LeaseAcquired, "token" => held.token);
+                fleet_lease.held.set(Some(held));
+                renew(&context, &*store, &fleet_lease, lease, sent_at).await;
+                fleet_lease.held.set(None);
+                fleet_lease.set_taken(false);
+                log_event!(context.logger, Event::LeaseLost, "token" => held.token);
             }
-            Ok(None) => authority.set_taken(true),
+            Ok(None) => fleet_lease.set_taken(true),
             Err(_) => sleep(context.settings.lease()).await,
         }
     }
@@ -71,20 +71,20 @@
         )
         .await?;
     let CasOutcome::Written { revision } = taken else {
-        // The lease ends by itself if giving it up fails.
+        // If the revocation fails, the lease expires by itself.
         let _ = store.revoke_lease(lease).await;
         return Ok(None);
     };
     let grant = grant(lease, revision.0, sent_at, time_to_live);
-    let mandate = HeldLease {
+    let held = HeldLease {
         token: revision.0,
-        quiet_until: context.now() + time_to_live,
+        active_from: context.now() + time_to_live,
         valid_until: grant.valid_until(),
     };
-    Ok(Some((lease, mandate, sent_at)))
+    Ok(Some((lease, held, sent_at)))
 }
 
-/// What the key-value service granted, counted from before the call was sent.
+/// The granted lease; its duration counts from before the call was sent.
 pub(super) fn grant(
     lease: LeaseId,
     token: u64,
@@ -99,33 +99,33 @@
     }
 }
 
-/// Renews the lease until it is gone or was not renewed in time.
+/// Renews the lease until the service no longer has it or a renewal did not succeed in time.
 async fn renew(
     context: &Context,
     store: &dyn KeyValue,
-    authority: &FleetLease,
+    fleet_lease: &FleetLease,
     lease: LeaseId,
     acquired_at: MonotonicTime,
 ) {
     let time_to_live = context.settings.lease();
     let mut renewed_at = acquired_at;
-    while let Some(mandate) = authority.mandate.get() {
+    while let Some(held) = fleet_lease.held.get() {
         sleep(time_to_live / RENEWALS_PER_LEASE).await;
         if context.is_stopping() {
-            authority.mandate.set(None);
+            fleet_lease.held.set(None);
             let _ = store.revoke_lease(lease).await;
             return;
         }
         let sent_at = context.now();
         match store.renew_lease(lease).await {
-            // It may have been given up meanwhile, since a higher token was seen: that stays so.
-            Ok(true) if authority.held_token() != Some(mandate.token) => return,
+            // The lease was relinquished or lost during the call; don't take it up again.
+            Ok(true) if fleet_lease.held_token() != Some(held.token) => return,
             Ok(true) => {
                 renewed_at = sent_at;
-                let grant = grant(lease, mandate.token, sent_at, time_to_live);
-                authority.mandate.set(Some(HeldLease {
+                let grant = grant(lease, held.token, sent_at, time_to_live);
+                fleet_lease.held.set(Some(HeldLease {
                     valid_until: grant.valid_until(),
-                    ..mandate
+                    ..held
                 }));
             }
             Ok(false) => return,
--- a/crates/forwarding/src/roles/mod.rs
+++ b/crates/forwarding/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! The lease under which one node acts for all, and the engines' roles.
+//! The fleet lease, which lets one node act for the whole fleet, and control of engine roles.
 
 pub(crate) mod demand;
 pub(crate) mod fleet_lease;
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -1,4 +1,4 @@
-//! The holder of the authority changes the stages of engines as the demand shifts.
+//! The holder of the fleet lease moves engines between prefill and decode as demand shifts.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,70 +19,71 @@
 use crate::roles::fleet_lease::{FleetLease, while_held};
 use crate::serve::engine_call::call_engine;
 
-/// How often the demand is looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// How often demand is compared with the engines of each stage.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// An engine whose order got no answer may still carry it out; it is given no other order for this
-/// long. One that took its order is avoided for as long, unless its entry shows the change before.
-const IN_DOUBT: Duration = Duration::from_secs(14);
+/// An order without an answer may still be executed within this time, so its engine gets no other order
+/// until then. After an engine accepted an order, routing avoids it for the same time, or until its
+/// entry shows the new role.
+const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(14);
 
-/// An engine whose order got no answer is avoided for this long; if it still changes later, its
-/// refusals say so.
-const UNANSWERED: Duration = Duration::from_millis(1_000);
+/// Time for which routing avoids an engine after an order without an answer. If the engine changes its
+/// role later, it rejects requests for the old one.
+const UNANSWERED_AVOID_TIME: Duration = Duration::from_millis(1_000);
 
-/// Orders under way at a time. An order is two calls to its engine, a few milliseconds together: so many
-/// at once are given to a hundred engines in a tenth of a second.
-const ORDERS_AT_ONCE: usize = 16;
+/// Maximum number of concurrent orders; each makes two short calls to its engine.
+const MAX_CONCURRENT_ORDERS: usize = 16;
 
-/// Changes stages for as long as it is polled.
-pub(crate) async fn control_roles(context: Rc<Context>, authority: FleetLease) {
+/// Changes the stages of engines while this node holds the fleet lease; never returns.
+pub(crate) async fn control_roles(context: Rc<Context>, fleet_lease: FleetLease) {
     let mut pools: HashMap<PoolName, StageBalancer> = HashMap::new();
-    let mut left_alone: HashMap<EngineKey, MonotonicTime> = HashMap::new();
-    let mut under_way = PendingChanges::default();
+    let mut excluded_until: HashMap<EngineKey, MonotonicTime> = HashMap::new();
+    let mut pending = PendingChanges::default();
     loop {
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
         let now = context.now();
-        under_way.remove_expired(now);
-        left_alone.retain(|_, until| now < *until);
-        if authority.mandate(now).is_none() {
+        pending.remove_expired(now);
+        excluded_until.retain(|_, until| now < *until);
+        if fleet_lease.active(now).is_none() {
             pools.clear();
-            under_way.clear();
+            pending.clear();
             continue;
         }
         for pool in prompt_pools(&context) {
-            let balance = pools
+            let balancer = pools
                 .entry(pool.clone())
                 .or_insert_with(|| StageBalancer::new(StageBalancerConfig::default()));
-            let Some((change, engines)) = due(&context, balance, &pool, &left_alone, &under_way)
+            let Some((change, engines)) =
+                next_change(&context, balancer, &pool, &excluded_until, &pending)
             else {
                 continue;
             };
-            balance.record_order(now, change);
+            balancer.record_order(now, change);
             for engine in &engines {
-                left_alone.insert(engine.key, now + IN_DOUBT);
-                under_way.record_order(now, engine.key, change);
+                excluded_until.insert(engine.key, now + MAX_EXECUTION_DELAY);
+                pending.record_order(now, engine.key, change);
             }
-            let refused = order_all(&context, &authority, &pool, engines, change).await;
-            for engine in refused {
-                under_way.remove(engine);
+            let not_sent = order_all(&context, &fleet_lease, &pool, engines, change).await;
+            for engine in not_sent {
+                pending.remove(engine);
             }
         }
     }
 }
 
-/// Gives an order to each of `engines`, some at a time; yields those that have not taken it.
+/// Sends an order to each of `engines`, concurrently; returns those for which the order has no effect.
 async fn order_all(
     context: &Rc<Context>,
-    authority: &FleetLease,
+    fleet_lease: &FleetLease,
     pool: &PoolName,
     engines: Vec<StagedEngine>,
     change: StageChange,
 ) -> Vec<EngineKey> {
     let orders = engines.into_iter().map(|engine| async move {
-        let is_taken = order(context, authority, pool, &engine, change).await;
-        (!is_taken).then_some(engine.key)
+        let may_take_effect = send_order(context, fleet_lease, pool, &engine, change).await;
+        (!may_take_effect).then_some(engine.key)
     });
-    let outcomes = stream::iter(orders).buffer_unordered(ORDERS_AT_ONCE);
+    let outcomes = stream::iter(orders).buffer_unordered(MAX_CONCURRENT_ORDERS);
     outcomes
         .filter_map(std::future::ready)
         .collect::<Vec<_>>()
@@ -96,18 +97,18 @@
     prompt_pools.map(|pool| pool.name.clone()).collect()
 }
 
-/// The change that is due in a pool, with the engines that have the least to end first.
-fn due(
+/// The change that a pool needs now and the engines to change, the least loaded first.
+fn next_change(
     context: &Context,
-    balance: &mut StageBalancer,
+    balancer: &mut StageBalancer,
     pool: &PoolName,
-    left_alone: &HashMap<EngineKey, MonotonicTime>,
-    under_way: &PendingChanges<EngineKey>,
+    excluded_until: &HashMap<EngineKey, MonotonicTime>,
+    pending: &PendingChanges<EngineKey>,
 ) -> Option<(StageChange, Vec<StagedEngine>)> {
     let now = context.now();
     let fleet = context.fleet();
     let engines = fleet.pool(pool);
-    let stage = |engine: &StagedEngine| match under_way.get(now, engine.key) {
+    let stage = |engine: &StagedEngine| match pending.get(now, engine.key) {
         Some(StageChange::ToPrefill) => Stage::Prefill,
         Some(StageChange::ToDecode) => Stage::Decode,
         None => engine.stage,
@@ -121,43 +122,43 @@
         decode: count(Stage::Decode),
     };
     let demand = context.demand.borrow_mut().total(now, pool);
-    let queues = queues(context, engines, stage);
-    let in_use = stage_use(context, engines, counts, &demand);
-    let shift = balance.decide(now, &demand, counts, queues, in_use)?;
+    let queues = queue_times(context, engines, stage);
+    let utilization = stage_utilization(context, engines, counts, &demand);
+    let shift = balancer.decide(now, &demand, counts, queues, utilization)?;
     let change = shift.change;
     let from = match change {
         StageChange::ToPrefill => Stage::Decode,
         StageChange::ToDecode => Stage::Prefill,
     };
     let router = context.router.borrow();
-    let may_change = engines
+    let candidates = engines
         .iter()
-        .filter(|engine| engine.stage == from && !left_alone.contains_key(&engine.key));
-    let mut may_change: Vec<&StagedEngine> = may_change.collect();
-    may_change.sort_by_cached_key(|engine| {
+        .filter(|engine| engine.stage == from && !excluded_until.contains_key(&engine.key));
+    let mut candidates: Vec<&StagedEngine> = candidates.collect();
+    candidates.sort_by_cached_key(|engine| {
         let work = router.work.total(engine.key);
         (work.unread_tokens, work.requests, engine.key)
     });
-    may_change.truncate(shift.engines);
-    let first = may_change.first()?;
+    candidates.truncate(shift.engines);
+    let first = candidates.first()?;
     log_event!(context.logger, Event::RoleDecided, "pool" => %pool, "engine" => &*first.run,
-        "engines" => may_change.len(), "change" => ?change, "prefill" => counts.prefill, "decode" => counts.decode,
+        "engines" => candidates.len(), "change" => ?change, "prefill" => counts.prefill, "decode" => counts.decode,
         "prefill_queue_ms" => (queues.prefill_s * 1_000.0) as u64,
         "decode_queue_ms" => (queues.decode_s * 1_000.0) as u64,
         "disaggregated_tokens_per_s" => demand.disaggregated_tokens_per_s as u64,
         "colocated_tokens_per_s" => demand.colocated_tokens_per_s as u64);
-    Some((change, may_change.into_iter().cloned().collect()))
+    Some((change, candidates.into_iter().cloned().collect()))
 }
 
-/// How far the engines of each stage are in use.
-fn stage_use(
+/// Utilization of the engines of each stage.
+fn stage_utilization(
     context: &Context,
     engines: &EnginePool,
     counts: StageCounts,
     demand: &StageDemand,
 ) -> StageUtilization {
     let router = context.router.borrow();
-    let token_s = |stage| {
+    let prefill_token_s = |stage| {
         let speeds = &router.prefill_speeds;
         speeds.usual_s(stage, 1.0) - speeds.usual_s(stage, 0.0)
     };
@@ -167,17 +168,17 @@
     };
     let requests = decode().map(|engine| f64::from(router.work.total(engine.key).requests));
     let slots = decode().map(|engine| f64::from(engine.slots));
-    let slots_taken = requests.sum::<f64>() / slots.sum::<f64>().max(1.0);
-    let disaggregated = demand.disaggregated_tokens_per_s * token_s(Stage::Prefill);
-    let colocated = demand.colocated_tokens_per_s * token_s(Stage::Decode);
+    let slot_utilization = requests.sum::<f64>() / slots.sum::<f64>().max(1.0);
+    let disaggregated = demand.disaggregated_tokens_per_s * prefill_token_s(Stage::Prefill);
+    let colocated = demand.colocated_tokens_per_s * prefill_token_s(Stage::Decode);
     StageUtilization {
         prefill: disaggregated / counts.prefill.max(1) as f64,
-        decode: slots_taken.max(colocated / counts.decode.max(1) as f64),
+        decode: slot_utilization.max(colocated / counts.decode.max(1) as f64),
     }
 }
 
-/// Mean time of the queues at the engines of each stage.
-fn queues(
+/// Mean queueing time at the engines of each stage.
+fn queue_times(
     context: &Context,
     engines: &EnginePool,
     stage: impl Fn(&StagedEngine) -> Stage,
@@ -201,10 +202,10 @@
     }
 }
 
-/// Gives the order; whether the engine has taken it or may have.
-async fn order(
+/// Sends the order; returns whether the engine accepted it or may still execute it.
+async fn send_order(
     context: &Rc<Context>,
-    authority: &FleetLease,
+    fleet_lease: &FleetLease,
     pool: &PoolName,
     engine: &StagedEngine,
     change: StageChange,
@@ -213,13 +214,13 @@
         log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run);
         return false;
     };
-    // Looked at again right before the order goes out.
-    let Some(mandate) = authority.mandate(context.now()) else {
+    // The lease may have ended during the call above.
+    let Some(held) = fleet_lease.active(context.now()) else {
         return false;
     };
     let order = StageOrder {
         holder: context.settings.node.as_str(),
-        token: mandate.token,
+        token: held.token,
         sequence,
         run: &engine.run,
         role: match change {
@@ -229,28 +230,28 @@
     };
     let (head, body) = context.dialect.stage_order(&order);
     let sent = call_engine(context, pool, engine, head, body);
-    let answered = while_held(authority, mandate.token, || context.now(), sent).await;
+    let answered = while_held(fleet_lease, held.token, || context.now(), sent).await;
     let answered = answered.flatten();
-    // An order without an answer may come true at any later time, or never.
-    let mut avoided = UNANSWERED;
+    // An order without an answer may be executed later, or never.
+    let mut avoid_time = UNANSWERED_AVOID_TIME;
     let outcome = answered.map(|(status, _)| context.dialect.read_stage_order(status));
     match outcome {
         Some(StageOrderOutcome::Refused(status)) => {
             log_event!(context.logger, Event::OrderRefused, "engine" => &*engine.run,
-                "token" => mandate.token, "sequence" => sequence, "status" => status);
+                "token" => held.token, "sequence" => sequence, "status" => status);
             return false;
         }
         Some(StageOrderOutcome::Taken) => {
-            avoided = IN_DOUBT;
+            avoid_time = MAX_EXECUTION_DELAY;
             log_event!(context.logger, Event::OrderGiven, "engine" => &*engine.run,
-                "token" => mandate.token, "sequence" => sequence, "role" => %order.role);
+                "token" => held.token, "sequence" => sequence, "role" => %order.role);
         }
         None => {
             log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run,
-                "token" => mandate.token, "sequence" => sequence);
+                "token" => held.token, "sequence" => sequence);
         }
     }
-    context.begin_role_change(engine.key, avoided);
+    context.begin_role_change(engine.key, avoid_time);
     true
 }
 
