--- a/crates/forwarding/src/duties/mod.rs
+++ b/crates/forwarding/src/duties/mod.rs
@@ -1,5 +1,5 @@
-//! What one node does for the whole fleet under the lease that [`crate::roles::fleet_lease`] keeps: usage
-//! reports by tenant ([`usage_report`]) and the number of engines ([`scaling`]).
+//! Calls to the platform that the holder of the fleet lease makes for the whole fleet: usage reports by
+//! tenant ([`usage_report`]) and the number of engines ([`scaling`]).
 
 use dalestand_edge::PlatformError;
 use dalestand_edge::duty_calls::DutyOutcome;
@@ -13,7 +13,7 @@
 pub(crate) mod usage_messages;
 pub(crate) mod usage_report;
 
-/// How a call came out, for the metrics.
+/// Metrics label for the outcome of a call.
 fn outcome_label(answered: &Result<DutyOutcome, Report<PlatformError>>) -> &'static str {
     match answered {
         Ok(DutyOutcome::Taken) => "taken",
--- a/crates/forwarding/src/duties/report_slots.rs
+++ b/crates/forwarding/src/duties/report_slots.rs
@@ -1,4 +1,4 @@
-//! Where reports stand in the key-value service: a few keys by turns.
+//! Stores usage reports in the key-value service, in a small ring of keys.
 
 use std::collections::HashMap;
 
@@ -7,47 +7,47 @@
 use dalestand_types::Revision;
 use error_stack::{Report, ResultExt as _};
 
-/// Leading part of the keys. Not among those that relays watch: nobody but a new holder reads them.
+/// Key prefix. Nodes don't watch it: only a new lease holder reads these keys.
 const PREFIX: &str = "dalestand-usage/";
 
-/// The keys of reports. Each window has its turn at one of them, and a key is used again only after
-/// the report in it is too late for anybody.
+/// A ring of keys for usage reports. A key is overwritten only after the deadline of the report in it
+/// has passed.
 #[derive(Debug)]
 pub(crate) struct ReportSlots {
     slots: u64,
-    /// What this node wrote last, so that its next write needs no reading.
+    /// Last write of this node to each slot; saves a read before the next write.
     written: HashMap<u64, Written>,
 }
 
-/// A report as this node wrote it.
+/// A report that this node wrote.
 #[derive(Clone, Copy, Debug)]
 struct Written {
     window: WindowIndex,
     revision: Revision,
 }
 
-/// What stands in a slot that could not be written.
+/// Report found in a slot when a write conflicts.
 enum Found {
-    /// The window's report.
+    /// A report of the same window.
     Same(WindowReport),
-    /// An older one, written at this revision.
+    /// A report of an older window, written at this revision.
     Older(Revision),
-    /// A newer one: this window is too late.
+    /// A report of a newer window: it is too late for this one.
     Newer,
 }
 
 impl ReportSlots {
-    /// Slots enough for all windows that may still be reported.
-    pub(crate) fn new(terms: ReportTiming) -> Self {
-        let window = terms.windows.at(terms.deadline).0;
+    /// Creates enough slots for all windows that may still be reported.
+    pub(crate) fn new(timing: ReportTiming) -> Self {
+        let window = timing.windows.at(timing.deadline).0;
         Self {
             slots: window + 2,
             written: HashMap::new(),
         }
     }
 
-    /// Writes the report, unless the window's report stands already: then yields that one. `None`
-    /// if the window is too late.
+    /// Stores the report, unless one of the same window is stored already; returns the stored one.
+    /// Returns `None` if it is too late for the window.
     pub(crate) async fn freeze(
         &mut self,
         store: &dyn KeyValue,
@@ -57,10 +57,10 @@
         let key = format!("{PREFIX}{slot}");
         let text = report
             .to_text()
-            .change_context_lazy(|| malformed("cannot be written"))?;
-        // Only an older report may be written over; whatever else stands there shows as a conflict.
-        let written = self.written.remove(&slot);
-        let older = written.filter(|written| written.window < report.window);
+            .change_context_lazy(|| malformed("the report cannot be encoded"))?;
+        // Only a report of an older window may be overwritten; anything else causes a conflict.
+        let last_write = self.written.remove(&slot);
+        let older = last_write.filter(|written| written.window < report.window);
         let mut expectation = older.map_or(WriteExpectation::Absent, |older| {
             WriteExpectation::At(older.revision)
         });
@@ -75,7 +75,7 @@
                 CasOutcome::Conflict { current: None } => WriteExpectation::Absent,
                 CasOutcome::Conflict {
                     current: Some(current),
-                } => match found(&current, report.window)? {
+                } => match classify(&current, report.window)? {
                     Found::Same(report) => return Ok(Some(report)),
                     Found::Older(revision) => WriteExpectation::At(revision),
                     Found::Newer => return Ok(None),
@@ -85,9 +85,9 @@
     }
 }
 
-fn found(entry: &Entry, wanted: WindowIndex) -> Result<Found, Report<PlatformError>> {
+fn classify(entry: &Entry, wanted: WindowIndex) -> Result<Found, Report<PlatformError>> {
     let report = WindowReport::parse(&entry.value);
-    let report = report.change_context_lazy(|| malformed("cannot be read"))?;
+    let report = report.change_context_lazy(|| malformed("the stored report cannot be parsed"))?;
     Ok(if report.window == wanted {
         Found::Same(report)
     } else if report.window < wanted {
--- a/crates/forwarding/src/duties/scaling/own_numbers.rs
+++ b/crates/forwarding/src/duties/scaling/baseline.rs
@@ -1,5 +1,5 @@
-//! The operator's own numbers of engines: what stood when the first holder looked. They are written once, so that a
-//! later holder does not take the ordered ones for them.
+//! The operator's baseline engine counts: the engines that served when the first lease holder started
+//! scaling. They are stored once, because a later holder sees the engines ordered since.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -10,29 +10,30 @@
 use dalestand_types::{PoolName, ZoneName};
 use slog::Logger;
 
-/// Leading part of their keys.
+/// Key prefix; the pool name follows.
 const PREFIX: &str = "dalestand-engines/";
 
-/// The own numbers of a pool where `standing` take work now; `None` if they could not be kept.
-pub(in crate::duties) async fn own_numbers(
+/// The baseline counts of a pool by zone, stored from `serving` if there are none yet. `None` if they
+/// cannot be stored or read.
+pub(in crate::duties) async fn load_or_store_baseline(
     logger: &Logger,
     store: &dyn KeyValue,
     pool: &PoolName,
-    standing: &BTreeMap<ZoneName, ZoneEngines>,
+    serving: &BTreeMap<ZoneName, ZoneEngines>,
 ) -> Option<BTreeMap<ZoneName, u32>> {
-    if standing.is_empty() {
+    if serving.is_empty() {
         return None;
     }
-    let own = standing.iter().map(|(zone, engines)| {
+    let baseline = serving.iter().map(|(zone, engines)| {
         let count = engines.on_demand + engines.spot;
         (zone.clone(), count)
     });
-    let own: BTreeMap<ZoneName, u32> = own.collect();
+    let baseline: BTreeMap<ZoneName, u32> = baseline.collect();
     let key = format!("{PREFIX}{pool}");
-    let text = match serde_json::to_string(&own) {
+    let text = match serde_json::to_string(&baseline) {
         Ok(text) => text,
         Err(error) => {
-            log_unkept(logger, pool, "encode", &error);
+            log_store_failure(logger, pool, "encode", &error);
             return None;
         }
     };
@@ -40,23 +41,23 @@
         .compare_and_swap(&key, WriteExpectation::Absent, Some(&text), None)
         .await;
     match written {
-        Ok(CasOutcome::Written { .. }) => Some(own),
+        Ok(CasOutcome::Written { .. }) => Some(baseline),
         Ok(CasOutcome::Conflict { current }) => match serde_json::from_str(&current?.value) {
-            Ok(own) => Some(own),
+            Ok(baseline) => Some(baseline),
             Err(error) => {
-                log_unkept(logger, pool, "read", &error);
+                log_store_failure(logger, pool, "read", &error);
                 None
             }
         },
         Err(error) => {
-            log_unkept(logger, pool, "write", error.current_context());
+            log_store_failure(logger, pool, "write", error.current_context());
             None
         }
     }
 }
 
-/// Logs that something of a pool could not be kept.
-pub(in crate::duties) fn log_unkept(
+/// Logs that scaling state of a pool could not be stored or read.
+pub(in crate::duties) fn log_store_failure(
     logger: &Logger,
     pool: &PoolName,
     step: &str,
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -1,8 +1,8 @@
-//! The holder of the lease sets the number of engines of each zone.
+//! Sets the number of engines in each zone, at the lease holder.
 
-pub(super) mod kept_losses;
+mod baseline;
 pub(super) mod orders;
-mod own_numbers;
+pub(super) mod stored_losses;
 
 use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
@@ -23,76 +23,80 @@
 use dalestand_types::{PoolName, ZoneName};
 use error_stack::Report;
 
-use self::kept_losses::KeptLosses;
+use self::baseline::{load_or_store_baseline, log_store_failure};
 use self::orders::{DueOrder, EngineOrders, OrderOutcome};
-use self::own_numbers::{log_unkept, own_numbers};
+use self::stored_losses::StoredLosses;
 use crate::context::Context;
 use crate::duties::outcome_label;
 use crate::node::settings::ScalingMode;
 use crate::roles::fleet_lease::FleetLease;
 use crate::roles::fleet_lease::while_held;
 
-/// How often the engines are looked at.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often demand and engines are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Engines that may come or go in a second, and at once: what relays' tables carry of changed entries
-/// (16 a table, each three times, ten tables a second), so that nodes hear of engines that leave within
-/// the drain bound. Where 3,000 were replaced at once, members heard of some after 4.7 s.
-const CHANGES_PER_S: f64 = 53.0;
+/// Limit on engines added or removed per second, and burst size: the number of changed entries that the
+/// relays' tables carry per second (ten tables of 16 entries, each entry sent three times), so that all
+/// nodes learn of leaving engines within the drain time.
+const MAX_CHANGES_PER_S: f64 = 53.0;
 
-/// What a holder keeps of one pool.
-struct HeldPool {
-    own: BTreeMap<ZoneName, u32>,
+/// Scaling state of one pool at the lease holder.
+struct HolderState {
+    /// The operator's own engine counts.
+    baseline: BTreeMap<ZoneName, u32>,
     orders: EngineOrders,
-    kept_losses: Option<KeptLosses>,
-    /// A loss is not written yet.
-    has_new_loss: bool,
+    stored_losses: Option<StoredLosses>,
+    /// Whether a loss is not stored yet.
+    has_unstored_loss: bool,
 }
 
-/// What a relay knows of one pool.
+/// Scaling state of one pool at a relay.
 #[derive(Default)]
 struct ScaledPool {
-    demand: Autoscaler,
-    /// While this node may order.
-    held: Option<HeldPool>,
+    autoscaler: Autoscaler,
+    /// Present while this node may send orders.
+    holder: Option<HolderState>,
 }
 
-/// The number on the way from `from` to `wanted` that changes `most` engines at most.
-pub(super) fn step(from: u32, wanted: u32, most: u32) -> u32 {
-    wanted.clamp(from.saturating_sub(most), from.saturating_add(most))
+/// The count nearest to `wanted` that differs from `from` by at most `max_change` engines.
+pub(super) fn limit_change(from: u32, wanted: u32, max_change: u32) -> u32 {
+    wanted.clamp(
+        from.saturating_sub(max_change),
+        from.saturating_add(max_change),
+    )
 }
 
 struct Scaler {
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: FleetLease,
+    fleet_lease: FleetLease,
     pools: HashMap<PoolName, ScaledPool>,
-    /// Engines that may come or go now.
+    /// Number of engines that may be added or removed now.
     allowance: f64,
 }
 
-/// Sets numbers of engines while this node holds the lease, for as long as it is polled. While it is a relay, and so
-/// may take the lease, it follows the demand: a successor knows what its predecessor knew.
+/// Sets engine counts while this node holds the lease; never returns. Each relay observes demand all the
+/// time, so that a new lease holder can decide at once.
 pub(crate) async fn scale_engines(
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: FleetLease,
+    fleet_lease: FleetLease,
 ) {
     let mut scaler = Scaler {
         context,
         store,
         calls,
-        authority,
+        fleet_lease,
         pools: HashMap::new(),
-        allowance: CHANGES_PER_S,
+        allowance: MAX_CHANGES_PER_S,
     };
     loop {
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
-        let refilled = scaler.allowance + CHANGES_PER_S * LOOK_INTERVAL.as_secs_f64();
-        scaler.allowance = refilled.min(CHANGES_PER_S);
-        scaler.look().await;
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
+        let refilled = scaler.allowance + MAX_CHANGES_PER_S * CHECK_INTERVAL.as_secs_f64();
+        scaler.allowance = refilled.min(MAX_CHANGES_PER_S);
+        scaler.check_pools().await;
     }
 }
 
@@ -103,12 +107,12 @@
     scaled.collect()
 }
 
-/// What the engines of a pool do and are asked to do, over all nodes; `None` if no figure is known.
-fn pool_work(context: &Context, pool: &PoolName) -> Option<PoolWorkload> {
+/// Workload of a pool, summed over all nodes; `None` if there are no figures.
+fn pool_workload(context: &Context, pool: &PoolName) -> Option<PoolWorkload> {
     let mut classes = BTreeMap::new();
-    for ((of, priority), figures) in context.sums.classes.borrow().totals() {
-        if of == pool {
-            classes.insert(*priority, class_work(figures));
+    for ((name, priority), figures) in context.sums.classes.borrow().totals() {
+        if name == pool {
+            classes.insert(*priority, class_workload(figures));
         }
     }
     if classes.is_empty() {
@@ -124,7 +128,7 @@
     })
 }
 
-fn class_work(figures: &ClassFigures) -> ClassWorkload {
+fn class_workload(figures: &ClassFigures) -> ClassWorkload {
     ClassWorkload {
         asked_per_s: f64::from(figures.asked_per_s),
         begun_per_s: f64::from(figures.begun_per_s),
@@ -133,24 +137,25 @@
     }
 }
 
-/// Time in which an engine of usual speed prefills what fills its memory; none for engines without prompts.
-fn warm_up(context: &Context, pool: &PoolName) -> Duration {
+/// Time in which an engine of usual speed prefills as many tokens as its memory holds; zero for engines
+/// without prompts.
+fn warm_up_time(context: &Context, pool: &PoolName) -> Duration {
     let table = context.table();
     let terms = table.as_ref().and_then(|table| table.pool(pool));
     let prompts = terms.and_then(|terms| terms.prompt_engine);
     let tokens = prompts.map_or(0.0, |engine| engine.memory_tokens as f64);
-    // A time that is none is taken for no time.
+    // Falls back to zero if the product is not a valid duration.
     Duration::try_from_secs_f64(tokens * prefill_token_s(context)).unwrap_or_default()
 }
 
-/// Time to prefill one token, as learnt, in seconds.
+/// Learned time to prefill one token, in seconds.
 fn prefill_token_s(context: &Context) -> f64 {
     let speeds = &context.router.borrow().prefill_speeds;
     speeds.usual_s(Stage::Prefill, 1.0) - speeds.usual_s(Stage::Prefill, 0.0)
 }
 
-fn boot(terms: &ScalingTerms) -> Duration {
-    // A time that is none is taken for no time: orders are looked at again after the margin.
+fn boot_time(terms: &ScalingTerms) -> Duration {
+    // Falls back to zero if the setting is not a valid duration.
     Duration::try_from_secs_f64(terms.boot_s).unwrap_or_default()
 }
 
@@ -164,7 +169,7 @@
 
 fn order_outcome(answered: &Result<DutyOutcome, Report<PlatformError>>) -> OrderOutcome {
     match answered {
-        Ok(DutyOutcome::Taken) => OrderOutcome::Taken,
+        Ok(DutyOutcome::Taken) => OrderOutcome::Accepted,
         Ok(DutyOutcome::Refused) => OrderOutcome::Refused,
         Err(error) if error.current_context().is_in_doubt() => OrderOutcome::InDoubt,
         Err(_) => OrderOutcome::NotSent,
@@ -172,11 +177,11 @@
 }
 
 impl Scaler {
-    async fn look(&mut self) {
+    async fn check_pools(&mut self) {
         let now = self.context.now();
-        let may_order = self.authority.active(now).is_some();
+        let may_order = self.fleet_lease.active(now).is_some();
         if !may_order {
-            self.pools.values_mut().for_each(|pool| pool.held = None);
+            self.pools.values_mut().for_each(|pool| pool.holder = None);
             self.context.scaling_decisions.borrow_mut().clear();
         }
         if !may_order && !self.context.dissemination.role(now).is_relay {
@@ -184,141 +189,147 @@
             return;
         }
         for (pool, terms) in scaled_pools(&self.context) {
-            self.follow_demand(&pool, &terms);
+            self.observe_demand(&pool, &terms);
             if may_order {
-                self.look_at(&pool, &terms).await;
+                self.scale_pool(&pool, &terms).await;
             }
         }
     }
 
-    /// A node that hears no others knows its own figures only: they are not the fleet's.
-    fn follow_demand(&mut self, pool: &PoolName, terms: &ScalingTerms) {
+    /// Records the current demand, unless this node is isolated and knows only its own.
+    fn observe_demand(&mut self, pool: &PoolName, terms: &ScalingTerms) {
         let now = self.context.now();
         let known = self.pools.entry(pool.clone()).or_default();
         if self.context.dissemination.is_isolated(now) {
             return;
         }
-        if let Some(work) = pool_work(&self.context, pool) {
-            known.demand.observe(now, work, boot(terms));
+        if let Some(workload) = pool_workload(&self.context, pool) {
+            known.autoscaler.observe(now, workload, boot_time(terms));
         }
     }
 
-    async fn look_at(&mut self, pool: &PoolName, terms: &ScalingTerms) {
-        let standing = self.context.zone_engines(pool);
+    async fn scale_pool(&mut self, pool: &PoolName, terms: &ScalingTerms) {
+        let serving = self.context.zone_engines(pool);
         if self
             .pools
             .get(pool)
-            .is_none_or(|known| known.held.is_none())
+            .is_none_or(|known| known.holder.is_none())
         {
-            let Some(held) = self.take_over(pool, &standing).await else {
+            let Some(holder) = self.take_over(pool, &serving).await else {
                 return;
             };
-            self.pools.entry(pool.clone()).or_default().held = Some(held);
+            self.pools.entry(pool.clone()).or_default().holder = Some(holder);
         }
-        self.follow_losses(pool, &standing);
-        self.order(pool, terms, &standing).await;
-        // Last: a store that does not answer holds up no order for what was lost.
-        self.keep_losses(pool).await;
+        self.observe_losses(pool, &serving);
+        self.send_due_orders(pool, terms, &serving).await;
+        // Last, so that a slow key-value service does not delay the replacement orders.
+        self.store_losses(pool).await;
     }
 
-    /// Gives the orders that are due.
-    async fn order(
+    /// Sends the orders that are due, within the change limit.
+    async fn send_due_orders(
         &mut self,
         pool: &PoolName,
         terms: &ScalingTerms,
-        standing: &BTreeMap<ZoneName, ZoneEngines>,
+        serving: &BTreeMap<ZoneName, ZoneEngines>,
     ) {
-        let Some(account) = self.decide(pool, terms, standing) else {
+        let Some(decision) = self.decide(pool, terms, serving) else {
             return;
         };
-        let orders = self.due(pool, &account);
-        let accounts = &self.context.scaling_decisions;
-        accounts.borrow_mut().insert(pool.clone(), account.clone());
+        let orders = self.due_orders(pool, &decision);
+        let decisions = &self.context.scaling_decisions;
+        decisions
+            .borrow_mut()
+            .insert(pool.clone(), decision.clone());
         for order in orders {
-            let count = step(order.from, order.count, self.allowance as u32);
+            let count = limit_change(order.from, order.count, self.allowance as u32);
             if count == order.from && order.count != order.from {
-                // The rest of the allowance of this second is spent.
+                // The change limit is reached.
                 return;
             }
             self.allowance -= f64::from(count.abs_diff(order.from));
             let order = DueOrder { count, ..order };
-            if !self.give(pool, order, terms, &account).await {
+            if !self.send_order(pool, order, terms, &decision).await {
                 return;
             }
         }
     }
 
-    /// What a new holder needs: the operator's own numbers, and the losses that former holders saw.
+    /// State of a new lease holder: the baseline counts, and the losses that earlier holders stored.
     async fn take_over(
         &mut self,
         pool: &PoolName,
-        standing: &BTreeMap<ZoneName, ZoneEngines>,
-    ) -> Option<HeldPool> {
+        serving: &BTreeMap<ZoneName, ZoneEngines>,
+    ) -> Option<HolderState> {
         let logger = &self.context.logger;
-        let own = own_numbers(logger, &*self.store, pool, standing).await?;
-        let mut kept_losses = None;
+        let baseline = load_or_store_baseline(logger, &*self.store, pool, serving).await?;
+        let mut stored_losses = None;
         if self.context.settings.scaling_mode() == ScalingMode::Demand {
-            match KeptLosses::read(&*self.store, pool).await {
-                Ok((kept, record)) => {
-                    kept_losses = Some(kept);
+            match StoredLosses::read(&*self.store, pool).await {
+                Ok((stored, record)) => {
+                    stored_losses = Some(stored);
                     let known = self.pools.entry(pool.clone()).or_default();
-                    known.demand.losses = SpotLossTracker::from_record(record);
+                    known.autoscaler.losses = SpotLossTracker::from_record(record);
+                }
+                Err(error) => {
+                    log_store_failure(logger, pool, "read losses", error.current_context())
                 }
-                Err(error) => log_unkept(logger, pool, "read losses", error.current_context()),
             }
         }
-        Some(HeldPool {
-            own,
+        Some(HolderState {
+            baseline,
             orders: EngineOrders::default(),
-            kept_losses,
-            has_new_loss: false,
+            stored_losses,
+            has_unstored_loss: false,
         })
     }
 
-    fn follow_losses(&mut self, pool: &PoolName, standing: &BTreeMap<ZoneName, ZoneEngines>) {
+    fn observe_losses(&mut self, pool: &PoolName, serving: &BTreeMap<ZoneName, ZoneEngines>) {
         let now = self.context.now();
         let leaving = self.context.leaving_spot_engines(pool);
         let Some(known) = self.pools.get_mut(pool) else {
             return;
         };
-        let Some(held) = &mut known.held else {
+        let Some(holder) = &mut known.holder else {
             return;
         };
-        let zones = standing.keys().chain(leaving.keys());
+        let zones = serving.keys().chain(leaving.keys());
         let zones = zones.map(|zone| {
             let spot = ZoneSpotEngines {
-                serving: standing.get(zone).map_or(0, |engines| engines.spot),
+                serving: serving.get(zone).map_or(0, |engines| engines.spot),
                 leaving: leaving.get(zone).copied().unwrap_or_default(),
-                ordered: held.orders.ordered(zone, EngineTenure::Spot),
+                ordered: holder.orders.ordered(zone, EngineTenure::Spot),
             };
             (zone.clone(), spot)
         });
-        if !known.demand.losses.observe(now, &zones.collect()) {
+        if !known.autoscaler.losses.observe(now, &zones.collect()) {
             return;
         }
-        let record = *known.demand.losses.record();
+        let record = *known.autoscaler.losses.record();
         let logger = &self.context.logger;
         log_event!(logger, Event::SpotEnginesLost, "pool" => %pool, "losses" => record.losses,
             "zones_at_once" => record.zones_at_once, "leaving" => ?leaving);
-        held.has_new_loss = true;
+        holder.has_unstored_loss = true;
     }
 
-    /// Writes losses that are new. What could not be written goes out with the next.
-    async fn keep_losses(&mut self, pool: &PoolName) {
+    /// Stores new losses. After a failed write, they are stored with the next loss.
+    async fn store_losses(&mut self, pool: &PoolName) {
         let Some(known) = self.pools.get_mut(pool) else {
             return;
         };
-        let Some(held) = &mut known.held else {
+        let Some(holder) = &mut known.holder else {
             return;
         };
-        if !std::mem::take(&mut held.has_new_loss) {
+        if !std::mem::take(&mut holder.has_unstored_loss) {
             return;
         }
-        if let Some(kept) = &mut held.kept_losses
-            && let Err(error) = kept.write(&*self.store, known.demand.losses.record()).await
+        if let Some(stored) = &mut holder.stored_losses
+            && let Err(error) = stored
+                .write(&*self.store, known.autoscaler.losses.record())
+                .await
         {
             let logger = &self.context.logger;
-            log_unkept(logger, pool, "write losses", error.current_context());
+            log_store_failure(logger, pool, "write losses", error.current_context());
         }
     }
 
@@ -329,50 +340,52 @@
         serving: &BTreeMap<ZoneName, ZoneEngines>,
     ) -> Option<ScalingDecision> {
         let known = self.pools.get(pool)?;
-        let held = known.held.as_ref()?;
+        let holder = known.holder.as_ref()?;
         let now = self.context.now();
         let inputs = ScalingInputs {
             now,
-            baseline: &held.own,
+            baseline: &holder.baseline,
             serving,
-            spot_unavailable: &held.orders.without_spot(now),
-            provisioned_on_demand: &held.orders.on_demand(&held.own, serving),
+            spot_unavailable: &holder.orders.spot_unavailable(now),
+            provisioned_on_demand: &holder
+                .orders
+                .provisioned_on_demand(&holder.baseline, serving),
             bounds: bounds(terms),
             prices: &terms.zone_prices,
             policy: self.context.settings.scaling_policy(),
-            boot: boot(terms),
-            warm_up: warm_up(&self.context, pool),
+            boot: boot_time(terms),
+            warm_up: warm_up_time(&self.context, pool),
         };
         Some(match self.context.settings.scaling_mode() {
-            ScalingMode::Demand => known.demand.decide(&inputs),
+            ScalingMode::Demand => known.autoscaler.decide(&inputs),
             ScalingMode::Fixed => Autoscaler::default().decide(&inputs),
         })
     }
 
-    fn due(&self, pool: &PoolName, account: &ScalingDecision) -> Vec<DueOrder> {
-        let known = self.pools.get(pool).and_then(|known| known.held.as_ref());
-        let (Some(held), Some(targets)) = (known, &account.targets) else {
+    fn due_orders(&self, pool: &PoolName, decision: &ScalingDecision) -> Vec<DueOrder> {
+        let holder = self.pools.get(pool).and_then(|known| known.holder.as_ref());
+        let (Some(holder), Some(targets)) = (holder, &decision.targets) else {
             return Vec::new();
         };
         let now = self.context.now();
-        held.orders.due(now, &account.standing, targets)
+        holder.orders.due(now, &decision.standing, targets)
     }
 
-    /// Gives an order; whether the lease still stands.
-    async fn give(
+    /// Sends an order; returns whether this node still holds the lease.
+    async fn send_order(
         &mut self,
         pool: &PoolName,
         order: DueOrder,
         terms: &ScalingTerms,
-        account: &ScalingDecision,
+        decision: &ScalingDecision,
     ) -> bool {
-        // Looked at again right before the call.
-        let Some(mandate) = self.authority.active(self.context.now()) else {
+        // The lease may have ended during the previous call.
+        let Some(held) = self.fleet_lease.active(self.context.now()) else {
             return false;
         };
         let authority = DutyAuthority {
             holder: self.context.settings.node.as_str(),
-            token: mandate.token,
+            token: held.token,
         };
         let call = EngineCountOrder {
             pool: pool.clone(),
@@ -382,19 +395,20 @@
         };
         let sent = self.calls.set_engine_count(authority, &call);
         let now = || self.context.now();
-        let answered = while_held(&self.authority, mandate.token, now, sent).await;
+        let answered = while_held(&self.fleet_lease, held.token, now, sent).await;
         let Some(answered) = answered else {
             return false;
         };
         let metrics = &self.context.metrics;
         metrics.duty_call("scaling", outcome_label(&answered));
-        self.log_order(&call, mandate.token, &answered, account);
+        self.log_order(&call, held.token, &answered, decision);
         let now = self.context.now();
         let known = self.pools.get_mut(pool);
-        if let Some(held) = known.and_then(|known| known.held.as_mut()) {
+        if let Some(holder) = known.and_then(|known| known.holder.as_mut()) {
             let outcome = order_outcome(&answered);
-            held.orders
-                .answered(now, order.key, order.count, outcome, boot(terms));
+            holder
+                .orders
+                .record_outcome(now, order.key, order.count, outcome, boot_time(terms));
         }
         true
     }
@@ -404,7 +418,7 @@
         order: &EngineCountOrder,
         token: u64,
         answered: &Result<DutyOutcome, Report<PlatformError>>,
-        account: &ScalingDecision,
+        decision: &ScalingDecision,
     ) {
         let logger = &self.context.logger;
         match answered {
@@ -415,12 +429,12 @@
                 };
                 log_event!(logger, event, "duty" => "scaling", "pool" => %order.pool,
                     "zone" => %order.zone, "tenure" => ?order.tenure, "count" => order.count,
-                    "token" => token, "weighed" => %account);
+                    "token" => token, "weighed" => %decision);
             }
             Err(error) => {
                 log_event!(logger, Event::EngineCountFailed, "pool" => %order.pool,
                     "zone" => %order.zone, "tenure" => ?order.tenure, "count" => order.count,
-                    "step" => "send", "error" => %error.current_context(), "weighed" => %account);
+                    "step" => "send", "error" => %error.current_context(), "weighed" => %decision);
             }
         }
     }
--- a/crates/forwarding/src/duties/scaling/orders.rs
+++ b/crates/forwarding/src/duties/scaling/orders.rs
@@ -1,7 +1,7 @@
-//! Which orders for engines are due, from those that were given and what came of them.
+//! Decides which engine orders to send, from the outcomes of earlier ones.
 //!
-//! Answers these failures: orders that are refused, that get no answer, that are carried out after a newer one, and
-//! engines that do not come.
+//! Handles orders that are refused, get no answer or are executed after a newer one, and engines that
+//! never start.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -11,91 +11,91 @@
 use dalestand_planner::{EngineTargets, ZoneEngines};
 use dalestand_types::{MonotonicTime, ZoneName};
 
-/// An order that was refused or not answered is given again after this time.
-const REFUSED_PAUSE: Duration = Duration::from_secs(2);
+/// Delay before an order is sent again that was not accepted.
+const RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// An order whose engines are not there this long after they could have booted is given again.
+/// Time beyond the boot time after which an order is sent again if its engines don't serve yet.
 const BOOT_MARGIN: Duration = Duration::from_secs(3);
 
-/// An order without an answer, of this holder or a former one, may be carried out this much later, after newer ones:
-/// more engines than were ordered last are then given back by the same order again.
-const IN_DOUBT: Duration = Duration::from_secs(14);
+/// An unanswered order of this or an earlier holder may still be executed within this time, after newer
+/// orders. If it added engines, sending the last order again after this time removes them.
+const MAX_EXECUTION_DELAY: Duration = Duration::from_secs(14);
 
-/// What came of an order.
+/// Outcome of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(in crate::duties) enum OrderOutcome {
-    /// It was taken.
-    Taken,
-    /// It was refused.
+    /// The platform accepted it.
+    Accepted,
+    /// The platform refused it.
     Refused,
-    /// It had no effect.
+    /// It certainly had no effect.
     NotSent,
-    /// It may have been taken, or be carried out later.
+    /// Unknown: it may have been accepted, or may be executed later.
     InDoubt,
 }
 
-/// A number of engines of one zone on one kind of terms.
+/// What an order sets the engine count of: one zone and tenure.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(in crate::duties) struct OrderKey {
     pub(in crate::duties) zone: ZoneName,
     pub(in crate::duties) tenure: EngineTenure,
 }
 
-/// An order that is due.
+/// An order to send now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(in crate::duties) struct DueOrder {
     pub(in crate::duties) key: OrderKey,
-    /// The number wanted.
+    /// Target number of engines.
     pub(in crate::duties) count: u32,
-    /// The number that stands or was ordered last.
+    /// Number of engines ordered last, or serving if none were ordered.
     pub(in crate::duties) from: u32,
 }
 
-/// An order as it was last given.
+/// The last order sent for one zone and tenure.
 #[derive(Clone, Copy, Debug)]
-struct Given {
+struct LastOrder {
     count: u32,
     outcome: OrderOutcome,
-    given_at: MonotonicTime,
-    /// Time until its engines serve, if any.
-    boot: Duration,
+    sent_at: MonotonicTime,
+    /// Expected time until the ordered engines serve.
+    boot_time: Duration,
 }
 
-impl Given {
-    /// An order that was not taken may be given again from now on.
-    fn pause_is_over(&self, now: MonotonicTime) -> bool {
-        now.since(self.given_at) >= REFUSED_PAUSE
+impl LastOrder {
+    /// Whether an order that was not accepted may be sent again.
+    fn retry_is_due(&self, now: MonotonicTime) -> bool {
+        now.since(self.sent_at) >= RETRY_DELAY
     }
 }
 
-/// Orders of one holder for one pool.
+/// Engine orders that one lease holder sent for one pool.
 #[derive(Debug, Default)]
 pub(in crate::duties) struct EngineOrders {
-    given: HashMap<OrderKey, Given>,
+    last_orders: HashMap<OrderKey, LastOrder>,
 }
 
 impl EngineOrders {
-    /// Orders that are due where `standing` take work: those that differ from what was ordered, and those whose
-    /// engines did not come.
+    /// Orders to send now, given the `serving` engines: targets that differ from the last order, and orders
+    /// to send again.
     pub(in crate::duties) fn due(
         &self,
         now: MonotonicTime,
-        standing: &BTreeMap<ZoneName, ZoneEngines>,
+        serving: &BTreeMap<ZoneName, ZoneEngines>,
         targets: &EngineTargets,
     ) -> Vec<DueOrder> {
         let mut due = Vec::new();
         for (zone, target) in targets {
-            let standing = standing.get(zone).copied().unwrap_or_default();
+            let serving = serving.get(zone).copied().unwrap_or_default();
             let kinds = [
-                (EngineTenure::Spot, target.spot, standing.spot),
-                (EngineTenure::OnDemand, target.on_demand, standing.on_demand),
+                (EngineTenure::Spot, target.spot, serving.spot),
+                (EngineTenure::OnDemand, target.on_demand, serving.on_demand),
             ];
-            for (tenure, count, standing) in kinds {
+            for (tenure, count, serving) in kinds {
                 let zone = zone.clone();
                 let key = OrderKey { zone, tenure };
-                let given = self.given.get(&key);
-                if is_due(now, given, count, standing) {
-                    let from = given.map_or(standing, |given| given.count);
+                let last = self.last_orders.get(&key);
+                if is_due(now, last, count, serving) {
+                    let from = last.map_or(serving, |last| last.count);
                     due.push(DueOrder { key, count, from });
                 }
             }
@@ -103,71 +103,71 @@
         due
     }
 
-    /// Notes what came of an order whose engines take `boot` until they serve.
-    pub(in crate::duties) fn answered(
+    /// Records the outcome of an order whose engines take `boot_time` until they serve.
+    pub(in crate::duties) fn record_outcome(
         &mut self,
         now: MonotonicTime,
         key: OrderKey,
         count: u32,
         outcome: OrderOutcome,
-        boot: Duration,
+        boot_time: Duration,
     ) {
-        let given = Given {
+        let last = LastOrder {
             count,
             outcome,
-            given_at: now,
-            boot,
+            sent_at: now,
+            boot_time,
         };
-        self.given.insert(key, given);
+        self.last_orders.insert(key, last);
     }
 
-    /// Zones that refused spot engines and were not asked again since.
-    pub(in crate::duties) fn without_spot(&self, now: MonotonicTime) -> BTreeSet<ZoneName> {
-        let given = self.given.iter();
-        let refused = given.filter(|(key, given)| {
-            let is_refused = given.outcome == OrderOutcome::Refused && !given.pause_is_over(now);
+    /// Zones that refused spot engines and where the retry is not due yet.
+    pub(in crate::duties) fn spot_unavailable(&self, now: MonotonicTime) -> BTreeSet<ZoneName> {
+        let last_orders = self.last_orders.iter();
+        let refused = last_orders.filter(|(key, last)| {
+            let is_refused = last.outcome == OrderOutcome::Refused && !last.retry_is_due(now);
             key.tenure == EngineTenure::Spot && is_refused
         });
         refused.map(|(key, _)| key.zone.clone()).collect()
     }
 
-    /// On-demand engines by zone that stand or were ordered and boot. Where they only boot, none stand in the zone.
-    pub(in crate::duties) fn on_demand(
+    /// On-demand engines by zone that serve or are ordered and boot, also in zones where none serve yet.
+    pub(in crate::duties) fn provisioned_on_demand(
         &self,
-        own: &BTreeMap<ZoneName, u32>,
-        standing: &BTreeMap<ZoneName, ZoneEngines>,
+        baseline: &BTreeMap<ZoneName, u32>,
+        serving: &BTreeMap<ZoneName, ZoneEngines>,
     ) -> BTreeMap<ZoneName, u32> {
-        let zones = own.keys().chain(standing.keys());
+        let zones = baseline.keys().chain(serving.keys());
         let counts = zones.map(|zone| {
             let ordered = self.ordered(zone, EngineTenure::OnDemand);
-            let standing = standing.get(zone).map_or(0, |engines| engines.on_demand);
-            (zone.clone(), standing.max(ordered.unwrap_or_default()))
+            let serving = serving.get(zone).map_or(0, |engines| engines.on_demand);
+            (zone.clone(), serving.max(ordered.unwrap_or_default()))
         });
         counts.collect()
     }
 
-    /// The number that was last ordered, if that order was taken.
+    /// The engine count ordered last, if that order was accepted.
     pub(in crate::duties) fn ordered(&self, zone: &ZoneName, tenure: EngineTenure) -> Option<u32> {
         let zone = zone.clone();
-        let given = self.given.get(&OrderKey { zone, tenure })?;
-        (given.outcome == OrderOutcome::Taken).then_some(given.count)
+        let last = self.last_orders.get(&OrderKey { zone, tenure })?;
+        (last.outcome == OrderOutcome::Accepted).then_some(last.count)
     }
 }
 
-/// Whether an order for `count` engines is due where `standing` are there. One that was taken is given again if its
-/// engines did not come, or if there are more; one that was not, after a pause.
-fn is_due(now: MonotonicTime, given: Option<&Given>, count: u32, standing: u32) -> bool {
-    let Some(given) = given else {
-        return count != standing;
+/// Whether to send an order for `count` engines while `serving` do work. An accepted order is sent again if
+/// its engines did not start in time or more engines serve than ordered; another one after a delay.
+fn is_due(now: MonotonicTime, last: Option<&LastOrder>, count: u32, serving: u32) -> bool {
+    let Some(last) = last else {
+        return count != serving;
     };
-    if given.outcome != OrderOutcome::Taken {
-        return given.pause_is_over(now);
+    if last.outcome != OrderOutcome::Accepted {
+        return last.retry_is_due(now);
     }
-    let patience = match standing.cmp(&count) {
-        _ if given.count != count => return true,
+    let timeout = match serving.cmp(&count) {
+        _ if last.count != count => return true,
         Ordering::Equal => return false,
-        Ordering::Less => given.boot + BOOT_MARGIN,
-        Ordering::Greater => IN_DOUBT,
+        Ordering::Less => last.boot_time + BOOT_MARGIN,
+        Ordering::Greater => MAX_EXECUTION_DELAY,
     };
-    now.since(given.given_at) >= patience
+    now.since(last.sent_at) >= timeout
 }
--- a/crates/forwarding/src/duties/scaling/kept_losses.rs
+++ b/crates/forwarding/src/duties/scaling/stored_losses.rs
@@ -1,21 +1,22 @@
-//! Losses of spot engines in the key-value service, so that they outlive a holder. One write a loss.
+//! Stores spot engine losses in the key-value service, so that a new lease holder knows them.
 
 use dalestand_edge::{CasOutcome, Entry, KeyValue, PlatformError, WriteExpectation};
 use dalestand_planner::LossRecord;
 use dalestand_types::PoolName;
 use error_stack::{Report, ResultExt as _};
 
-/// Leading part of the keys. Not among those that relays watch: nobody but a new holder reads them.
+/// Key prefix; the pool name follows. Nodes don't watch it: only a new lease holder reads these keys.
 const PREFIX: &str = "dalestand-engine-losses/";
 
-/// Where the losses of one pool stand.
-pub(in crate::duties) struct KeptLosses {
+/// The stored loss record of one pool.
+pub(in crate::duties) struct StoredLosses {
     key: String,
+    /// Revision that the next write replaces.
     expected: WriteExpectation,
 }
 
-impl KeptLosses {
-    /// Reads what former holders kept of a pool.
+impl StoredLosses {
+    /// Reads the record that earlier holders stored for a pool.
     pub(in crate::duties) async fn read(
         store: &dyn KeyValue,
         pool: &PoolName,
@@ -29,15 +30,15 @@
         Ok((Self { key, expected }, record))
     }
 
-    /// Writes what is known now. Where another holder has written meanwhile, its record gives way with the next
-    /// write: it went on from the same beginning and saw less.
+    /// Writes the record. If another holder wrote in the meantime, this write has no effect and the next
+    /// one replaces that record: the other holder started from the same record and saw less.
     pub(in crate::duties) async fn write(
         &mut self,
         store: &dyn KeyValue,
         record: &LossRecord,
     ) -> Result<(), Report<PlatformError>> {
         let text = serde_json::to_string(record);
-        let text = text.change_context_lazy(|| malformed("cannot be written"))?;
+        let text = text.change_context_lazy(|| malformed("the record cannot be encoded"))?;
         let written = store
             .compare_and_swap(&self.key, self.expected, Some(&text), None)
             .await?;
@@ -53,12 +54,12 @@
 
 fn parse(entry: &Entry) -> Result<LossRecord, Report<PlatformError>> {
     let record = serde_json::from_str(&entry.value);
-    record.change_context_lazy(|| malformed("cannot be read"))
+    record.change_context_lazy(|| malformed("the stored record cannot be parsed"))
 }
 
 fn malformed(message: &str) -> PlatformError {
     PlatformError::Malformed {
-        system: "losses of engines",
+        system: "spot engine losses",
         message: message.to_owned(),
     }
 }
--- a/crates/forwarding/src/duties/tests.rs
+++ b/crates/forwarding/src/duties/tests.rs
@@ -1,4 +1,4 @@
-//! Reports and orders under services that fail, and holders that follow each other.
+//! Usage reports, engine orders and stored losses under failing services and changes of lease holder.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -16,32 +16,32 @@
 use proptest::prelude::*;
 
 use super::report_slots::ReportSlots;
-use super::scaling::kept_losses::KeptLosses;
+use super::scaling::limit_change;
 use super::scaling::orders::{DueOrder, EngineOrders, OrderKey, OrderOutcome};
-use super::scaling::step;
+use super::scaling::stored_losses::StoredLosses;
 
-/// What becomes of a write.
+/// Outcome of a write.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum WriteOutcome {
     Answered,
-    /// Done, and its answer lost.
+    /// The write took effect, but its answer was lost.
     AnswerLost,
     NotDone,
 }
 
-/// Keys in memory; writes meet the fates in turn.
+/// In-memory key-value service whose calls have the given outcomes, the last one first.
 struct FailingStore {
     entries: RefCell<HashMap<String, Entry>>,
     revision: RefCell<u64>,
-    fates: RefCell<Vec<Fate>>,
+    outcomes: RefCell<Vec<WriteOutcome>>,
 }
 
 impl FailingStore {
-    fn new(fates: Vec<Fate>) -> Self {
+    fn new(outcomes: Vec<WriteOutcome>) -> Self {
         Self {
             entries: RefCell::default(),
             revision: RefCell::new(0),
-            fates: RefCell::new(fates),
+            outcomes: RefCell::new(outcomes),
         }
     }
 
@@ -72,16 +72,16 @@
 fn in_doubt() -> Report<PlatformError> {
     Report::new(PlatformError::InDoubt {
         system: "store",
-        message: "lost".to_owned(),
+        message: "answer lost".to_owned(),
     })
 }
 
 #[async_trait(?Send)]
 impl KeyValue for FailingStore {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Report<PlatformError>> {
-        match self.fates.borrow_mut().pop() {
-            Some(Fate::NotDone | Fate::AnswerLost) => Err(in_doubt()),
-            Some(Fate::Answered) | None => Ok(self.entries.borrow().get(key).cloned()),
+        match self.outcomes.borrow_mut().pop() {
+            Some(WriteOutcome::NotDone | WriteOutcome::AnswerLost) => Err(in_doubt()),
+            Some(WriteOutcome::Answered) | None => Ok(self.entries.borrow().get(key).cloned()),
         }
     }
 
@@ -96,14 +96,18 @@
         value: Option<&str>,
         _lease: Option<LeaseId>,
     ) -> Result<CasOutcome, Report<PlatformError>> {
-        let fate = self.fates.borrow_mut().pop().unwrap_or(Fate::Answered);
-        if matches!(fate, Fate::NotDone) {
+        let write_outcome = self
+            .outcomes
+            .borrow_mut()
+            .pop()
+            .unwrap_or(WriteOutcome::Answered);
+        if matches!(write_outcome, WriteOutcome::NotDone) {
             return Err(in_doubt());
         }
         let outcome = self.write(key, expectation, value.unwrap_or_default());
-        match fate {
-            Fate::AnswerLost => Err(in_doubt()),
-            Fate::Answered | Fate::NotDone => Ok(outcome),
+        match write_outcome {
+            WriteOutcome::AnswerLost => Err(in_doubt()),
+            WriteOutcome::Answered | WriteOutcome::NotDone => Ok(outcome),
         }
     }
 
@@ -129,7 +133,7 @@
     }
 }
 
-fn terms() -> ReportTiming {
+fn timing() -> ReportTiming {
     ReportTiming {
         windows: UsageWindows::new(Duration::from_secs(5)),
         settle_delay: Duration::from_secs(1),
@@ -144,33 +148,34 @@
     }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn write_outcome() -> impl Strategy<Value = WriteOutcome> {
     prop_oneof![
-        3 => Just(Fate::Answered),
-        1 => Just(Fate::AnswerLost),
-        1 => Just(Fate::NotDone),
+        3 => Just(WriteOutcome::Answered),
+        1 => Just(WriteOutcome::AnswerLost),
+        1 => Just(WriteOutcome::NotDone),
     ]
 }
 
 proptest! {
-    /// Holders that know different counts take turns while writes fail in all ways: whoever may send
-    /// a window's report sends the same one. (With a write that has no condition this fails.)
+    /// Lease holders with different counts freeze reports while writes fail: every frozen report of a
+    /// window is the same. Guards the compare-and-swap; with unconditional writes this fails.
     #[test]
     fn a_window_has_one_report(
-        fates in proptest::collection::vec(fate(), 0..60),
+        outcomes in proptest::collection::vec(write_outcome(), 0..60),
         turns in proptest::collection::vec((0_usize..3, 0_u64..6), 1..60),
     ) {
-        let store = FailingStore::new(fates);
-        let mut holders: Vec<ReportSlots> = (0..3).map(|_| ReportSlots::new(terms())).collect();
+        let store = FailingStore::new(outcomes);
+        let mut holders: Vec<ReportSlots> = (0..3).map(|_| ReportSlots::new(timing())).collect();
         let mut sent: HashMap<u64, WindowReport> = HashMap::new();
         let mut newest = 0;
         for (attempt, (holder, window)) in turns.into_iter().enumerate() {
-            // Windows are reported in order, and none that is too late.
+            // Windows are reported in order, and none after its deadline.
             newest = newest.max(window);
             let window = window.max(newest.saturating_sub(2));
             let counted = report(window, attempt as u64);
             let frozen = holders[holder].freeze(&store, counted);
-            let frozen = futures_util::FutureExt::now_or_never(frozen).expect("no waiting");
+            let frozen = futures_util::FutureExt::now_or_never(frozen)
+                .expect("completes without waiting");
             if let Ok(Some(frozen)) = frozen {
                 let first = sent.entry(window).or_insert_with(|| frozen.clone());
                 prop_assert_eq!(&*first, &frozen);
@@ -179,144 +184,148 @@
     }
 }
 
-/// A successor finds what its predecessor wrote, although it counted otherwise.
+/// A new holder with different counts must send the report that its predecessor stored.
 #[test]
-fn a_successor_sends_what_its_predecessor_wrote() {
-    let store = FailingStore::new(vec![Fate::AnswerLost]);
+fn a_new_holder_sends_the_stored_report() {
+    let store = FailingStore::new(vec![WriteOutcome::AnswerLost]);
     let freeze = |slots: &mut ReportSlots, report| {
         let frozen = slots.freeze(&store, report);
-        futures_util::FutureExt::now_or_never(frozen).expect("no waiting")
+        futures_util::FutureExt::now_or_never(frozen).expect("completes without waiting")
     };
-    let first = freeze(&mut ReportSlots::new(terms()), report(7, 10));
-    assert!(first.is_err(), "the answer is lost");
-    let found = freeze(&mut ReportSlots::new(terms()), report(7, 12)).expect("an answer");
+    let first = freeze(&mut ReportSlots::new(timing()), report(7, 10));
+    assert!(first.is_err(), "the answer was lost");
+    let found = freeze(&mut ReportSlots::new(timing()), report(7, 12)).expect("the store answers");
     assert_eq!(found, Some(report(7, 10)));
-    // A window that is past is reported by nobody.
-    let next = freeze(&mut ReportSlots::new(terms()), report(11, 1)).expect("an answer");
+    // A window whose deadline has passed is not reported.
+    let next = freeze(&mut ReportSlots::new(timing()), report(11, 1)).expect("the store answers");
     assert_eq!(next, Some(report(11, 1)));
-    let late = freeze(&mut ReportSlots::new(terms()), report(7, 12)).expect("an answer");
+    let late = freeze(&mut ReportSlots::new(timing()), report(7, 12)).expect("the store answers");
     assert_eq!(late, None);
 }
 
-/// Engines come and go a few at a time, and the number that is wanted is reached.
+/// Engine counts change by a limited number at a time and reach the target.
 #[test]
-fn numbers_of_engines_change_in_steps() {
-    assert_eq!(step(18, 0, 7), 11);
-    assert_eq!(step(18, 36, 7), 25);
-    assert_eq!(step(18, 20, 7), 20);
-    assert_eq!(step(18, 0, 0), 18);
+fn engine_counts_change_in_limited_steps() {
+    assert_eq!(limit_change(18, 0, 7), 11);
+    assert_eq!(limit_change(18, 36, 7), 25);
+    assert_eq!(limit_change(18, 20, 7), 20);
+    assert_eq!(limit_change(18, 0, 0), 18);
     let mut count = 750;
     for _ in 0..15 {
-        count = step(count, 0, 53);
+        count = limit_change(count, 0, 53);
     }
     assert_eq!(count, 0);
 }
 
-/// What becomes of an order for engines.
+/// Outcome of an engine order at the platform.
 #[derive(Clone, Copy, Debug)]
-enum OrderFate {
-    Taken,
+enum PlatformOutcome {
+    Accepted,
     Refused,
-    Away,
+    Unreachable,
     AnswerLost,
-    /// Carried out so many looks later, without an answer.
-    Late(u64),
+    /// Executed this many checks later; the answer is lost.
+    Delayed(u64),
 }
 
-/// Time between two looks.
-const LOOK_MS: u64 = 250;
-const BOOT: Duration = Duration::from_secs(4);
+/// Time between two checks, in milliseconds.
+const CHECK_INTERVAL_MS: u64 = 250;
+const BOOT_TIME: Duration = Duration::from_secs(4);
 
-/// A platform that keeps numbers of engines of one zone.
+/// A platform that holds the engine counts of one zone.
 #[derive(Default)]
 struct Platform {
     counts: ZoneEngines,
-    late: Vec<(u64, DueOrder)>,
+    delayed: Vec<(u64, DueOrder)>,
 }
 
 impl Platform {
-    fn carry_out(&mut self, order: &DueOrder) {
+    fn execute(&mut self, order: &DueOrder) {
         match order.key.tenure {
             EngineTenure::Spot => self.counts.spot = order.count,
             EngineTenure::OnDemand => self.counts.on_demand = order.count,
         }
     }
 
-    fn pass(&mut self, look: u64) {
-        let due = self.late.extract_if(.., |(at, _)| *at <= look);
+    fn execute_delayed(&mut self, check: u64) {
+        let due = self.delayed.extract_if(.., |(at, _)| *at <= check);
         let due: Vec<_> = due.collect();
-        due.iter().for_each(|(_, order)| self.carry_out(order));
+        due.iter().for_each(|(_, order)| self.execute(order));
     }
 
-    fn order(&mut self, look: u64, order: &DueOrder, fate: OrderFate) -> OrderOutcome {
-        match fate {
-            OrderFate::Taken => {
-                self.carry_out(order);
-                OrderOutcome::Taken
+    fn order(&mut self, check: u64, order: &DueOrder, outcome: PlatformOutcome) -> OrderOutcome {
+        match outcome {
+            PlatformOutcome::Accepted => {
+                self.execute(order);
+                OrderOutcome::Accepted
             }
-            OrderFate::Refused => OrderOutcome::Refused,
-            OrderFate::Away => OrderOutcome::NotSent,
-            OrderFate::AnswerLost => {
-                self.carry_out(order);
+            PlatformOutcome::Refused => OrderOutcome::Refused,
+            PlatformOutcome::Unreachable => OrderOutcome::NotSent,
+            PlatformOutcome::AnswerLost => {
+                self.execute(order);
                 OrderOutcome::InDoubt
             }
-            OrderFate::Late(looks) => {
-                self.late.push((look + looks, order.clone()));
+            PlatformOutcome::Delayed(checks) => {
+                self.delayed.push((check + checks, order.clone()));
                 OrderOutcome::InDoubt
             }
         }
     }
 }
 
-fn order_fate() -> impl Strategy<Value = OrderFate> {
+fn platform_outcome() -> impl Strategy<Value = PlatformOutcome> {
     prop_oneof![
-        3 => Just(OrderFate::Taken),
-        1 => Just(OrderFate::Refused),
-        2 => Just(OrderFate::Away),
-        1 => Just(OrderFate::AnswerLost),
-        2 => (1_u64..56).prop_map(OrderFate::Late),
+        3 => Just(PlatformOutcome::Accepted),
+        1 => Just(PlatformOutcome::Refused),
+        2 => Just(PlatformOutcome::Unreachable),
+        1 => Just(PlatformOutcome::AnswerLost),
+        2 => (1_u64..56).prop_map(PlatformOutcome::Delayed),
     ]
 }
 
 proptest! {
-    /// Orders are refused, lost, carried out late and after newer ones, and holders die between order and record:
-    /// once the platform answers again, it has what the holder wants, and no more calls go out.
+    /// Orders are refused, lost, delayed and reordered, and holders crash before they record an outcome. Once
+    /// the platform answers again, it reaches the targets and gets no further orders.
     #[test]
-    fn numbers_come_true_once_the_platform_answers(
-        fates in proptest::collection::vec(order_fate(), 0..40),
+    fn engine_counts_converge_once_the_platform_answers(
+        outcomes in proptest::collection::vec(platform_outcome(), 0..40),
         wanted in proptest::collection::vec((0_u32..30, 0_u32..30), 1..8),
-        dies in proptest::collection::btree_set(0_u64..400, 0..4),
+        crashes in proptest::collection::btree_set(0_u64..400, 0..4),
     ) {
         let zone = ZoneName::from("zone");
         let (mut platform, mut orders) = (Platform::default(), EngineOrders::default());
-        let mut fates = fates.into_iter();
-        let mut ordered_at = 0;
+        let mut outcomes = outcomes.into_iter();
+        let mut last_order_at = 0;
         let last = wanted.last().copied().expect("at least one");
-        for look in 0..800_u64 {
-            let now = MonotonicTime::from_millis(look * LOOK_MS);
-            platform.pass(look);
-            let (on_demand, spot) = wanted.get(look as usize / 40).copied().unwrap_or(last);
+        for check in 0..800_u64 {
+            let now = MonotonicTime::from_millis(check * CHECK_INTERVAL_MS);
+            platform.execute_delayed(check);
+            let (on_demand, spot) = wanted.get(check as usize / 40).copied().unwrap_or(last);
             let targets = BTreeMap::from([(zone.clone(), ZoneEngines { on_demand, spot })]);
-            let standing = BTreeMap::from([(zone.clone(), platform.counts)]);
-            for due in orders.due(now, &standing, &targets) {
-                let outcome = platform.order(look, &due, fates.next().unwrap_or(OrderFate::Taken));
-                ordered_at = look;
-                if dies.contains(&look) {
-                    // The order is out, and nobody knows of it.
+            let serving = BTreeMap::from([(zone.clone(), platform.counts)]);
+            for due in orders.due(now, &serving, &targets) {
+                let outcome = platform.order(
+                    check,
+                    &due,
+                    outcomes.next().unwrap_or(PlatformOutcome::Accepted),
+                );
+                last_order_at = check;
+                if crashes.contains(&check) {
+                    // The order was sent, but no holder has a record of it.
                     orders = EngineOrders::default();
                 } else {
-                    orders.answered(now, due.key, due.count, outcome, BOOT);
+                    orders.record_outcome(now, due.key, due.count, outcome, BOOT_TIME);
                 }
             }
         }
         prop_assert_eq!(platform.counts, ZoneEngines { on_demand: last.0, spot: last.1 });
-        prop_assert!(ordered_at < 720, "settled within 100 s of the last change: {}", ordered_at);
+        prop_assert!(last_order_at < 720, "settled within 100 s of the last change: {}", last_order_at);
     }
 }
 
-/// A zone that refuses spot engines is asked again, and not at each look.
+/// A zone that refuses spot engines is retried after a delay, not at every check.
 #[test]
-fn a_zone_without_spot_engines_is_asked_again() {
+fn a_zone_without_spot_engines_is_retried() {
     let zone = ZoneName::from("zone");
     let mut orders = EngineOrders::default();
     let targets = BTreeMap::from([(
@@ -326,21 +335,21 @@
             spot: 9,
         },
     )]);
-    let mut asked = 0;
-    for look in 0..40 {
-        let now = MonotonicTime::from_millis(look * LOOK_MS);
+    let mut orders_sent = 0;
+    for check in 0..40 {
+        let now = MonotonicTime::from_millis(check * CHECK_INTERVAL_MS);
         for due in orders.due(now, &BTreeMap::new(), &targets) {
-            asked += 1;
-            orders.answered(now, due.key, due.count, OrderOutcome::Refused, BOOT);
-            assert!(orders.without_spot(now).contains(&zone));
+            orders_sent += 1;
+            orders.record_outcome(now, due.key, due.count, OrderOutcome::Refused, BOOT_TIME);
+            assert!(orders.spot_unavailable(now).contains(&zone));
         }
     }
-    assert_eq!(asked, 5, "each 2 s of 10 s");
+    assert_eq!(orders_sent, 5, "every 2 s for 10 s");
 }
 
-/// All engines of a zone were taken away, and on-demand engines boot there.
+/// On-demand engines that boot count in a zone that has lost all its engines.
 #[test]
-fn on_demand_engines_that_boot_count_where_none_stand() {
+fn booting_on_demand_engines_count_where_none_serve() {
     let zone = ZoneName::from("zone");
     let mut orders = EngineOrders::default();
     let tenure = EngineTenure::OnDemand;
@@ -348,37 +357,52 @@
         zone: zone.clone(),
         tenure,
     };
-    orders.answered(MonotonicTime::ZERO, key, 9, OrderOutcome::Taken, BOOT);
-    let own = BTreeMap::from([(zone.clone(), 15)]);
-    let on_demand = orders.on_demand(&own, &BTreeMap::new());
+    orders.record_outcome(
+        MonotonicTime::ZERO,
+        key,
+        9,
+        OrderOutcome::Accepted,
+        BOOT_TIME,
+    );
+    let baseline = BTreeMap::from([(zone.clone(), 15)]);
+    let on_demand = orders.provisioned_on_demand(&baseline, &BTreeMap::new());
     assert_eq!(on_demand, BTreeMap::from([(zone, 9)]));
 }
 
-/// Losses that one holder kept are known to the next, also where the answer to the write was lost.
+/// A new holder knows the losses that its predecessor stored, even if the answer to the write was lost.
 #[test]
-fn losses_outlive_their_holder() {
-    let store = FailingStore::new(vec![Fate::AnswerLost]);
+fn a_new_holder_reads_stored_losses() {
+    let store = FailingStore::new(vec![WriteOutcome::AnswerLost]);
     let pool = PoolName::from("pool");
-    let now = |call| futures_util::FutureExt::now_or_never(call).expect("no waiting");
+    let poll_once =
+        |call| futures_util::FutureExt::now_or_never(call).expect("completes without waiting");
     let record = LossRecord {
         losses: 2,
         zones_at_once: 2,
         missed_s: 9.5,
         observed_s: 60.0,
     };
-    store.fates.borrow_mut().push(Fate::Answered);
-    let (mut kept, none) = now(Box::pin(KeptLosses::read(&store, &pool))).expect("an answer");
+    store.outcomes.borrow_mut().push(WriteOutcome::Answered);
+    let (mut stored, none) =
+        poll_once(Box::pin(StoredLosses::read(&store, &pool))).expect("the store answers");
     assert_eq!(none, LossRecord::default());
-    let write = futures_util::FutureExt::now_or_never(kept.write(&store, &record));
-    assert!(write.expect("no waiting").is_err(), "the answer is lost");
-    let (mut kept, found) = now(Box::pin(KeptLosses::read(&store, &pool))).expect("an answer");
+    let write = futures_util::FutureExt::now_or_never(stored.write(&store, &record));
+    assert!(
+        write.expect("completes without waiting").is_err(),
+        "the answer was lost"
+    );
+    let (mut stored, found) =
+        poll_once(Box::pin(StoredLosses::read(&store, &pool))).expect("the store answers");
     assert_eq!(found, record);
     let more = LossRecord {
         losses: 3,
         ..record
     };
-    let write = futures_util::FutureExt::now_or_never(kept.write(&store, &more));
-    write.expect("no waiting").expect("written");
-    let (_, found) = now(Box::pin(KeptLosses::read(&store, &pool))).expect("an answer");
+    let write = futures_util::FutureExt::now_or_never(stored.write(&store, &more));
+    write
+        .expect("completes without waiting")
+        .expect("the write succeeds");
+    let (_, found) =
+        poll_once(Box::pin(StoredLosses::read(&store, &pool))).expect("the store answers");
     assert_eq!(found, more);
 }
--- a/crates/forwarding/src/duties/usage_messages.rs
+++ b/crates/forwarding/src/duties/usage_messages.rs
@@ -1,4 +1,4 @@
-//! Sends what this node counted to the holder of the lease.
+//! Sends this node's usage counts to the lease holder.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,17 +10,17 @@
 use crate::context::Context;
 use crate::dissemination::transmit::send;
 
-/// Tenants in one datagram: some 1,100 bytes, below what a path carries in one packet.
+/// Maximum number of tenants in one datagram, about 1,100 bytes: below the path MTU.
 const TENANTS_PER_DATAGRAM: usize = 64;
 
-/// Sends this node's counts to the holder of the lease for as long as it is polled.
+/// Sends this node's counts to the lease holder periodically; never returns unless usage is not counted.
 pub(crate) async fn send_usage(context: Rc<Context>, socket: Rc<UdpSocket>) {
-    let Some(terms) = context.usage.timing() else {
+    let Some(timing) = context.usage.timing() else {
         return;
     };
     let mut sent_to: Option<LeaseHolder> = None;
     loop {
-        let pause = context.usage.time_to_next_send(context.now(), terms);
+        let pause = context.usage.time_to_next_send(context.now(), timing);
         actix_rt::time::sleep(pause).await;
         let now = context.now();
         context.usage.observe_clock(now);
@@ -29,7 +29,7 @@
             continue;
         };
         if sent_to != Some(holder) {
-            // A new holder knows nothing.
+            // A new holder has no counts yet.
             context.usage.counters.borrow_mut().resend_all();
             sent_to = Some(holder);
         }
--- a/crates/forwarding/src/duties/usage_report.rs
+++ b/crates/forwarding/src/duties/usage_report.rs
@@ -1,4 +1,4 @@
-//! The holder of the lease reports the usage of each window, once.
+//! Reports the usage of each window to the platform, at the lease holder.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,57 +14,57 @@
 use crate::roles::fleet_lease::while_held;
 use crate::roles::fleet_lease::{FleetLease, HeldLease};
 
-/// How often the holder looks for windows that are due. It is also the pause after a failed call:
-/// of the time in which a report must be made some seconds are left at most.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the holder checks for windows that are due, and the delay before a failed call is retried;
+/// short, as little time is left before the deadline.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a holder needs to report.
+/// State of the reporting task.
 struct Reporter {
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: FleetLease,
+    fleet_lease: FleetLease,
     schedule: ReportSchedule,
     slots: ReportSlots,
 }
 
-/// Reports windows while this node holds the lease, for as long as it is polled.
+/// Reports windows while this node holds the lease; never returns unless usage is not counted.
 pub(crate) async fn report_usage(
     context: Rc<Context>,
     store: Rc<dyn KeyValue>,
     calls: Rc<dyn DutyCalls>,
-    authority: FleetLease,
+    fleet_lease: FleetLease,
 ) {
-    let Some(terms) = context.usage.timing() else {
+    let Some(timing) = context.usage.timing() else {
         return;
     };
     let mut reporter = Reporter {
         context,
         store,
         calls,
-        authority,
-        schedule: ReportSchedule::new(terms),
-        slots: ReportSlots::new(terms),
+        fleet_lease,
+        schedule: ReportSchedule::new(timing),
+        slots: ReportSlots::new(timing),
     };
     let mut held: Option<HeldLease> = None;
     loop {
-        actix_rt::time::sleep(LOOK_INTERVAL).await;
+        actix_rt::time::sleep(CHECK_INTERVAL).await;
         let now = reporter.context.now();
-        let mandate = reporter.authority.active(now);
-        if mandate.map(|mandate| mandate.token) != held.map(|mandate| mandate.token) {
-            // What another holder reported meanwhile is not known here.
-            reporter.schedule = ReportSchedule::new(terms);
-            reporter.slots = ReportSlots::new(terms);
+        let active = reporter.fleet_lease.active(now);
+        if active.map(|lease| lease.token) != held.map(|lease| lease.token) {
+            // Another holder may have reported windows meanwhile.
+            reporter.schedule = ReportSchedule::new(timing);
+            reporter.slots = ReportSlots::new(timing);
         }
-        held = mandate;
-        if mandate.is_some() {
+        held = active;
+        if active.is_some() {
             reporter.report_due().await;
         }
     }
 }
 
 impl Reporter {
-    /// Reports the windows that are due, the oldest first, until a call fails.
+    /// Reports the windows that are due, oldest first, until a call fails.
     async fn report_due(&mut self) {
         loop {
             let unix_time = self.context.usage.unix_time(self.context.now());
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Reports one window; whether it is done with.
+    /// Reports one window; returns whether nothing is left to do for it.
     async fn report(&mut self, window: WindowIndex) -> bool {
         let frozen = match self.schedule.frozen(window).cloned() {
             Some(report) => Some(report),
@@ -115,18 +115,18 @@
     }
 
     async fn send(&mut self, report: &WindowReport) -> bool {
-        // Looked at again right before the call: the write before it may have taken long.
-        let Some(mandate) = self.authority.active(self.context.now()) else {
+        // Checked right before the call: the lease may have ended during the write.
+        let Some(held) = self.fleet_lease.active(self.context.now()) else {
             return false;
         };
         let authority = DutyAuthority {
             holder: self.context.settings.node.as_str(),
-            token: mandate.token,
+            token: held.token,
         };
         let window = report.window;
         let sent = self.calls.report_usage(authority, report);
         let now = || self.context.now();
-        let answered = while_held(&self.authority, mandate.token, now, sent).await;
+        let answered = while_held(&self.fleet_lease, held.token, now, sent).await;
         let Some(answered) = answered else {
             return false;
         };
@@ -136,14 +136,14 @@
             Ok(DutyOutcome::Taken) => {
                 self.schedule.mark_done(window);
                 log_event!(self.context.logger, Event::UsageReported, "window" => window.0,
-                    "token" => mandate.token, "tenants" => report.counts.len(),
+                    "token" => held.token, "tenants" => report.counts.len(),
                     "requests" => report.counts.values().sum::<u64>());
                 true
             }
             Ok(DutyOutcome::Refused) => {
                 log_event!(self.context.logger, Event::DutyRefused, "duty" => "usage",
-                    "token" => mandate.token, "window" => window.0);
-                self.authority.relinquish(mandate.token);
+                    "token" => held.token, "window" => window.0);
+                self.fleet_lease.relinquish(held.token);
                 false
             }
             Err(error) => {
