--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -1,4 +1,4 @@
-//! What all requests of a node share. One thread serves a node, so plain cells do.
+//! State shared by all tasks of a node. A node runs on one thread, so it needs no locks.
 
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -37,10 +37,10 @@
 use crate::serve::pool_admissions::PoolAdmissions;
 use crate::serve::tenant_shares::TenantShares;
 
-/// A node has at least this many connections to each engine, however many nodes there are.
+/// Lower bound on the connections of a node to each engine, whatever the number of nodes.
 const MIN_CONNECTIONS: usize = 8;
 
-/// What a node is made of beside its settings.
+/// Parts of the context besides the settings.
 pub(crate) struct ContextParts {
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) form: Rc<dyn FleetForm>,
@@ -54,52 +54,54 @@
     pub(crate) settings: ForwardingSettings,
     pub(crate) dialect: Rc<dyn Dialect>,
     pub(crate) form: Rc<dyn FleetForm>,
-    /// Headers that nothing here knows.
+    /// Headers in answers that this build does not know.
     pub(crate) unknown_headers: UnknownHeaders,
     pub(crate) link: EngineLink,
     pub(crate) logger: Logger,
     pub(crate) in_flight: InFlight,
-    /// Whole answers that callers have not read yet.
+    /// Size of buffered answers that callers have not read yet.
     pub(crate) held_bytes: HeldBytes,
     pub(crate) router: RefCell<StagedRouter>,
-    /// What this node's link has not yet carried.
+    /// Transmission time queued on this node's network link.
     pub(crate) uplink: RefCell<LinkQueue>,
+    /// Retry budget, shared with the other nodes.
     pub(crate) budget: RefCell<SharedRetryBudget>,
+    /// Picks the pools of requests on routes that are split between pools.
     pub(crate) splits: RefCell<SplitPicker>,
-    /// Rung when this node's work at an engine has changed.
+    /// Notified when this node's work at an engine has changed.
     pub(crate) work_changed: Notify,
-    /// Fleet-wide state that nodes pass on to each other.
+    /// Fleet-wide state that nodes send each other.
     pub(crate) dissemination: Dissemination,
-    /// Parts sent to engines that other nodes have not heard of.
+    /// Prompt parts sent to engines that were not yet announced to other nodes.
     pub(crate) placements: RefCell<Placements>,
-    /// Leave to send requests to engines that take only so many.
+    /// Permits to send requests to engines with a rate limit.
     pub(crate) permits: PermitState,
-    /// Whether this node acts for all.
+    /// The lease under which one node acts for the whole fleet.
     pub(crate) fleet_lease: FleetLease,
-    /// Requests by tenant.
+    /// Started requests by tenant, for usage reports.
     pub(crate) usage: UsageCounts,
-    /// Prompt tokens asked for.
+    /// Demand for prompt prefill.
     pub(crate) demand: RefCell<DemandMeter>,
-    /// Engines that change their roles of which other nodes have not heard.
+    /// Engines that change roles, and for how long at most to avoid them; not yet announced to other nodes.
     pub(crate) role_changes: RefCell<Vec<(EngineKey, Duration)>>,
     /// Requests of this node by pool and priority.
     pub(crate) classes: Rc<ClassCounts>,
-    /// Requests of this node by tenant, and the shares of tenants.
+    /// Requests of this node by tenant, and tenant shares.
     pub(crate) tenant_shares: Rc<TenantShares>,
-    /// Who waits for a place in a pool that is short.
+    /// Requests that wait for admission to an overloaded pool.
     pub(crate) admissions: PoolAdmissions,
-    /// Figures that add up over all nodes.
+    /// Figures summed over all nodes.
     pub(crate) sums: FleetSums,
-    /// What was weighed when engines were last ordered, by pool; empty unless this node orders them.
+    /// Last scaling decision by pool; empty unless this node orders engines.
     pub(crate) scaling_decisions: RefCell<BTreeMap<PoolName, ScalingDecision>>,
-    /// Requests that end engines.
+    /// Requests that crash engines.
     pub(crate) quarantine: QuarantineState,
     pub(crate) metrics: ForwardingMetrics,
-    /// The era of the key-value service; changes when it was restored.
+    /// Era of the key-value service; changes when the service is restored from a backup.
     pub(crate) store_era: watch::Sender<u64>,
     started: BootInstant,
     table: RefCell<Option<Rc<RouteTable>>>,
-    /// When the declaration was last known to stand.
+    /// When the current declaration was last confirmed.
     declaration_confirmed_at: Cell<BootInstant>,
     entries: RefCell<HashMap<String, EngineEntry>>,
     fleet: RefCell<Fleet>,
@@ -157,83 +159,83 @@
         }
     }
 
-    /// Time since the start.
+    /// Time since the node started.
     pub(crate) fn now(&self) -> MonotonicTime {
         MonotonicTime(self.started.elapsed().as_micros() as u64)
     }
 
-    /// The routes in force.
+    /// Routes of the current declaration.
     pub(crate) fn table(&self) -> Option<Rc<RouteTable>> {
         self.table.borrow().clone()
     }
 
-    /// Notes that the declaration in force stood at a time.
+    /// Records that the current declaration was confirmed at `at`.
     pub(crate) fn confirm_declaration(&self, at: BootInstant) {
         self.declaration_confirmed_at.set(at);
     }
 
-    /// Whether keys may be judged by the declaration in force. Where the settings ask for it, a node
-    /// that cannot confirm the declaration refuses keys: one of them may have been taken away.
+    /// Whether keys may be checked against the current declaration. If the settings say so, a node that
+    /// cannot confirm the declaration refuses all keys, because one may have been revoked.
     pub(crate) fn keys_are_current(&self) -> bool {
-        let unconfirmed = self.declaration_confirmed_at.get().elapsed();
-        let holds = self.settings.declaration_validity();
-        holds.is_none_or(|holds| unconfirmed <= holds)
+        let unconfirmed_for = self.declaration_confirmed_at.get().elapsed();
+        let validity = self.settings.declaration_validity();
+        validity.is_none_or(|validity| unconfirmed_for <= validity)
     }
 
-    /// Brings a declaration into force, unless a newer one is. Yields whether it is now in force.
+    /// Applies a declaration, unless one at least as new is current. Returns whether it was applied.
     pub(crate) fn set_table(&self, table: RouteTable) -> bool {
-        let known = self.table.borrow().as_ref().map(|table| table.revision());
-        if known.is_some_and(|known| table.revision() <= known) {
+        let current = self.table.borrow().as_ref().map(|table| table.revision());
+        if current.is_some_and(|current| table.revision() <= current) {
             return false;
         }
-        let former = self.table.replace(Some(Rc::new(table)));
-        let terms_changed = former.is_none_or(|former| {
+        let previous = self.table.replace(Some(Rc::new(table)));
+        let pools_changed = previous.is_none_or(|previous| {
             let table = self.table.borrow();
             !table
                 .as_ref()
-                .is_some_and(|table| table.has_pools_of(&former))
+                .is_some_and(|table| table.has_pools_of(&previous))
         });
-        // Most declarations change routes only.
-        if terms_changed {
+        // Most declarations change only routes.
+        if pools_changed {
             self.rebuild_fleet();
         }
         true
     }
 
-    /// The engines that take new work. Not to be held while anything is awaited: they change.
+    /// Engines that accept new work. Don't hold the reference across an await: the engines change.
     pub(crate) fn fleet(&self) -> Ref<'_, Fleet> {
         self.fleet.borrow()
     }
 
-    /// The entry of an engine that is known under `key`. What the engine said in an answer counts.
+    /// The engine entry under `key`, not accepting if the engine said in an answer that it drains.
     pub(crate) fn entry(&self, key: &str) -> Option<EngineEntry> {
         let mut entry = self.entries.borrow().get(key).cloned()?;
-        entry.accepting &= !self.drains(EngineKey::of(&entry.run));
+        entry.accepting &= !self.is_draining(EngineKey::of(&entry.run));
         Some(entry)
     }
 
-    /// Whether the engine's run has said in an answer that it drains.
-    fn drains(&self, engine: EngineKey) -> bool {
+    /// Whether the engine's run said in an answer that it drains.
+    fn is_draining(&self, engine: EngineKey) -> bool {
         self.router.borrow().signals.is_draining(engine)
     }
 
-    /// When the engine started, as its entry or another node told.
-    fn born(&self, engine: EngineKey) -> Option<u64> {
-        let born = self.router.borrow().signals.started_at_ms(engine);
-        Some(born).filter(|born| *born > 0)
+    /// Start time of the engine from its entry or another node, in Unix milliseconds.
+    fn started_at_ms(&self, engine: EngineKey) -> Option<u64> {
+        let started_at_ms = self.router.borrow().signals.started_at_ms(engine);
+        Some(started_at_ms).filter(|started_at_ms| *started_at_ms > 0)
     }
 
-    /// Takes an engine out that has said that it drains; whether that is news here.
+    /// Stops sending new work to an engine that drains; returns whether this changed anything.
     pub(crate) fn drain_engine(&self, engine: EngineKey) -> bool {
-        let is_news = self.router.borrow_mut().signals.record_draining(engine);
-        is_news && self.fleet.borrow_mut().drain(engine)
+        let is_new = self.router.borrow_mut().signals.record_draining(engine);
+        is_new && self.fleet.borrow_mut().drain(engine)
     }
 
-    /// Forgets all that was known of an engine but where it is: it has started again.
+    /// Resets the state of an engine that has restarted, except its entry.
     pub(crate) fn reset_engine(&self, engine: EngineKey) {
         self.router.borrow_mut().forget_engine(engine);
-        let born = self.born(engine);
-        self.fleet.borrow_mut().set_born(engine, born);
+        let started_at_ms = self.started_at_ms(engine);
+        self.fleet.borrow_mut().set_born(engine, started_at_ms);
         if !self.fleet().draining().any(|draining| draining == engine) {
             return;
         }
@@ -242,51 +244,51 @@
         if let Some(entry) = known.find(|entry| EngineKey::of(&entry.run) == engine) {
             let table = self.table();
             let entry = EngineEntry {
-                born,
+                born: started_at_ms,
                 ..entry.clone()
             };
             let mut fleet = self.fleet.borrow_mut();
-            fleet.set(&entry, table.as_deref(), |engine| self.drains(engine));
+            fleet.set(&entry, table.as_deref(), |engine| self.is_draining(engine));
         }
     }
 
-    /// Notes entries of engines by their keys, or that they are gone.
+    /// Applies changed engine entries by key; `None` removes an entry.
     pub(crate) fn apply_entry_changes(&self, changes: Vec<(String, Option<EngineEntry>)>) {
         let table = self.table();
         let mut fleet = self.fleet.borrow_mut();
         let mut entries = self.entries.borrow_mut();
-        let mut gone = HashSet::new();
+        let mut removed = HashSet::new();
         for (key, entry) in changes {
-            let former = entries.remove(&key);
-            if let (Some(former), Some(entry)) = (&former, &entry)
-                && former.role != entry.role
+            let previous = entries.remove(&key);
+            if let (Some(previous), Some(entry)) = (&previous, &entry)
+                && previous.role != entry.role
             {
                 let engine = EngineKey::of(&entry.run);
                 self.router.borrow_mut().health.end_role_change(engine);
             }
-            if let Some(former) = &former {
-                fleet.remove(former);
-                gone.insert(EngineKey::of(&former.run));
+            if let Some(previous) = &previous {
+                fleet.remove(previous);
+                removed.insert(EngineKey::of(&previous.run));
             }
             if let Some(mut entry) = entry {
-                entry.born = self.born(EngineKey::of(&entry.run));
-                fleet.set(&entry, table.as_deref(), |engine| self.drains(engine));
-                gone.remove(&EngineKey::of(&entry.run));
+                entry.born = self.started_at_ms(EngineKey::of(&entry.run));
+                fleet.set(&entry, table.as_deref(), |engine| self.is_draining(engine));
+                removed.remove(&EngineKey::of(&entry.run));
                 entries.insert(key, entry);
             }
         }
         let mut router = self.router.borrow_mut();
-        for engine in gone {
+        for engine in removed {
             router.forget_engine(engine);
         }
     }
 
-    /// Engines of a pool that take new work, by zone.
+    /// Number of engines of a pool that accept new work, by zone.
     pub(crate) fn zone_engines(&self, pool: &PoolName) -> BTreeMap<ZoneName, ZoneEngines> {
         let mut zones: BTreeMap<ZoneName, ZoneEngines> = BTreeMap::new();
         let entries = self.entries.borrow();
         let accepting = entries.values().filter(|entry| {
-            entry.pool == *pool && entry.accepting && !self.drains(EngineKey::of(&entry.run))
+            entry.pool == *pool && entry.accepting && !self.is_draining(EngineKey::of(&entry.run))
         });
         for entry in accepting {
             let engines = zones.entry(entry.zone.clone()).or_default();
@@ -298,14 +300,14 @@
         zones
     }
 
-    /// Spot engines of a pool that say that they leave, by zone.
+    /// Number of draining spot engines of a pool, by zone.
     pub(crate) fn leaving_spot_engines(&self, pool: &PoolName) -> BTreeMap<ZoneName, u32> {
         let mut zones: BTreeMap<ZoneName, u32> = BTreeMap::new();
         let entries = self.entries.borrow();
         let leaving = entries.values().filter(|entry| {
             let is_spot = entry.tenure == EngineTenure::Spot;
-            let leaves = !entry.accepting || self.drains(EngineKey::of(&entry.run));
-            entry.pool == *pool && is_spot && leaves
+            let is_leaving = !entry.accepting || self.is_draining(EngineKey::of(&entry.run));
+            entry.pool == *pool && is_spot && is_leaving
         });
         for entry in leaving {
             *zones.entry(entry.zone.clone()).or_default() += 1;
@@ -313,31 +315,31 @@
         zones
     }
 
-    /// Builds the fleet anew, under other terms.
+    /// Rebuilds the fleet after the pools have changed.
     fn rebuild_fleet(&self) {
         let table = self.table();
         let entries = self.entries.borrow();
-        let drains = |engine| self.drains(engine);
-        let fleet = Fleet::new(entries.values(), table.as_deref(), drains);
+        let is_draining = |engine| self.is_draining(engine);
+        let fleet = Fleet::new(entries.values(), table.as_deref(), is_draining);
         self.fleet.replace(fleet);
     }
 
-    /// Notes that the key-value service was restored from an older copy: leases are gone with what was written
-    /// since, whatever their time.
+    /// Handles a restore of the key-value service: leases and writes since the backup are lost, even leases
+    /// that have not expired.
     pub(crate) fn begin_store_era(&self, era: u64) {
         self.fleet_lease.clear();
         self.quarantine.rewrite_stored();
         self.store_era.send_replace(era);
     }
 
-    /// Notes bytes that are written to this node's link.
+    /// Records bytes written to this node's network link.
     pub(crate) fn record_sent_bytes(&self, bytes: usize) {
         let time = self.settings.link_time(bytes);
         self.uplink.borrow_mut().push(self.now(), time);
     }
 
-    /// Notes that an engine was ordered to change its role: it is avoided, here and at the other
-    /// nodes, until its entry shows the change, for `at_most` this time.
+    /// Makes all nodes avoid an engine that was ordered to change its role, until its entry shows the change
+    /// but for `at_most` this time.
     pub(crate) fn begin_role_change(&self, engine: EngineKey, at_most: Duration) {
         let until = self.now() + at_most;
         self.router
@@ -348,33 +350,33 @@
         self.work_changed.notify_one();
     }
 
-    /// Has relays say what they know of kept parts.
+    /// Requests the known cached prompt parts from the relays with the next send.
     pub(crate) fn request_parts(&self) {
         self.parts_requested.set(true);
         self.work_changed.notify_one();
     }
 
-    /// Whether relays are to be asked for kept parts; they are asked once.
+    /// Whether to ask the relays for cached prompt parts; clears the request.
     pub(crate) fn take_parts_request(&self) -> bool {
         self.parts_requested.replace(false)
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether graceful shutdown has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.get()
     }
 
-    /// Begins a planned stop.
+    /// Begins graceful shutdown.
     pub(crate) fn begin_stop(&self) {
         self.stopping.set(true);
     }
 
-    /// Whether callers are to be sent here.
+    /// Whether the platform should send callers to this node.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping() && self.table.borrow().is_some() && !self.fleet.borrow().is_empty()
     }
 
-    /// Notes how many nodes there are, this one among them.
+    /// Sets the number of nodes, including this one.
     pub(crate) fn set_node_count(&self, nodes: usize) {
         let now = self.now();
         self.nodes.borrow_mut().set(now, nodes);
@@ -382,12 +384,12 @@
         self.router.borrow_mut().unreported.set_node_count(nodes);
     }
 
-    /// Nodes known, this one among them.
+    /// Number of known nodes, including this one.
     pub(crate) fn node_count(&self) -> usize {
         self.nodes.borrow().newest().unwrap_or(1)
     }
 
-    /// Connections that this node may have to one engine of the pool.
+    /// Maximum number of connections of this node to one engine of the pool.
     pub(crate) fn max_connections(&self, pool: &PoolName) -> usize {
         let table = self.table.borrow();
         let terms = table.as_ref().and_then(|table| table.pool(pool).cloned());
@@ -397,7 +399,7 @@
     }
 }
 
-/// The budget of a node that starts now.
+/// Creates the retry budget of a starting node.
 fn retry_budget(settings: &ForwardingSettings) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(settings.retry_limits());
     if settings.retries.former_life {
--- a/crates/forwarding/src/error.rs
+++ b/crates/forwarding/src/error.rs
@@ -1,15 +1,15 @@
-//! Why a forwarding node cannot start.
+//! Startup errors.
 
 /// Why a forwarding node cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum ForwardingError {
-    /// A socket could not be opened.
+    /// A socket cannot be bound; carries its address.
     #[error("cannot listen on {0}")]
     Listen(String),
-    /// Metrics cannot be set up.
+    /// The metrics cannot be registered.
     #[error("cannot set up metrics")]
     Metrics,
-    /// Signals cannot be received.
+    /// A signal handler cannot be installed.
     #[error("cannot receive signals")]
     Signals,
 }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -1,17 +1,17 @@
-//! Serves opaque requests by routes: choice of engines, attempts, retries, streams.
+//! Forwards requests to engines by routes: choice of engines, attempts, retries, streams.
 //!
-//! * [`serve`]: one request, from its route to the last byte of its answer. Decisions are those of
-//!   `dalestand_routing::staged`.
-//! * [`fleet`]: engines and nodes, as the key-value service and relays tell.
-//! * [`fleet_sums`]: what all nodes count together of pools, tenants and engines.
-//! * [`dissemination`]: fleet-wide state on its way between nodes.
-//! * [`roles`]: the lease under which one node acts for all, and the engines' roles.
-//! * [`duties`]: what else that node does for all.
-//! * [`permits`]: leave to send requests to engines that take only so many.
-//! * [`quarantine`]: requests that end the engines that run them.
-//! * [`node`]: settings, start, reload, stop, figures.
+//! * [`serve`]: one request, from its route to the last byte of its answer; `dalestand_routing::staged`
+//!   chooses the engines.
+//! * [`fleet`]: engines and nodes, from the key-value service and relays.
+//! * [`fleet_sums`]: figures of pools, tenants and engines, summed over all nodes.
+//! * [`dissemination`]: exchange of fleet-wide state between nodes.
+//! * [`roles`]: the fleet lease, under which one node acts for the fleet, and control of engine roles.
+//! * [`duties`]: the lease holder's calls to the platform: usage reports and engine counts.
+//! * [`permits`]: permits to send requests to engines with a rate limit.
+//! * [`quarantine`]: requests that crash the engines that run them.
+//! * [`node`]: settings, start, reload, stop, metrics and the capacity report.
 //!
-//! The platform's words come in through the traits of `dalestand_edge::routed`.
+//! Traits of `dalestand_edge::routed` supply the formats and headers of the platform.
 
 mod context;
 mod dissemination;
--- a/crates/forwarding/src/node/capacity.rs
+++ b/crates/forwarding/src/node/capacity.rs
@@ -1,5 +1,5 @@
-//! Puts the report of room and demand together. It answers operators while demand is over the room, so it costs
-//! by the engines and tenants known and is bounded in size, however many there are.
+//! Builds the capacity report. Operators read it during overload, so its size is bounded and its cost is
+//! linear in the number of known engines and tenants.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,26 +16,26 @@
     ReportSources, TenantDemand,
 };
 
-/// Tenants listed of one pool: what a screen shows.
-const TENANTS_LISTED: usize = 16;
+/// Maximum number of tenants listed per pool: as many as fit on a screen.
+const MAX_TENANTS_LISTED: usize = 16;
 
-/// Engines listed of one pool, likewise.
-const SPEEDS_LISTED: usize = 16;
+/// Maximum number of engine speeds listed per pool.
+const MAX_SPEEDS_LISTED: usize = 16;
 
-/// Characters shown of names that others chose, which may be long.
-const NAME_CHARACTERS: usize = 64;
+/// Maximum number of characters shown of tenant names and engine runs, which may be long.
+const MAX_NAME_CHARACTERS: usize = 64;
 
-/// Observations of a usual engine that count beside those of an engine: a few requests that took long do not make
-/// it a slow one.
-const USUAL_OBSERVATIONS: f32 = 4.0;
+/// Weight, in observations, of the usual speed in the estimate for one engine, so that a few long requests
+/// don't make it a slow one.
+const PRIOR_OBSERVATIONS: f32 = 4.0;
 
-/// An engine is listed if it takes this much more of the usual time, or this much less: below that the times of
-/// single requests differ as much.
-const SPEED_DIFFERS: f64 = 1.1;
+/// An engine is listed if its slowness is more than this factor above or below the usual; smaller differences
+/// also occur between single requests.
+const MIN_LISTED_SLOWNESS_FACTOR: f64 = 1.1;
 
-/// What this node knows at `now`.
+/// The capacity report as this node knows it at `now`.
 pub(crate) fn capacity_report(context: &Context, now: MonotonicTime) -> CapacityReport {
-    // What lapsed while the process stood still must not be shown.
+    // Figures that expired while the process was paused must not be shown.
     update_own_figures(context, now);
     context.sums.refresh(now);
     let table = context.table();
@@ -54,7 +54,7 @@
         ages: figure_ages(&context.sums, now),
         pools: names
             .into_iter()
-            .map(|pool| pool_room(context, pool))
+            .map(|pool| pool_capacity(context, pool))
             .collect(),
     }
 }
@@ -71,17 +71,17 @@
     sources
 }
 
-/// Ages of the newest figures of other nodes.
+/// Age of the newest figures of other nodes, by kind.
 pub(crate) fn figure_ages(sums: &FleetSums, now: MonotonicTime) -> FigureAges {
-    let newest = |age: Option<Duration>| age.map(|age| age.as_millis() as u64);
+    let to_ms = |age: Option<Duration>| age.map(|age| age.as_millis() as u64);
     FigureAges {
-        demand_ms: newest(sums.classes.borrow().heard(now).map(|(_, age)| age).min()),
-        tenants_ms: newest(sums.tenants.borrow().heard(now).map(|(_, age)| age).min()),
-        speeds_ms: newest(sums.slowness.borrow().heard(now).map(|(_, age)| age).min()),
+        demand_ms: to_ms(sums.classes.borrow().heard(now).map(|(_, age)| age).min()),
+        tenants_ms: to_ms(sums.tenants.borrow().heard(now).map(|(_, age)| age).min()),
+        speeds_ms: to_ms(sums.slowness.borrow().heard(now).map(|(_, age)| age).min()),
     }
 }
 
-fn pool_room(context: &Context, pool: PoolName) -> PoolCapacity {
+fn pool_capacity(context: &Context, pool: PoolName) -> PoolCapacity {
     let classes = class_demand(&context.sums, &pool);
     let (tenants, tenants_unlisted) = tenant_demand(context, &pool);
     let (speeds, speeds_unlisted) = engine_speeds(context, &pool);
@@ -98,15 +98,15 @@
     }
 }
 
-/// The numbers of engines that this node last decided, if it orders them.
+/// The engine counts that this node last decided, if it orders engines.
 fn engine_scaling(context: &Context, pool: &PoolName) -> Option<EngineScaling> {
-    let accounts = context.scaling_decisions.borrow();
-    let account = accounts.get(pool)?;
-    let wanted = account.wanted();
+    let decisions = context.scaling_decisions.borrow();
+    let decision = decisions.get(pool)?;
+    let wanted = decision.wanted();
     Some(EngineScaling {
         on_demand: wanted.on_demand,
         spot: wanted.spot,
-        weighed: account.to_string(),
+        weighed: decision.to_string(),
     })
 }
 
@@ -131,7 +131,7 @@
     groups.into_values().collect()
 }
 
-/// Demand of a pool by priority.
+/// Demand of a pool by priority, most urgent first.
 pub(crate) fn class_demand(sums: &FleetSums, pool: &PoolName) -> Vec<ClassDemand> {
     let classes = sums.classes.borrow();
     let of_pool = classes
@@ -147,7 +147,7 @@
     classes
 }
 
-/// The tenants with the most demand, and how many more there are.
+/// The tenants with the most demand, and the number of tenants not listed.
 fn tenant_demand(context: &Context, pool: &PoolName) -> (Vec<TenantDemand>, usize) {
     let tenants = context.sums.tenants.borrow();
     let mut by_code: BTreeMap<TenantCode, TenantFigures> = BTreeMap::new();
@@ -171,32 +171,32 @@
         let by_demand = by_slots.then(by_tokens);
         by_demand.then_with(|| one.code.cmp(&other.code))
     });
-    let unlisted = tenants.len().saturating_sub(TENANTS_LISTED);
-    tenants.truncate(TENANTS_LISTED);
+    let unlisted = tenants.len().saturating_sub(MAX_TENANTS_LISTED);
+    tenants.truncate(MAX_TENANTS_LISTED);
     for tenant in &mut tenants {
         tenant.name = tenant_name(context, tenant.code);
     }
     (tenants, unlisted)
 }
 
-/// The engines whose speed differs most from the usual, and how many more differ.
+/// The engines whose speed differs most from the usual, and the number of such engines not listed.
 fn engine_speeds(context: &Context, pool: &PoolName) -> (Vec<EngineSpeed>, usize) {
     let slowness = context.sums.slowness.borrow();
     let speeds = slowness.totals().iter();
     let speeds = speeds.flat_map(|(key, figures)| speeds_of(context, pool, *key, *figures));
     let mut speeds: Vec<EngineSpeed> = speeds
-        .filter(|speed| difference(speed) > SPEED_DIFFERS.ln())
+        .filter(|speed| difference(speed) > MIN_LISTED_SLOWNESS_FACTOR.ln())
         .collect();
     speeds.sort_by(|one, other| {
         let by_difference = difference(other).total_cmp(&difference(one));
         by_difference.then_with(|| one.engine.cmp(&other.engine))
     });
-    let unlisted = speeds.len().saturating_sub(SPEEDS_LISTED);
-    speeds.truncate(SPEEDS_LISTED);
+    let unlisted = speeds.len().saturating_sub(MAX_SPEEDS_LISTED);
+    speeds.truncate(MAX_SPEEDS_LISTED);
     (speeds, unlisted)
 }
 
-/// The engines of a pool that a row of the sums is about: one, but for a rare collision of short numbers.
+/// Speeds of the engines of a pool with this code: one engine, unless codes collide.
 fn speeds_of(
     context: &Context,
     pool: &PoolName,
@@ -211,18 +211,20 @@
             engine: shortened(&engine.run),
             zone: engine.zone.clone(),
             work,
-            slowness: figures.slowness(USUAL_OBSERVATIONS),
+            slowness: figures.slowness(PRIOR_OBSERVATIONS),
             observations: figures.weight,
         })
     });
     speeds.collect()
 }
 
+/// Distance of the slowness from the usual, on a logarithmic scale.
 fn difference(speed: &EngineSpeed) -> f64 {
     speed.slowness.ln().abs()
 }
 
-/// The name of a tenant of the declaration in force, or what a number stands for that is no single tenant's.
+/// The name of a tenant in the current declaration, or a description of a code that is not a single
+/// tenant's.
 fn tenant_name(context: &Context, code: TenantCode) -> Option<String> {
     match code {
         TenantCode::OTHERS => return Some("(all others)".to_owned()),
@@ -236,5 +238,5 @@
 }
 
 fn shortened(name: &str) -> String {
-    name.chars().take(NAME_CHARACTERS).collect()
+    name.chars().take(MAX_NAME_CHARACTERS).collect()
 }
--- a/crates/forwarding/src/node/capacity_report.rs
+++ b/crates/forwarding/src/node/capacity_report.rs
@@ -1,129 +1,130 @@
-//! Room and demand of all pools as one node knows them, in the form in which operators read them.
+//! The capacity report: capacity and demand of all pools as one node knows them, for operators.
 
 use dalestand_routing::{ClassFigures, TenantCode, TenantFigures, WorkKind};
 use dalestand_types::{NodeId, PoolName, Revision, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// What a node knows.
+/// Capacity and demand of all pools, as one node knows them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CapacityReport {
-    /// The node that reports.
+    /// Name of the reporting node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the reporting node.
     pub zone: ZoneName,
-    /// Revision of the declaration in force, if there is one.
+    /// Revision of the current declaration, if there is one.
     pub declaration: Option<Revision>,
-    /// Nodes known, the reporting one among them.
+    /// Number of known nodes, including this one.
     pub nodes_known: usize,
-    /// Whose reports the figures rest on beside the node's own counts.
+    /// Other nodes whose reports are included in the figures.
     pub sources: ReportSources,
-    /// Age of the newest figures that other nodes reported.
+    /// Age of the newest figures from other nodes.
     pub ages: FigureAges,
-    /// The pools of the declaration, by name.
+    /// Pools of the declaration, sorted by name.
     pub pools: Vec<PoolCapacity>,
 }
 
-/// Nodes whose reports count now. A member has the sums of the fleet from its relay; a relay has those of its
-/// members and of the other relays. A node without any knows its own counts only.
+/// Nodes whose reports are included now. A member receives fleet-wide sums from its relay; a relay receives
+/// the counts of its members and the sums of the other relays. Without sources, a node has only its own
+/// counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportSources {
-    /// Members that reported to this node.
+    /// Number of members that reported to this node.
     pub members: usize,
-    /// Other relays that reported the sums of their members.
+    /// Number of other relays that reported the sums of their members.
     pub relays: usize,
     /// Whether a relay reported the sums of the whole fleet.
     pub fleet: bool,
 }
 
-/// Ages in milliseconds; absent where nothing was reported that still counts.
+/// Ages in milliseconds; absent without a report that is still included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FigureAges {
-    /// Of demand by pool and priority.
+    /// Age of the demand by pool and priority.
     pub demand_ms: Option<u64>,
-    /// Of demand by tenant.
+    /// Age of the demand by tenant.
     pub tenants_ms: Option<u64>,
-    /// Of engines' speeds.
+    /// Age of the engine speeds.
     pub speeds_ms: Option<u64>,
 }
 
-/// One pool.
+/// Capacity and demand of one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolCapacity {
-    /// Its name.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// Engines that take new work, by zone and by what they do.
+    /// Engines that accept new work, by zone and kind of work.
     pub engines: Vec<EngineGroup>,
-    /// Slots that requests of all nodes take up.
+    /// Slots occupied by requests of all nodes.
     pub busy_slots: f32,
-    /// Demand by priority; the most urgent first.
+    /// Demand by priority, most urgent first.
     pub classes: Vec<ClassDemand>,
-    /// Tenants with the most demand.
+    /// Tenants with the most demand, highest first.
     pub tenants: Vec<TenantDemand>,
-    /// Tenants that are known and not listed.
+    /// Number of known tenants that are not listed.
     pub tenants_unlisted: usize,
     /// Engines whose speed differs most from the usual.
     pub speeds: Vec<EngineSpeed>,
-    /// Engines whose speed differs from the usual and that are not listed.
+    /// Number of engines whose speed differs from the usual and that are not listed.
     pub speeds_unlisted: usize,
-    /// What the numbers of engines follow, at the node that orders them.
+    /// The last scaling decision, at the node that orders engines.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub scaling: Option<EngineScaling>,
 }
 
 impl PoolCapacity {
-    /// Engines that take new work.
+    /// Number of engines that accept new work.
     pub fn engine_count(&self) -> usize {
         self.engines.iter().map(|group| group.engines).sum()
     }
 
-    /// Requests that they work on at once.
+    /// Number of requests that these engines can run at once.
     pub fn slots(&self) -> u64 {
         self.engines.iter().map(|group| group.slots).sum()
     }
 }
 
-/// Numbers of engines as they were last decided.
+/// The last scaling decision for a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineScaling {
     /// On-demand engines wanted in all zones.
     pub on_demand: u32,
     /// Spot engines wanted in all zones.
     pub spot: u32,
-    /// What was weighed, as the log has it with an order.
+    /// The inputs of the decision, in the form logged with each order.
     pub weighed: String,
 }
 
 /// Engines of one zone that do the same kind of work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineGroup {
-    /// The zone.
+    /// Zone of the engines.
     pub zone: ZoneName,
-    /// What their role has them do.
+    /// Kind of work that their role allows.
     pub work: WorkKind,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Requests that they work on at once.
+    /// Number of requests that they can run at once.
     pub slots: u64,
 }
 
 /// Requests of one priority, summed over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassDemand {
-    /// The priority; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// The figures.
+    /// Requests of this priority.
     #[serde(flatten)]
     pub figures: ClassFigures,
 }
 
-/// What one tenant asks for, summed over all nodes.
+/// Demand of one tenant, summed over all nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantDemand {
-    /// Its name, where the declaration in force has a tenant of this code.
+    /// Name of the tenant, if the current declaration has one with this code.
     pub name: Option<String>,
-    /// Its short number.
+    /// Code of the tenant.
     pub code: TenantCode,
-    /// The figures, in both units in which a pool can be short.
+    /// Demand in both units of pool capacity.
     #[serde(flatten)]
     pub figures: TenantFigures,
 }
@@ -131,14 +132,14 @@
 /// An engine that is slower or faster than usual.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineSpeed {
-    /// The engine's run.
+    /// ID of the engine's run.
     pub engine: String,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// The kind of work.
+    /// Kind of work that was timed.
     pub work: WorkKind,
-    /// The time it takes over the usual one: 2 for half the speed.
+    /// Time that the engine takes, relative to the usual time: 2 means half the usual speed.
     pub slowness: f64,
-    /// Observations behind it, each counted less the longer ago it was.
+    /// Number of observations, weighted down with age.
     pub observations: f32,
 }
--- a/crates/forwarding/src/node/era_store.rs
+++ b/crates/forwarding/src/node/era_store.rs
@@ -1,9 +1,10 @@
-//! A key-value service that may be restored from a copy some seconds old.
+//! Wraps a key-value service that may be restored from a backup some seconds old.
 //!
-//! Each restoration begins a new era: what was written since the copy is gone, leases too, and revisions
-//! count on from the copy's. Revisions carry their era, so that those of a later era are later everywhere:
-//! in what nodes tell each other, as fencing tokens, as positions of watches. Eras are counted from the one
-//! in which the fleet began, which one key names: builds that know of no eras have the same revisions there.
+//! Each restore starts a new era: writes and leases since the backup are lost, and revision numbers
+//! continue from the backup's. A revision therefore carries its era, so that revisions of a later era
+//! compare higher in messages between nodes, as fencing tokens and as watch positions. Nodes count eras
+//! from the one in which the fleet first started, which is stored under one key: in that era, revisions
+//! are the same as in builds without eras.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,45 +23,49 @@
 
 use crate::context::Context;
 
-/// Names the era in which the fleet began.
+/// Key that stores the era in which the fleet first started.
 const FIRST_ERA_KEY: &str = "dalestand-era";
 
-/// A copy from which the service is restored is some seconds old; a write of this age is in it.
-const COPY_AGE: Duration = Duration::from_secs(60);
+/// Upper bound on the age of a backup: older writes are contained in it.
+const MAX_BACKUP_AGE: Duration = Duration::from_secs(60);
 
-/// Own writes from which on older ones are thrown away: nodes write a few keys each.
-const MANY_WRITES: usize = 64;
+/// Number of remembered writes above which old ones are removed; a node writes only a few keys.
+const PRUNE_THRESHOLD: usize = 64;
 
-/// Times that a lost write is tried: the service has just returned.
+/// Attempts to repeat a lost write; the service may still be starting.
 const WRITE_ATTEMPTS: u32 = 8;
 
-/// Pause between them.
-const WRITE_PAUSE: Duration = Duration::from_millis(250);
+/// Delay between these attempts.
+const WRITE_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Passes each call on, with revisions that rise over all eras.
+/// Forwards each call, with revisions that increase across eras.
 pub(crate) struct EraStore {
     store: Rc<dyn KeyValue>,
     context: Rc<Context>,
-    /// The era from which they are counted, once it is known.
-    first: Cell<Option<u64>>,
-    /// The newest era seen.
-    newest: Cell<Option<u64>>,
-    /// What this node wrote, by key, as the service has it.
+    /// The era from which nodes count, once known.
+    first_era: Cell<Option<u64>>,
+    /// The newest era seen in an answer.
+    newest_era: Cell<Option<u64>>,
+    /// Recent writes of this node without a lease, by key.
     own_writes: RefCell<HashMap<String, OwnWrite>>,
 }
 
-/// A value that this node wrote for good.
+/// A value that this node wrote without a lease.
 #[derive(Clone, Debug)]
 struct OwnWrite {
     value: String,
-    /// Of the era in which it was written.
+    /// Revision of the write, as the service counts it.
     revision: Revision,
     at: BootInstant,
 }
 
-/// Writes what the copy lacks: no lease brings it back, and nobody else knows it. A value that stands there
-/// of a lower number is older, as the copy has the history up to some moment.
-async fn write_again(store: Rc<dyn KeyValue>, context: Rc<Context>, lost: Vec<(String, OwnWrite)>) {
+/// Repeats own writes that the backup lacks; no other node would restore them. A stored value with a lower
+/// revision number is older, because the backup is a prefix of the history.
+async fn repeat_lost_writes(
+    store: Rc<dyn KeyValue>,
+    context: Rc<Context>,
+    lost: Vec<(String, OwnWrite)>,
+) {
     for (key, write) in lost {
         for _ in 0..WRITE_ATTEMPTS {
             match write_if_lost(&*store, &key, &write).await {
@@ -73,14 +78,14 @@
                 Err(error) => {
                     log_event!(context.logger, Event::KeyValueFailed, "prefix" => &key,
                         "error" => %error.current_context());
-                    sleep(WRITE_PAUSE).await;
+                    sleep(WRITE_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
 
-/// Whether it was lost, and is written now.
+/// Repeats one write if it was lost; returns whether it did.
 async fn write_if_lost(
     store: &dyn KeyValue,
     key: &str,
@@ -88,9 +93,9 @@
 ) -> Result<bool, Report<PlatformError>> {
     let expectation = match store.get(key).await? {
         None => WriteExpectation::Absent,
-        Some(standing) if standing.value == write.value => return Ok(false),
-        Some(standing) if standing.revision.number() < write.revision.number() => {
-            WriteExpectation::At(standing.revision)
+        Some(stored) if stored.value == write.value => return Ok(false),
+        Some(stored) if stored.revision.number() < write.revision.number() => {
+            WriteExpectation::At(stored.revision)
         }
         Some(_) => return Ok(false),
     };
@@ -99,53 +104,53 @@
 }
 
 impl EraStore {
-    /// Calls to `store` on behalf of `context`, which is told of new eras.
+    /// Wraps `store`; reports new eras to `context`.
     pub(crate) fn new(store: Rc<dyn KeyValue>, context: Rc<Context>) -> Self {
         Self {
             store,
             context,
-            first: Cell::new(None),
-            newest: Cell::new(None),
+            first_era: Cell::new(None),
+            newest_era: Cell::new(None),
             own_writes: RefCell::default(),
         }
     }
 
-    /// Notes the era of an answer. One of a former era was on its way when the service was restored, and
-    /// tells of what no longer stands.
-    async fn note(&self, answered: Revision) -> Result<(), Report<PlatformError>> {
+    /// Handles the era of an answer: starts a new era, or fails for an answer that was sent before the
+    /// service was restored and describes lost state.
+    async fn observe_era(&self, answered: Revision) -> Result<(), Report<PlatformError>> {
         let era = answered.era();
-        let newest = self.newest.get();
+        let newest = self.newest_era.get();
         if newest.is_some_and(|newest| era < newest) {
             return Err(Report::new(PlatformError::Malformed {
                 system: "store",
-                message: format!("an answer of the former era {era}"),
+                message: format!("the answer is from the earlier era {era}"),
             }));
         }
-        if self.first.get().is_none() {
-            self.first.set(Some(self.read_first(era).await?));
+        if self.first_era.get().is_none() {
+            self.first_era.set(Some(self.read_first_era(era).await?));
         }
         if newest.is_some_and(|newest| era > newest) {
             log_event!(self.context.logger, Event::KeyValueRestored, "era" => era,
                 "former" => newest);
-            self.newest.set(Some(era));
+            self.newest_era.set(Some(era));
             self.context.begin_store_era(era);
-            actix_rt::spawn(write_again(
+            actix_rt::spawn(repeat_lost_writes(
                 Rc::clone(&self.store),
                 Rc::clone(&self.context),
                 self.lost_writes(),
             ));
         }
-        self.newest
-            .set(Some(era.max(self.newest.get().unwrap_or(era))));
+        self.newest_era
+            .set(Some(era.max(self.newest_era.get().unwrap_or(era))));
         Ok(())
     }
 
-    /// The era in which the fleet began; the present one, if no node has said so yet.
-    async fn read_first(&self, era: u64) -> Result<u64, Report<PlatformError>> {
+    /// The era in which the fleet first started; the current `era` if none is stored yet.
+    async fn read_first_era(&self, era: u64) -> Result<u64, Report<PlatformError>> {
         if era == 0 {
             return Ok(0);
         }
-        let standing = match self.store.get(FIRST_ERA_KEY).await? {
+        let stored = match self.store.get(FIRST_ERA_KEY).await? {
             Some(entry) => Some(entry),
             None => {
                 let (text, absent) = (era.to_string(), WriteExpectation::Absent);
@@ -158,17 +163,17 @@
                 }
             }
         };
-        // A later one than the present cannot be the first, whoever wrote it.
-        let first = standing.and_then(|entry| entry.value.trim().parse().ok());
+        // Cap a wrong value: the first era cannot be later than the current one.
+        let first = stored.and_then(|entry| entry.value.trim().parse().ok());
         Ok(first.map_or(era, |first: u64| first.min(era)))
     }
 
-    /// What this node wrote a short time ago: the copy may lack it.
+    /// Recent writes of this node, which the backup may lack; clears the list.
     fn lost_writes(&self) -> Vec<(String, OwnWrite)> {
         let writes = std::mem::take(&mut *self.own_writes.borrow_mut());
         let recent = writes.into_iter();
-        let recent = recent.filter(|(_, write)| write.at.elapsed() <= COPY_AGE);
-        let first = self.first.get().map(|first| {
+        let recent = recent.filter(|(_, write)| write.at.elapsed() <= MAX_BACKUP_AGE);
+        let first = self.first_era.get().map(|first| {
             let write = OwnWrite {
                 value: first.to_string(),
                 revision: Revision::default(),
@@ -179,11 +184,11 @@
         recent.chain(first).collect()
     }
 
-    /// Remembers a write that no lease ends.
+    /// Remembers a write without a lease.
     fn remember(&self, key: &str, value: &str, revision: Revision) {
         let mut writes = self.own_writes.borrow_mut();
-        if writes.len() >= MANY_WRITES {
-            writes.retain(|_, write| write.at.elapsed() <= COPY_AGE);
+        if writes.len() >= PRUNE_THRESHOLD {
+            writes.retain(|_, write| write.at.elapsed() <= MAX_BACKUP_AGE);
         }
         let write = OwnWrite {
             value: value.to_owned(),
@@ -193,31 +198,31 @@
         writes.insert(key.to_owned(), write);
     }
 
-    /// A revision as nodes use it.
-    fn counted(&self, revision: Revision) -> Revision {
-        let first = self.first.get().unwrap_or_default();
+    /// Converts a revision of the service to one with the era as nodes count it.
+    fn to_node_revision(&self, revision: Revision) -> Revision {
+        let first = self.first_era.get().unwrap_or_default();
         Revision::in_era(revision.era().saturating_sub(first), revision.number())
     }
 
-    /// The same as the service has it.
-    fn uncounted(&self, revision: Revision) -> Revision {
-        let first = self.first.get().unwrap_or_default();
+    /// Converts a revision with the era as nodes count it to one of the service.
+    fn to_service_revision(&self, revision: Revision) -> Revision {
+        let first = self.first_era.get().unwrap_or_default();
         Revision::in_era(revision.era() + first, revision.number())
     }
 
-    fn entry(&self, entry: Entry) -> Entry {
+    fn to_node_entry(&self, entry: Entry) -> Entry {
         Entry {
-            revision: self.counted(entry.revision),
+            revision: self.to_node_revision(entry.revision),
             ..entry
         }
     }
 
-    async fn listing(&self, listing: Listing) -> Result<Listing, Report<PlatformError>> {
-        self.note(listing.revision).await?;
+    async fn to_node_listing(&self, listing: Listing) -> Result<Listing, Report<PlatformError>> {
+        self.observe_era(listing.revision).await?;
         let entries = listing.entries.into_iter();
         Ok(Listing {
-            revision: self.counted(listing.revision),
-            entries: entries.map(|entry| self.entry(entry)).collect(),
+            revision: self.to_node_revision(listing.revision),
+            entries: entries.map(|entry| self.to_node_entry(entry)).collect(),
         })
     }
 }
@@ -228,13 +233,13 @@
         let Some(entry) = self.store.get(key).await? else {
             return Ok(None);
         };
-        self.note(entry.revision).await?;
-        Ok(Some(self.entry(entry)))
+        self.observe_era(entry.revision).await?;
+        Ok(Some(self.to_node_entry(entry)))
     }
 
     async fn range(&self, prefix: &str) -> Result<Listing, Report<PlatformError>> {
         let listing = self.store.range(prefix).await?;
-        self.listing(listing).await
+        self.to_node_listing(listing).await
     }
 
     async fn page(
@@ -244,7 +249,7 @@
     ) -> Result<ListingPage, Report<PlatformError>> {
         let page = self.store.page(prefix, after).await?;
         Ok(ListingPage {
-            listing: self.listing(page.listing).await?,
+            listing: self.to_node_listing(page.listing).await?,
             has_more: page.has_more,
         })
     }
@@ -258,19 +263,22 @@
     ) -> Result<CasOutcome, Report<PlatformError>> {
         let expected = match expectation {
             WriteExpectation::Absent => None,
-            WriteExpectation::At(revision) => Some(self.uncounted(revision)),
+            WriteExpectation::At(revision) => Some(self.to_service_revision(revision)),
         };
-        let newest = self.newest.get();
+        let newest = self.newest_era.get();
         if expected.is_some_and(|expected| newest.is_some_and(|newest| expected.era() < newest)) {
-            // What was written then may be gone, and its number given to another change.
+            // The expected write may be lost, and its revision number reused.
             let current = self.get(key).await?;
             return Ok(CasOutcome::Conflict { current });
         }
-        let raw = expected.map_or(WriteExpectation::Absent, WriteExpectation::At);
-        let outcome = self.store.compare_and_swap(key, raw, value, lease).await?;
+        let service_expectation = expected.map_or(WriteExpectation::Absent, WriteExpectation::At);
+        let outcome = self
+            .store
+            .compare_and_swap(key, service_expectation, value, lease)
+            .await?;
         match outcome {
             CasOutcome::Written { revision } => {
-                self.note(revision).await?;
+                self.observe_era(revision).await?;
                 match value {
                     Some(value) if lease.is_none() => self.remember(key, value, revision),
                     _ => {
@@ -280,17 +288,17 @@
                 if expected.is_some_and(|expected| expected.era() != revision.era()) {
                     return Err(Report::new(PlatformError::InDoubt {
                         system: "store",
-                        message: "restored while it was written to".to_owned(),
+                        message: "the service was restored during the write".to_owned(),
                     }));
                 }
-                let revision = self.counted(revision);
+                let revision = self.to_node_revision(revision);
                 Ok(CasOutcome::Written { revision })
             }
             CasOutcome::Conflict { current } => {
                 if let Some(current) = &current {
-                    self.note(current.revision).await?;
+                    self.observe_era(current.revision).await?;
                 }
-                let current = current.map(|current| self.entry(current));
+                let current = current.map(|current| self.to_node_entry(current));
                 Ok(CasOutcome::Conflict { current })
             }
         }
@@ -302,9 +310,13 @@
         after: Revision,
         wait: Duration,
     ) -> Result<WatchBatch, Report<PlatformError>> {
-        let from = self.uncounted(after);
-        if self.newest.get().is_some_and(|newest| from.era() < newest) {
-            // The same number of another era stands for another change.
+        let from = self.to_service_revision(after);
+        if self
+            .newest_era
+            .get()
+            .is_some_and(|newest| from.era() < newest)
+        {
+            // The same revision number stands for another change in the new era.
             return Ok(WatchBatch {
                 revision: after,
                 events: Vec::new(),
@@ -318,13 +330,13 @@
                 ..batch
             });
         }
-        self.note(batch.revision).await?;
+        self.observe_era(batch.revision).await?;
         let events = batch.events.into_iter().map(|mut event| {
-            event.revision = self.counted(event.revision);
+            event.revision = self.to_node_revision(event.revision);
             event
         });
         Ok(WatchBatch {
-            revision: self.counted(batch.revision),
+            revision: self.to_node_revision(batch.revision),
             events: events.collect(),
             compacted: false,
         })
--- a/crates/forwarding/src/node/in_flight.rs
+++ b/crates/forwarding/src/node/in_flight.rs
@@ -1,24 +1,24 @@
-//! Requests and connections under way, for planned stops.
+//! Counts requests in flight.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Requests under way.
+/// Shared counter of the requests in flight.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InFlight(Rc<Cell<usize>>);
 
-/// One request under way, until dropped.
+/// Counts one request as in flight until dropped.
 #[derive(Debug)]
 pub(crate) struct InFlightGuard(InFlight);
 
 impl InFlight {
-    /// Counts a request.
+    /// Counts a request until the returned guard is dropped.
     pub(crate) fn enter(&self) -> InFlightGuard {
         self.0.set(self.0.get() + 1);
         InFlightGuard(self.clone())
     }
 
-    /// Requests under way now.
+    /// Number of requests in flight.
     pub(crate) fn count(&self) -> usize {
         self.0.get()
     }
--- a/crates/forwarding/src/node/metered_store.rs
+++ b/crates/forwarding/src/node/metered_store.rs
@@ -1,4 +1,4 @@
-//! A key-value service whose calls are counted and timed.
+//! Wraps the key-value service and records the outcome and duration of each call.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 
 use crate::context::Context;
 
-/// Passes each call on and notes its outcome and time.
+/// Forwards each call and records its outcome and duration in the metrics.
 pub(crate) struct MeteredStore {
     store: Rc<dyn KeyValue>,
     context: Rc<Context>,
 }
 
 impl MeteredStore {
-    /// Meters the calls to `store` in the figures of `context`.
+    /// Wraps `store` and records its calls in the metrics of `context`.
     pub(crate) fn new(store: Rc<dyn KeyValue>, context: Rc<Context>) -> Self {
         Self { store, context }
     }
@@ -31,14 +31,14 @@
         call: &'static str,
         answered: impl Future<Output = Result<T, Report<PlatformError>>>,
     ) -> Result<T, Report<PlatformError>> {
-        let begun = BootInstant::now();
+        let started = BootInstant::now();
         let answer = answered.await;
         let outcome = match &answer {
             Ok(_) => "done",
             Err(report) => outcome_label(report.current_context()),
         };
         let metrics = &self.context.metrics;
-        metrics.store_call(call, outcome, begun.elapsed());
+        metrics.store_call(call, outcome, started.elapsed());
         answer
     }
 }
--- a/crates/forwarding/src/node/metrics/engine_signals.rs
+++ b/crates/forwarding/src/node/metrics/engine_signals.rs
@@ -1,26 +1,25 @@
-//! Figures of what engines say of themselves, and of what follows from it.
+//! Metrics of the signals in engine answers (draining, backoff, rate limit) and their effects.
 
 use dalestand_edge::unknown_headers::UnknownSender;
 use dalestand_routing::staged::ClosedReason;
 use prometheus::{IntCounter, IntCounterVec, IntGauge};
 
-use super::figures::Figures;
+use super::registry::MetricsRegistry;
 use crate::serve::progress::CallRecord;
 
-/// Numbers of engines, as they stand.
-pub(super) struct StandingSignals {
-    /// Those that have said that they drain.
+/// Current number of engines by signal.
+pub(super) struct SignalCounts {
+    /// Engines that announced that they drain.
     pub(super) draining: usize,
-    /// Those that want no calls now.
+    /// Engines in backoff.
     pub(super) backing_off: usize,
-    /// Those that take only so many requests.
+    /// Engines with a rate limit.
     pub(super) limited: usize,
-    /// Those for which nodes asked this one for leave.
+    /// Engines for which this node issues permits.
     pub(super) issued_for: usize,
 }
 
-/// The figures.
-pub(super) struct SignalFigures {
+pub(super) struct SignalMetrics {
     calls_withheld: IntCounterVec,
     engines_draining: IntGauge,
     engines_backing_off: IntGauge,
@@ -32,44 +31,44 @@
     unknown_headers: IntCounterVec,
 }
 
-impl SignalFigures {
-    pub(super) fn new(figures: &Figures) -> Result<Self, prometheus::Error> {
+impl SignalMetrics {
+    pub(super) fn new(registry: &MetricsRegistry) -> Result<Self, prometheus::Error> {
         Ok(Self {
-            calls_withheld: figures.counters(
+            calls_withheld: registry.counters(
                 "engine_calls_withheld_total",
                 "Calls that were not made because the engine had said that it drains, had asked for backoff, or takes only so many.",
                 &["signal"],
             )?,
-            engines_draining: figures.gauge(
+            engines_draining: registry.gauge(
                 "engines_draining",
                 "Engines that have said in an answer that they drain, and are still listed.",
             )?,
-            engines_backing_off: figures.gauge(
+            engines_backing_off: registry.gauge(
                 "engines_backing_off",
                 "Engines that want no calls of this node now.",
             )?,
-            engines_limited: figures.gauge(
+            engines_limited: registry.gauge(
                 "engines_limited",
                 "Engines that take only so many requests a second of all nodes together.",
             )?,
-            limits_unreadable: figures.counter(
+            limits_unreadable: registry.counter(
                 "engine_limits_unreadable_total",
                 "Answers of engines that named something as their limit that is no rate.",
             )?,
-            calls_limited: figures.counter(
+            calls_limited: registry.counter(
                 "engine_calls_limited_total",
                 "Requests that this node sent to engines that it knew to have a limit.",
             )?,
-            permits: figures.counters(
+            permits: registry.counters(
                 "engine_permits_total",
                 "Leave to send requests to engines with a limit, by what came of it.",
                 &["outcome"],
             )?,
-            issued_for: figures.gauge(
+            issued_for: registry.gauge(
                 "engine_permits_issued_for",
                 "Engines for which nodes lately asked this one for leave.",
             )?,
-            unknown_headers: figures.counters(
+            unknown_headers: registry.counters(
                 "unknown_headers_total",
                 "Headers of the platform's kind that this build does not know, by who sent them.",
                 &["sender"],
@@ -77,7 +76,7 @@
         })
     }
 
-    /// Notes a call to an engine.
+    /// Records a call to an engine.
     pub(super) fn call(&self, call: &CallRecord) {
         if let Some(closed) = call.signals.closed {
             let signal = match closed {
@@ -92,15 +91,15 @@
         }
     }
 
-    /// Sets what is told as it stands.
-    pub(super) fn set(&self, standing: &StandingSignals) {
-        self.engines_draining.set(standing.draining as i64);
-        self.engines_backing_off.set(standing.backing_off as i64);
-        self.engines_limited.set(standing.limited as i64);
-        self.issued_for.set(standing.issued_for as i64);
+    /// Sets the gauges.
+    pub(super) fn set(&self, counts: &SignalCounts) {
+        self.engines_draining.set(counts.draining as i64);
+        self.engines_backing_off.set(counts.backing_off as i64);
+        self.engines_limited.set(counts.limited as i64);
+        self.issued_for.set(counts.issued_for as i64);
     }
 
-    /// Counts unknown headers of a sender, of which `seen` came since the start.
+    /// Raises the counter of unknown headers from `sender` to `seen`, the total since the start.
     pub(super) fn count_unknown_headers(&self, sender: UnknownSender, seen: u64) {
         let label = match sender {
             UnknownSender::Engine => "engine",
--- a/crates/forwarding/src/node/metrics/mod.rs
+++ b/crates/forwarding/src/node/metrics/mod.rs
@@ -1,9 +1,9 @@
-//! Counters, histograms and gauges of a forwarding node, in the Prometheus text format.
+//! Prometheus metrics of a forwarding node.
 
+mod admission;
 mod engine_signals;
-mod figures;
 pub(crate) mod page;
-mod room;
+mod registry;
 mod scaling;
 mod sums;
 
@@ -17,20 +17,20 @@
     Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge, IntGaugeVec, Registry,
 };
 
-use self::engine_signals::SignalFigures;
-use self::figures::Figures;
-use self::room::RoomFigures;
-use self::scaling::ScalingFigures;
-use self::sums::SumFigures;
+use self::admission::AdmissionMetrics;
+use self::engine_signals::SignalMetrics;
+use self::registry::MetricsRegistry;
+use self::scaling::ScalingMetrics;
+use self::sums::FleetSumMetrics;
 use crate::serve::progress::CallRecord;
 
 /// Upper bounds of the latency histograms, in seconds.
 const LATENCY_BOUNDS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.5, 5.0];
 
-/// Upper bounds of the histogram of the time that a choice takes, in seconds.
+/// Upper bounds of the histogram of the time to choose engines, in seconds.
 const CHOICE_BOUNDS: [f64; 8] = [25e-6, 50e-6, 100e-6, 250e-6, 500e-6, 1e-3, 5e-3, 25e-3];
 
-/// The figures.
+/// Metrics of a forwarding node.
 pub(crate) struct ForwardingMetrics {
     registry: Registry,
     requests: IntCounterVec,
@@ -57,166 +57,166 @@
     load_age_seconds: Histogram,
     news_dropped: IntCounter,
     invalid_rows: IntCounter,
-    room: RoomFigures,
+    admission: AdmissionMetrics,
     bulk_dropped: IntCounter,
     entries: IntGauge,
     parts: IntGauge,
     code_collisions: IntGauge,
     entries_unreadable: IntCounter,
-    signals: SignalFigures,
-    sums: SumFigures,
+    signals: SignalMetrics,
+    sums: FleetSumMetrics,
     crashes: IntCounter,
     requests_stopped: IntGauge,
-    scaling: ScalingFigures,
+    scaling: ScalingMetrics,
     over_share: IntCounterVec,
     tenants_over_share: IntGaugeVec,
 }
 
 impl ForwardingMetrics {
-    /// Figures that stand at zero.
+    /// Creates and registers all metrics.
     pub(crate) fn new() -> Result<Self, prometheus::Error> {
-        let figures = Figures::new()?;
+        let metrics = MetricsRegistry::new()?;
         Ok(Self {
-            requests: figures.counters(
+            requests: metrics.counters(
                 "forwarded_requests_total",
                 "Requests by kind of route and status.",
                 &["kind", "status"],
             )?,
-            head_seconds: figures.histograms(
+            head_seconds: metrics.histograms(
                 "forwarded_head_seconds",
                 "Time to the answer's head, by kind of route.",
                 &LATENCY_BOUNDS,
                 &["kind"],
             )?,
-            calls: figures.counters(
+            calls: metrics.counters(
                 "engine_calls_total",
                 "Calls to engines by purpose and outcome.",
                 &["purpose", "outcome"],
             )?,
-            call_seconds: figures.histograms(
+            call_seconds: metrics.histograms(
                 "engine_call_seconds",
                 "Time of calls to engines, by purpose.",
                 &LATENCY_BOUNDS,
                 &["purpose"],
             )?,
-            store_calls: figures.counters(
+            store_calls: metrics.counters(
                 "store_calls_total",
                 "Calls to the key-value service by call and outcome.",
                 &["call", "outcome"],
             )?,
-            store_seconds: figures.histograms(
+            store_seconds: metrics.histograms(
                 "store_call_seconds",
                 "Time of calls to the key-value service, by call; a watch waits for changes.",
                 &LATENCY_BOUNDS,
                 &["call"],
             )?,
-            datagrams: figures.counters(
+            datagrams: metrics.counters(
                 "peer_datagrams_total",
                 "Datagrams between nodes by message and outcome.",
                 &["message", "outcome"],
             )?,
-            datagram_bytes: figures.counters(
+            datagram_bytes: metrics.counters(
                 "peer_datagram_bytes_total",
                 "Bytes of datagrams between nodes by message and outcome.",
                 &["message", "outcome"],
             )?,
-            is_relay: figures.gauge("is_relay", "1 if this node passes fleet-wide state on.")?,
-            reads_store: figures.gauge(
+            is_relay: metrics.gauge("is_relay", "1 if this node passes fleet-wide state on.")?,
+            reads_store: metrics.gauge(
                 "reads_store",
                 "1 if this node reads fleet-wide state from the key-value service.",
             )?,
-            authority_token: figures.gauge(
+            authority_token: metrics.gauge(
                 "authority_token",
                 "Fencing token of the lease, if this node holds it; 0 otherwise.",
             )?,
-            duty_calls: figures.counters(
+            duty_calls: metrics.counters(
                 "duty_calls_total",
                 "Calls to the platform that one node makes for all, by duty and outcome.",
                 &["duty", "outcome"],
             )?,
-            usage_counted: figures.gauge(
+            usage_counted: metrics.gauge(
                 "usage_requests",
                 "Requests of tenants that engines began for this node since its start.",
             )?,
-            report_age_ms: figures.gauge(
+            report_age_ms: metrics.gauge(
                 "load_age_ms",
                 "Mean age of the work that other nodes reported, in milliseconds.",
             )?,
-            repeats_left: figures.gauges(
+            repeats_left: metrics.gauges(
                 "repeated_sends_left",
                 "Repeated sends that this node may make now, by pool.",
                 &["pool"],
             )?,
-            in_flight: figures.gauge("forwarded_in_flight", "Requests under way.")?,
-            held_bytes: figures.gauge(
+            in_flight: metrics.gauge("forwarded_in_flight", "Requests under way.")?,
+            held_bytes: metrics.gauge(
                 "held_answer_bytes",
                 "Bytes of whole answers that callers have not read yet.",
             )?,
-            engines: figures.gauge("engines_accepting", "Engines that take new work.")?,
-            nodes: figures.gauge("nodes_known", "Nodes, this one among them.")?,
-            configuration: figures.gauge("declaration_revision", "Revision in force; 0 for none.")?,
-            choice_seconds: figures.histogram(
+            engines: metrics.gauge("engines_accepting", "Engines that take new work.")?,
+            nodes: metrics.gauge("nodes_known", "Nodes, this one among them.")?,
+            configuration: metrics.gauge("declaration_revision", "Revision in force; 0 for none.")?,
+            choice_seconds: metrics.histogram(
                 "choice_seconds",
                 "Time of one choice of engines for a prompt.",
                 &CHOICE_BOUNDS,
             )?,
-            load_age_seconds: figures.histogram(
+            load_age_seconds: metrics.histogram(
                 "choice_load_age_seconds",
                 "Mean age of the work that others reported, at each choice for a prompt.",
                 &LATENCY_BOUNDS,
             )?,
-            news_dropped: figures.counter(
+            news_dropped: metrics.counter(
                 "peer_news_dropped_total",
                 "News that were not passed on because too many waited.",
             )?,
-            invalid_rows: figures.counter(
+            invalid_rows: metrics.counter(
                 "peer_sums_unsound_total",
                 "Rows of figures of other nodes that were passed over because no node can have counted them.",
             )?,
-            room: RoomFigures::new(&figures)?,
-            bulk_dropped: figures.counter(
+            admission: AdmissionMetrics::new(&metrics)?,
+            bulk_dropped: metrics.counter(
                 "peer_answers_dropped_total",
                 "Datagrams of long answers to other nodes that were dropped because too many waited.",
             )?,
-            entries: figures.gauge("engine_entries", "Engines' entries known.")?,
-            parts: figures.gauge(
+            entries: metrics.gauge("engine_entries", "Engines' entries known.")?,
+            parts: metrics.gauge(
                 "prompt_parts_known",
                 "Parts of prompts known to be kept by engines.",
             )?,
-            code_collisions: figures.gauge(
+            code_collisions: metrics.gauge(
                 "engine_code_collisions",
                 "Engines whose short number another engine has too.",
             )?,
-            entries_unreadable: figures.counter(
+            entries_unreadable: metrics.counter(
                 "engine_entries_unreadable_total",
                 "Readings of engines' entries that name no engine.",
             )?,
-            crashes: figures.counter(
+            crashes: metrics.counter(
                 "engine_crashes_attributed_total",
                 "Requests that this node had at an engine when that ended.",
             )?,
-            requests_stopped: figures.gauge(
+            requests_stopped: metrics.gauge(
                 "requests_stopped",
                 "Requests that are refused because engines ended under them.",
             )?,
-            over_share: figures.counters(
+            over_share: metrics.counters(
                 "requests_over_share_total",
                 "Requests that were refused because their tenant was over its share, by pool.",
                 &["pool"],
             )?,
-            tenants_over_share: figures.gauges(
+            tenants_over_share: metrics.gauges(
                 "tenants_over_share",
                 "Tenants that ask for more than their share, by pool; all small ones count as one.",
                 &["pool"],
             )?,
-            signals: SignalFigures::new(&figures)?,
-            scaling: ScalingFigures::new(&figures)?,
-            sums: SumFigures::new(&figures)?,
-            registry: figures.into_registry(),
+            signals: SignalMetrics::new(&metrics)?,
+            scaling: ScalingMetrics::new(&metrics)?,
+            sums: FleetSumMetrics::new(&metrics)?,
+            registry: metrics.into_registry(),
         })
     }
 
-    /// Notes a request whose answer's head is decided.
+    /// Records the answer head of a request.
     pub(crate) fn request(&self, kind: Option<RouteKind>, status: StatusCode, took: Duration) {
         let kind = kind.map_or("none", kind_label);
         let requests = self.requests.with_label_values(&[kind, status.as_str()]);
@@ -225,7 +225,7 @@
         latency.observe(took.as_secs_f64());
     }
 
-    /// Notes a call to an engine.
+    /// Records a call to an engine.
     pub(crate) fn call(&self, call: &CallRecord) {
         let purpose = match call.purpose {
             CallPurpose::Prefill => "prefill",
@@ -238,75 +238,75 @@
         latency.observe(call.took.as_secs_f64());
     }
 
-    /// Notes a call to the key-value service.
+    /// Records a call to the key-value service.
     pub(crate) fn store_call(&self, call: &str, outcome: &str, took: Duration) {
         self.store_calls.with_label_values(&[call, outcome]).inc();
         let latency = self.store_seconds.with_label_values(&[call]);
         latency.observe(took.as_secs_f64());
     }
 
-    /// Notes a call that one node makes for all.
+    /// Records a call to the platform that the lease holder makes for the fleet.
     pub(crate) fn duty_call(&self, duty: &str, outcome: &str) {
         self.duty_calls.with_label_values(&[duty, outcome]).inc();
     }
 
-    /// Notes a choice of engines for a prompt, with the age of the work that decided it.
+    /// Records a choice of engines for a prompt, with the mean age of the load reports that it used.
     pub(crate) fn chosen(&self, took: Duration, load_age: Duration) {
         self.choice_seconds.observe(took.as_secs_f64());
         self.load_age_seconds.observe(load_age.as_secs_f64());
     }
 
-    /// Notes news that were not passed on.
+    /// Counts updates that were dropped instead of passed on.
     pub(crate) fn news_dropped(&self, count: u64) {
         self.news_dropped.inc_by(count);
     }
 
-    /// Notes rows of figures that no node can have counted.
+    /// Counts rows of reported figures that are out of range.
     pub(crate) fn invalid_rows(&self, count: usize) {
         self.invalid_rows.inc_by(count as u64);
     }
 
-    /// Notes what became of a request for a place in a pool that is short, and for how long it waited.
+    /// Records the outcome of a request for admission to an overloaded pool, and how long it waited.
     pub(crate) fn admission_decision(&self, outcome: &str, waited: Duration) {
-        self.room.decided(outcome, waited);
+        self.admission.record_decision(outcome, waited);
     }
 
-    /// Notes datagrams of long answers that were dropped.
+    /// Counts dropped datagrams of bulk answers.
     pub(crate) fn bulk_dropped(&self, count: u64) {
         self.bulk_dropped.inc_by(count);
     }
 
-    /// Notes a request that was refused because its tenant was over its share.
+    /// Counts a request that was refused because its tenant exceeded its share.
     pub(crate) fn over_share(&self, pool: &PoolName) {
         self.over_share.with_label_values(&[pool.as_str()]).inc();
     }
 
-    /// Notes a request that was at an engine when that ended.
+    /// Counts a request that was running on an engine when the engine ended.
     pub(crate) fn crash_attributed(&self) {
         self.crashes.inc();
     }
 
-    /// Notes what came of a question for leave, or of leave.
+    /// Counts the outcome of a permit request or of a permit.
     pub(crate) fn permit(&self, outcome: &str) {
         self.signals.permits.with_label_values(&[outcome]).inc();
     }
 
-    /// Notes an answer whose limit is no rate.
+    /// Counts an engine answer whose rate limit cannot be parsed.
     pub(crate) fn limit_unreadable(&self) {
         self.signals.limits_unreadable.inc();
     }
 
-    /// Notes an engine's entry that names no engine.
+    /// Counts an engine entry that cannot be parsed.
     pub(crate) fn entry_unreadable(&self) {
         self.entries_unreadable.inc();
     }
 
-    /// Notes a datagram between nodes.
+    /// Records a datagram between nodes.
     pub(crate) fn datagram(&self, message: &str, outcome: &str, bytes: usize) {
         let labels = [message, outcome];
         self.datagrams.with_label_values(&labels).inc();
-        let counted = self.datagram_bytes.with_label_values(&labels);
-        counted.inc_by(bytes as u64);
+        let bytes_total = self.datagram_bytes.with_label_values(&labels);
+        bytes_total.inc_by(bytes as u64);
     }
 }
 
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -1,4 +1,4 @@
-//! The pages of the metrics address: the figures, and the report of room and demand.
+//! HTTP endpoints of the metrics address: Prometheus metrics and the capacity report.
 
 use std::rc::Rc;
 
@@ -11,20 +11,20 @@
 use tokio::net::TcpListener;
 
 use super::ForwardingMetrics;
-use super::engine_signals::StandingSignals;
+use super::engine_signals::SignalCounts;
 use crate::context::Context;
 use crate::node::capacity::capacity_report;
 use crate::quarantine::evidence::stopped_count;
 
-/// Where the figures are.
+/// Path of the Prometheus metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Where the report of room and demand is.
-const ROOM_PATH: &str = "/room";
+/// Path of the capacity report.
+const CAPACITY_PATH: &str = "/room";
 
 impl ForwardingMetrics {
-    /// All figures, as they stand now.
-    fn text(&self, context: &Context) -> Result<String, prometheus::Error> {
+    /// Updates the gauges and encodes all metrics as text.
+    fn encode(&self, context: &Context) -> Result<String, prometheus::Error> {
         self.in_flight.set(context.in_flight.count() as i64);
         self.held_bytes.set(context.held_bytes.get() as i64);
         self.engines.set(context.fleet().len() as i64);
@@ -46,7 +46,7 @@
         self.usage_counted
             .set(context.usage.counted_requests() as i64);
         self.report_age_ms.set(report_age.as_millis() as i64);
-        self.signals.set(&standing_signals(context));
+        self.signals.set(&signal_counts(context));
         for sender in UNKNOWN_SENDERS {
             let seen = context.unknown_headers.seen(sender);
             self.signals.count_unknown_headers(sender, seen);
@@ -55,14 +55,14 @@
         self.set_repeats_left(context);
         self.scaling.set(&context.scaling_decisions.borrow());
         self.set_tenants_over_share(context);
-        self.room.set(context.admissions.summaries());
+        self.admission.set(context.admissions.summaries());
         self.sums.set(context, now);
         let mut buffer = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buffer)?;
         Ok(String::from_utf8_lossy(&buffer).into_owned())
     }
 
-    /// Only pools of the declaration in force have labels, so that these stay bounded.
+    /// Sets the gauge for pools of the current declaration only, so the number of labels is bounded.
     fn set_repeats_left(&self, context: &Context) {
         self.repeats_left.reset();
         let now = context.now();
@@ -83,9 +83,9 @@
     }
 }
 
-fn standing_signals(context: &Context) -> StandingSignals {
+fn signal_counts(context: &Context) -> SignalCounts {
     let router = context.router.borrow();
-    StandingSignals {
+    SignalCounts {
         draining: context.fleet().draining().len(),
         backing_off: router.signals.backing_off_count(context.now()),
         limited: router.signals.limits().iter().count(),
@@ -93,7 +93,7 @@
     }
 }
 
-/// Serves both pages on `listener` for as long as it is polled.
+/// Serves both endpoints on `listener`; never returns.
 pub(crate) async fn serve_metrics(context: Rc<Context>, listener: TcpListener) {
     let handler = move |request| answer(Rc::clone(&context), request);
     let limits = ServerLimits::default();
@@ -103,13 +103,13 @@
 async fn answer(context: Rc<Context>, request: Request) -> Answer {
     match request.path() {
         METRICS_PATH => metrics_answer(&context),
-        ROOM_PATH => json_answer(StatusCode::OK, &capacity_report(&context, context.now())),
+        CAPACITY_PATH => json_answer(StatusCode::OK, &capacity_report(&context, context.now())),
         _ => status_answer(StatusCode::NOT_FOUND),
     }
 }
 
 fn metrics_answer(context: &Context) -> Answer {
-    match context.metrics.text(context) {
+    match context.metrics.encode(context) {
         Ok(text) => text_answer(StatusCode::OK, text),
         Err(error) => text_answer(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()),
     }
--- a/crates/forwarding/src/node/metrics/figures.rs
+++ b/crates/forwarding/src/node/metrics/registry.rs
@@ -1,17 +1,17 @@
-//! Makes figures and registers them.
+//! Creates metrics and registers them.
 
 use prometheus::{
     GaugeVec, Histogram, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge,
     IntGaugeVec, Opts, Registry,
 };
 
-/// What all names begin with.
+/// Prefix of all metric names.
 const PREFIX: &str = "dalestand";
 
-/// A registry that makes its figures.
-pub(super) struct Figures(Registry);
+/// A Prometheus registry with constructors for registered metrics.
+pub(super) struct MetricsRegistry(Registry);
 
-impl Figures {
+impl MetricsRegistry {
     pub(super) fn new() -> Result<Self, prometheus::Error> {
         Ok(Self(Registry::new_custom(Some(PREFIX.to_owned()), None)?))
     }
@@ -54,8 +54,8 @@
         Ok(gauges)
     }
 
-    /// Gauges of figures that are no whole numbers.
-    pub(super) fn rates(
+    /// Floating-point gauges.
+    pub(super) fn float_gauges(
         &self,
         name: &str,
         help: &str,
@@ -66,7 +66,7 @@
         Ok(gauges)
     }
 
-    /// `bounds` are the upper bounds of its buckets, in seconds.
+    /// `bounds` are the upper bounds of the buckets, in seconds.
     pub(super) fn histogram(
         &self,
         name: &str,
--- a/crates/forwarding/src/node/metrics/sums.rs
+++ b/crates/forwarding/src/node/metrics/sums.rs
@@ -1,4 +1,4 @@
-//! Figures of pools that are summed over all nodes, as this node knows them.
+//! Metrics of pools, summed over all nodes as far as this node knows.
 
 use std::collections::BTreeSet;
 
@@ -6,37 +6,37 @@
 use dalestand_types::{MonotonicTime, PoolName};
 use prometheus::{GaugeVec, IntGaugeVec};
 
-use super::figures::Figures;
+use super::registry::MetricsRegistry;
 use crate::context::Context;
 use crate::node::capacity::{class_demand, figure_ages};
 
-/// Gauges of the sums.
-pub(super) struct SumFigures {
+/// Gauges of the fleet-wide sums.
+pub(super) struct FleetSumMetrics {
     requests_per_s: GaugeVec,
     requests: GaugeVec,
     slots: IntGaugeVec,
     ages_ms: IntGaugeVec,
 }
 
-impl SumFigures {
-    pub(super) fn new(figures: &Figures) -> Result<Self, prometheus::Error> {
+impl FleetSumMetrics {
+    pub(super) fn new(registry: &MetricsRegistry) -> Result<Self, prometheus::Error> {
         Ok(Self {
-            requests_per_s: figures.rates(
+            requests_per_s: registry.float_gauges(
                 "pool_requests_per_second",
                 "Requests a second of all nodes, by pool, priority and what came of them.",
                 &["pool", "priority", "what"],
             )?,
-            requests: figures.rates(
+            requests: registry.float_gauges(
                 "pool_requests",
                 "Requests of all nodes at one moment, by pool, priority and state.",
                 &["pool", "priority", "state"],
             )?,
-            slots: figures.gauges(
+            slots: registry.gauges(
                 "pool_slots",
                 "Requests that engines which take new work can run at once, by pool.",
                 &["pool"],
             )?,
-            ages_ms: figures.gauges(
+            ages_ms: registry.gauges(
                 "peer_sums_age_ms",
                 "Age of the newest figures of other nodes, in milliseconds.",
                 &["figures"],
@@ -44,8 +44,8 @@
         })
     }
 
-    /// Only pools and priorities of the declaration in force have labels, so that these stay bounded whatever other
-    /// nodes report.
+    /// Sets the gauges. Only pools and priorities of the current declaration get labels, so the number of
+    /// labels is bounded whatever other nodes report.
     pub(super) fn set(&self, context: &Context, now: MonotonicTime) {
         self.requests_per_s.reset();
         self.requests.reset();
@@ -91,7 +91,7 @@
         set(&self.requests, "returns_due", figures.returns_due);
     }
 
-    /// Figures of which nothing was heard have no age.
+    /// Sets the ages; figures that no other node reported have none.
     fn set_ages(&self, context: &Context, now: MonotonicTime) {
         self.ages_ms.reset();
         let ages = figure_ages(&context.sums, now);
--- a/crates/forwarding/src/node/mod.rs
+++ b/crates/forwarding/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node: settings, start, reload, stop, figures.
+//! Process of one node: settings, start, reload, stop, metrics and the capacity report.
 
 pub(crate) mod capacity;
 pub(crate) mod capacity_report;
--- a/crates/forwarding/src/node/ready.rs
+++ b/crates/forwarding/src/node/ready.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether callers are to be sent to this node.
+//! Readiness endpoint: tells the platform whether to send callers to this node.
 
 use std::rc::Rc;
 
@@ -6,7 +6,7 @@
 
 use crate::context::Context;
 
-/// Answers the question.
+/// Answers a readiness probe.
 pub(crate) async fn ready(context: Rc<Context>, request: Request) -> Answer {
     if request.path() != context.dialect.ready_path() {
         return status_answer(StatusCode::NOT_FOUND);
--- a/crates/forwarding/src/node/reload.rs
+++ b/crates/forwarding/src/node/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when a signal asks for it or the file has changed.
+//! Reloads the settings on SIGHUP or when the file has changed.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,40 +10,40 @@
 use crate::node::settings::ForwardingSettings;
 use crate::node::start::ReadSettings;
 
-/// How often the file is looked at without a signal.
-const LOOK_INTERVAL: Duration = Duration::from_secs(5);
+/// How often the file is read without a signal.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Reads the settings again for as long as it is polled. What cannot change while the process runs
-/// (addresses, name and zone) takes force at the next start.
+/// Reloads the settings on `hangup` and periodically; never returns. Only the retry limits take effect at
+/// once, everything else at the next start.
 pub(crate) async fn reload(context: Rc<Context>, read: ReadSettings, mut hangup: Signal) {
-    let mut known = context.settings.clone();
-    let mut unusable = false;
+    let mut current = context.settings.clone();
+    let mut was_unusable = false;
     loop {
-        let asked = tokio::time::timeout(LOOK_INTERVAL, hangup.recv())
+        let was_signalled = tokio::time::timeout(POLL_INTERVAL, hangup.recv())
             .await
             .is_ok();
         match read() {
             Ok(settings) => {
-                unusable = false;
-                if asked || settings != known {
-                    take(&context, &settings);
-                    known = settings;
+                was_unusable = false;
+                if was_signalled || settings != current {
+                    apply(&context, &settings);
+                    current = settings;
                 }
             }
             Err(error) => {
-                if asked || !unusable {
+                if was_signalled || !was_unusable {
                     log_event!(context.logger, Event::SettingsUnusable, "error" => error);
                 }
-                unusable = true;
+                was_unusable = true;
             }
         }
     }
 }
 
-fn take(context: &Context, settings: &ForwardingSettings) {
-    let terms = settings.retry_limits();
-    context.budget.borrow_mut().set_limits(terms);
-    log_event!(context.logger, Event::SettingsRead, "retry_ratio" => terms.ratio,
-        "retry_slack" => terms.slack,
-        "retry_window_ms" => terms.window.as_millis() as u64);
+fn apply(context: &Context, settings: &ForwardingSettings) {
+    let limits = settings.retry_limits();
+    context.budget.borrow_mut().set_limits(limits);
+    log_event!(context.logger, Event::SettingsRead, "retry_ratio" => limits.ratio,
+        "retry_slack" => limits.slack,
+        "retry_window_ms" => limits.window.as_millis() as u64);
 }
--- a/crates/forwarding/src/node/settings.rs
+++ b/crates/forwarding/src/node/settings.rs
@@ -16,139 +16,137 @@
     pub node: NodeId,
     /// Zone of the node.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Address on which callers connect.
     pub caller_listen: SocketAddr,
-    /// Where the node tells whether it is ready.
+    /// Address of the readiness endpoint.
     pub ready_listen: SocketAddr,
-    /// Where other nodes send their load (UDP).
+    /// UDP address on which the node receives messages from other nodes.
     pub peer_listen: SocketAddr,
-    /// Where metrics are told, under `/metrics`; nowhere if absent.
+    /// Address of the metrics endpoint (`/metrics`); no metrics are served if absent.
     #[serde(default)]
     pub metrics_listen: Option<SocketAddr>,
-    /// Speed of the node's own link, in megabits a second; unbounded if absent.
+    /// Bandwidth of the node's network link, in megabits per second; unlimited if absent.
     #[serde(default)]
     pub link_mbps: Option<f64>,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub key_value: SocketAddr,
-    /// Time for which an engine that leaves still serves after its entry says so or is gone, in
+    /// Time for which a draining engine still serves after its entry was changed or removed, in
     /// milliseconds.
     #[serde(default = "default_engine_drain_ms")]
     pub engine_drain_ms: u64,
-    /// Whether the whole fleet starts for the first time, so that no node is registered yet.
+    /// Whether the fleet starts for the first time, so that no node is registered yet.
     #[serde(default)]
     pub first_start: bool,
-    /// Repeated sends that all nodes may make together.
+    /// Retry budget of the whole fleet.
     pub retries: RetrySettings,
-    /// Planned stops.
+    /// Graceful shutdown.
     pub stop: StopSettings,
-    /// Role changes.
+    /// Role changes of engines.
     pub roles: RoleSettings,
-    /// Keys that are taken away; without a bound of their own if absent.
+    /// Revocation of API keys; if absent, there is no time limit for it.
     #[serde(default)]
     pub revocation: Option<RevocationSettings>,
-    /// Calls to the platform that one node makes for all; none if absent.
+    /// Calls to the platform that one node makes for the whole fleet; none if absent.
     #[serde(default)]
     pub duties: Option<DutySettings>,
-    /// The log.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
 }
 
-/// Keys that are taken away.
+/// Revocation of API keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RevocationSettings {
-    /// Time within which a key that was taken away is refused, in milliseconds.
+    /// Time within which a revoked key must be refused, in milliseconds.
     pub bound_ms: u64,
     /// Whether a node that could not confirm its declaration for that time refuses requests with
-    /// keys. If not, it goes on under the declaration that it knows.
+    /// keys. If false, it continues with the last known declaration.
     pub fail_closed: bool,
 }
 
-/// Calls to the platform that one node makes for all.
+/// Calls to the platform that one node makes for the whole fleet.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutySettings {
-    /// Where they are made.
+    /// Address of the platform service.
     pub address: SocketAddr,
-    /// The duties that the platform asks for. Names that are not known are passed over.
+    /// Duties that the platform asks for. Unknown names are ignored.
     pub names: Vec<String>,
-    /// Length of a window of usage, in seconds.
+    /// Length of a usage window, in seconds.
     #[serde(default)]
     pub usage_window_s: Option<f64>,
-    /// Time after the end of a window in which its usage must be reported, in seconds.
+    /// Time after the end of a window by which its usage must be reported, in seconds.
     #[serde(default)]
     pub usage_late_s: Option<f64>,
-    /// Spot engines for each engine of the operator's own number.
+    /// Spot engines for each engine of the operator's baseline.
     #[serde(default = "default_headroom")]
     pub engine_headroom: f64,
-    /// Share of the operator's own number of engines that stays at the full price.
+    /// Fraction of the operator's baseline that stays on demand, at the full price.
     #[serde(default)]
     pub on_demand_share: f64,
-    /// What the number of engines follows.
+    /// What determines the number of engines.
     #[serde(default)]
     pub scaling: ScalingMode,
-    /// What an engine at work is worth to callers, as a multiple of the full price.
+    /// Value of a busy engine to callers, as a multiple of the full price.
     #[serde(default = "default_engine_worth")]
     pub engine_worth: f64,
 }
 
-/// What the number of engines follows.
+/// What determines the number of engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ScalingMode {
-    /// The operator's own number and prices.
+    /// The operator's baseline and prices.
     #[default]
     Fixed,
-    /// Demand, prices and losses.
+    /// Demand, prices and spot losses.
     Demand,
 }
 
 /// Name of the duty to report usage by tenant.
 const USAGE_DUTY: &str = "usage_report";
 
-/// Name of the duty to set numbers of engines.
+/// Name of the duty to set engine counts.
 const SCALING_DUTY: &str = "autoscale";
 
-/// With twice the operator's number, half is left when two zones of four lose theirs.
+/// Twice the baseline leaves the full baseline when two of four zones lose their spot engines.
 fn default_headroom() -> f64 {
     2.0
 }
 
-/// Whoever pays the full price holds an engine at work to be worth that.
+/// An operator who pays the full price values a busy engine at least at that.
 fn default_engine_worth() -> f64 {
     1.0
 }
 
-/// How usage is reported.
+/// Timing of usage reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UsageSettings {
-    /// Length of a window.
+    /// Length of a usage window.
     pub window: Duration,
-    /// Time after the end of a window in which it must be reported.
+    /// Time after the end of a window by which it must be reported.
     pub report_deadline: Duration,
 }
 
-/// The shortest drain bound of a deployment so far.
 fn default_engine_drain_ms() -> u64 {
     2_000
 }
 
-/// Role changes.
+/// Role changes of engines.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RoleSettings {
-    /// Time to live of the lease under which roles are changed, in milliseconds. A new holder gives
-    /// no order within this time.
+    /// Time to live of the fleet lease, in milliseconds. A new holder sends no order for this long.
     pub lease_ms: u64,
 }
 
-/// The log.
+/// Logging.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// One in so many requests that went well is logged, the same ones at every node; 1 logs all.
-    /// Every failed request is logged.
+    /// One in this many successful requests is logged, the same ones at every node; 1 logs all.
+    /// Failed requests are always logged.
     pub complete_one_in: u64,
 }
 
@@ -160,36 +158,36 @@
     }
 }
 
-/// Repeated sends that all nodes may make together.
+/// Retry budget of the whole fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeated sends for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Repeated sends allowed besides.
+    /// Retries allowed in addition, regardless of the number of requests.
     pub slack: f64,
-    /// Length of the window, in seconds.
+    /// Window over which requests and retries are counted, in seconds.
     pub window_s: f64,
-    /// Whether a former life of the node may have made repeated sends.
+    /// Whether the node may have sent retries before this start.
     #[serde(default)]
     pub former_life: bool,
 }
 
-/// Planned stops.
+/// Graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StopSettings {
-    /// Time after which the process is killed, in seconds.
+    /// Time after which the platform kills the process, in seconds.
     pub grace_s: f64,
 }
 
-/// Why settings cannot be used.
+/// A reason why settings are unusable.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsFault {
-    /// The text is no settings file.
+    /// The text cannot be parsed.
     #[error("{0}")]
     Unreadable(String),
-    /// A figure lies outside its bounds.
+    /// A value is out of bounds.
     #[error("{field}: {value} must {bound}")]
     OutOfBounds {
         field: &'static str,
@@ -199,7 +197,7 @@
 }
 
 impl ForwardingSettings {
-    /// Parses and checks settings; every fault is listed.
+    /// Parses and validates settings; returns all faults.
     pub fn parse(text: &str) -> Result<Self, Vec<SettingsFault>> {
         let settings: Self = toml::from_str(text)
             .map_err(|error| vec![SettingsFault::Unreadable(error.to_string())])?;
@@ -301,8 +299,7 @@
         faults
     }
 
-    /// For how long a declaration that is not confirmed holds for requests with keys; `None` where it
-    /// holds for as long as it is known.
+    /// Time for which an unconfirmed declaration may be used to check keys; `None` if it has no limit.
     pub fn declaration_validity(&self) -> Option<Duration> {
         let revocation = self
             .revocation
@@ -310,7 +307,7 @@
         Some(Duration::from_millis(revocation.bound_ms))
     }
 
-    /// How usage is reported; `None` if that is no duty.
+    /// Timing of usage reports; `None` if reporting usage is not a duty.
     pub fn usage(&self) -> Option<UsageSettings> {
         let duties = self.duties.as_ref()?;
         if !duties.names.iter().any(|name| name == USAGE_DUTY) {
@@ -324,14 +321,14 @@
         })
     }
 
-    /// Whether the fleet sets the number of its engines.
+    /// Whether the fleet sets the number of its engines itself.
     pub fn scales_engines(&self) -> bool {
         let duties = self.duties.iter();
         let mut names = duties.flat_map(|duties| &duties.names);
         names.any(|name| name == SCALING_DUTY)
     }
 
-    /// What the operator allows when engines are ordered.
+    /// The operator's policy for ordering engines.
     pub fn scaling_policy(&self) -> ScalingPolicy {
         let duties = self.duties.as_ref();
         ScalingPolicy {
@@ -341,13 +338,13 @@
         }
     }
 
-    /// What the number of engines follows.
+    /// What determines the number of engines.
     pub fn scaling_mode(&self) -> ScalingMode {
         let duties = self.duties.as_ref();
         duties.map_or(ScalingMode::Fixed, |duties| duties.scaling)
     }
 
-    /// Bounds of the budget of repeated sends.
+    /// Limits of the retry budget.
     pub fn retry_limits(&self) -> SharedRetryLimits {
         SharedRetryLimits {
             ratio: self.retries.ratio,
@@ -356,30 +353,30 @@
         }
     }
 
-    /// Time to live of the lease under which roles are changed.
+    /// Time to live of the fleet lease.
     pub fn lease(&self) -> Duration {
         Duration::from_millis(self.roles.lease_ms)
     }
 
-    /// Time for which an engine that leaves still serves.
+    /// Time for which a draining engine still serves.
     pub fn engine_drain(&self) -> Duration {
         Duration::from_millis(self.engine_drain_ms)
     }
 
-    /// Time for which the node's own link carries so many bytes.
+    /// Time that the node's link takes to transmit `bytes`; zero if its bandwidth is unlimited.
     pub fn link_time(&self, bytes: usize) -> Duration {
         let bits = bytes as f64 * 8.0;
         let seconds = self.link_mbps.map_or(0.0, |mbps| bits / (mbps * 1e6));
         Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX)
     }
 
-    /// Bytes that the node's own link carries in `time`.
+    /// Bytes that the node's link transmits in `time`.
     pub fn link_bytes(&self, time: Duration) -> u32 {
         let bytes = |mbps: f64| mbps * 1e6 / 8.0 * time.as_secs_f64();
         self.link_mbps.map_or(u32::MAX, |mbps| bytes(mbps) as u32)
     }
 
-    /// Time after which the process is killed.
+    /// Time after which the platform kills the process.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.stop.grace_s)
     }
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -1,4 +1,4 @@
-//! Starts a forwarding node and stops it as planned.
+//! Starts the tasks of a forwarding node and runs it until shutdown.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -48,43 +48,43 @@
 use crate::roles::role_control::control_roles;
 use crate::serve::forward::forward;
 
-/// Time a caller has to send a head. Longer than any configuration asks for: a connection that a
-/// caller opened ahead must not be closed under it.
+/// Time allowed for a caller to send a request head. Long, so that connections that callers open in advance
+/// are not closed.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time an idle connection is kept, for the same reason.
+/// Time for which an idle connection is kept open; long for the same reason.
 const KEEP_ALIVE: Duration = Duration::from_secs(75);
 
-/// How often what is old is thrown away.
+/// How often expired state is removed.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A sweep that comes this late means that the process stood still.
-const PAUSE_NOTICED: Duration = Duration::from_millis(1_000);
+/// A sweep that is this late is logged as a pause of the process.
+const MIN_LOGGED_PAUSE: Duration = Duration::from_millis(1_000);
 
-/// Reads the settings again.
+/// Reads the settings again; an error lists every fault.
 pub type ReadSettings = Box<dyn Fn() -> Result<ForwardingSettings, String>>;
 
-/// What a forwarding node is made of.
+/// Parts of a forwarding node.
 pub struct ForwardingNode {
-    /// Its settings.
+    /// Settings at the start.
     pub settings: ForwardingSettings,
-    /// Reads the settings again; an error lists every fault.
+    /// Reads the settings again on a reload.
     pub read_settings: ReadSettings,
-    /// The words of callers and engines.
+    /// HTTP dialect of callers and engines.
     pub dialect: Rc<dyn Dialect>,
-    /// The form of what stands in the key-value service.
+    /// Format of the keys and values in the key-value service.
     pub form: Rc<dyn FleetForm>,
     /// The key-value service.
     pub store: Rc<dyn KeyValue>,
-    /// Calls that one node makes for all; `None` where the platform asks for none.
+    /// Calls to the platform that one node makes for the fleet; `None` if there are none.
     pub duty_calls: Option<Rc<dyn DutyCalls>>,
-    /// Headers that nothing here knows; the key-value service's client notes them too.
+    /// Collects unknown headers; shared with the client of the key-value service.
     pub unknown_headers: UnknownHeaders,
-    /// The log.
+    /// Logger of the process.
     pub logger: Logger,
 }
 
-/// Runs a node until a planned stop (SIGTERM or SIGINT) is over.
+/// Runs a node until it has shut down gracefully after SIGTERM or SIGINT.
 pub async fn run(node: ForwardingNode) -> Result<(), Report<ForwardingError>> {
     let settings = node.settings;
     let logger = node
@@ -113,12 +113,12 @@
     start_metrics(&context).await;
     let metered = MeteredStore::new(node.store, Rc::clone(&context));
     let store: Rc<dyn KeyValue> = Rc::new(EraStore::new(Rc::new(metered), Rc::clone(&context)));
-    let authority = start_followers(&context, &store);
-    // It is set once.
+    let fleet_lease = start_followers(&context, &store);
+    // This is the only place that sets it, so it cannot fail.
     let _ = context.quarantine.store.set(Rc::clone(&store));
-    start_spread(&context, &store, peer_socket);
+    start_dissemination(&context, &store, peer_socket);
     if let Some(calls) = node.duty_calls {
-        start_duties(&context, &store, &calls, &authority);
+        start_duties(&context, &store, &calls, &fleet_lease);
     }
     let sweeping = Rc::clone(&context);
     actix_rt::spawn(sweep(sweeping));
@@ -129,7 +129,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    // Further signals change nothing.
+    // Ignore further signals.
     actix_rt::spawn(async move { while terminate.recv().await.is_some() {} });
     stop(context, connections).await;
     Ok(())
@@ -157,7 +157,7 @@
     });
 }
 
-/// A node whose metrics cannot be told serves all the same.
+/// Starts the metrics endpoint; a node that cannot listen on its address serves without it.
 async fn start_metrics(context: &Rc<Context>) {
     let Some(address) = context.settings.metrics_listen else {
         return;
@@ -195,12 +195,12 @@
     };
     let declaration = DeclarationFollower(Rc::clone(context));
     let mut task = start(context.form.configuration_key());
-    if let Some(holds) = context.settings.declaration_validity() {
-        // Confirmed three times before it no longer holds: a call may be lost.
-        task.watch_wait = holds / 3;
+    if let Some(validity) = context.settings.declaration_validity() {
+        // Confirm it three times within its validity, as a call may be lost.
+        task.watch_wait = validity / 3;
     }
-    // Each node watches the declaration itself: it must be in force soon, and changes rarely. Relays pass
-    // it on to nodes that the service turns away.
+    // Every node watches the declaration itself, because it changes rarely and must take effect soon. Relays
+    // pass it on to nodes whose watch the service refuses.
     let always = watch::channel(true).1;
     actix_rt::spawn(follow(task, declaration, always));
     let engines = EngineFollower::new(Rc::clone(context));
@@ -210,8 +210,8 @@
         engines,
         context.dissemination.subscribe_reads_store(),
     ));
-    let authority = context.fleet_lease.clone();
-    let nodes = NodeFollower::new(Rc::clone(context), authority.clone());
+    let fleet_lease = context.fleet_lease.clone();
+    let nodes = NodeFollower::new(Rc::clone(context), fleet_lease.clone());
     actix_rt::spawn(follow(
         start(OWN_PREFIX),
         nodes,
@@ -221,32 +221,32 @@
     actix_rt::spawn(acquire_and_renew(
         holding,
         Rc::clone(store),
-        authority.clone(),
+        fleet_lease.clone(),
     ));
-    actix_rt::spawn(control_roles(Rc::clone(context), authority.clone()));
-    authority
+    actix_rt::spawn(control_roles(Rc::clone(context), fleet_lease.clone()));
+    fleet_lease
 }
 
-/// What one node does for all, whichever holds the authority.
+/// Starts the tasks that act for the whole fleet while this node holds the fleet lease.
 fn start_duties(
     context: &Rc<Context>,
     store: &Rc<dyn KeyValue>,
     calls: &Rc<dyn DutyCalls>,
-    authority: &FleetLease,
+    fleet_lease: &FleetLease,
 ) {
     let (context, store) = (Rc::clone(context), Rc::clone(store));
     if context.settings.scales_engines() {
         let (context, store) = (Rc::clone(&context), Rc::clone(&store));
-        let scaling = scale_engines(context, store, Rc::clone(calls), authority.clone());
+        let scaling = scale_engines(context, store, Rc::clone(calls), fleet_lease.clone());
         actix_rt::spawn(scaling);
     }
-    let reporting = report_usage(context, store, Rc::clone(calls), authority.clone());
+    let reporting = report_usage(context, store, Rc::clone(calls), fleet_lease.clone());
     actix_rt::spawn(reporting);
 }
 
-fn start_spread(context: &Rc<Context>, store: &Rc<dyn KeyValue>, socket: UdpSocket) {
+fn start_dissemination(context: &Rc<Context>, store: &Rc<dyn KeyValue>, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    // It is set once.
+    // This is the only place that sets it, so it cannot fail.
     let _ = context.permits.socket.set(Rc::clone(&socket));
     actix_rt::spawn(receive_state(Rc::clone(context), Rc::clone(&socket)));
     actix_rt::spawn(send_tables(Rc::clone(context), Rc::clone(&socket)));
@@ -265,14 +265,14 @@
     actix_rt::spawn(keep_registered(Rc::clone(context), Rc::clone(store)));
 }
 
-/// Throws away what is old, and notices when the process stood still.
+/// Removes expired state, logs pauses of the process and new unknown headers; never returns.
 async fn sweep(context: Rc<Context>) {
     let mut last = BootInstant::now();
     loop {
         actix_rt::time::sleep(SWEEP_INTERVAL).await;
         let passed = last.elapsed();
         last = BootInstant::now();
-        if passed > SWEEP_INTERVAL + PAUSE_NOTICED {
+        if passed > SWEEP_INTERVAL + MIN_LOGGED_PAUSE {
             log_event!(context.logger, Event::PauseNoticed,
                 "for_ms" => passed.as_millis() as u64);
         }
--- a/crates/forwarding/src/node/stop.rs
+++ b/crates/forwarding/src/node/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: callers are sent elsewhere first, then what is under way ends.
+//! Graceful shutdown: waits until the platform sends callers elsewhere, then drains the connections.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 
 use crate::context::Context;
 
-/// Time in which the platform notices that the node is not ready: two of its questions, one a
-/// second, and some more. Until then new callers come and are served.
-const NOTICE_TIME: Duration = Duration::from_millis(2_300);
+/// Time until the platform has noticed that the node is not ready: two probes, one second apart, and a
+/// margin. New callers are served until then.
+const UNREADY_NOTICE_TIME: Duration = Duration::from_millis(2_300);
 
-/// The process ends this long before it would be killed.
+/// The process exits this long before the platform would kill it.
 const GRACE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Stops as planned; yields when the process may end.
+/// Shuts the node down; returns when the process may exit.
 pub(crate) async fn stop(context: Rc<Context>, connections: Connections) {
     let begun = BootInstant::now();
     let grace = context.settings.grace().saturating_sub(GRACE_MARGIN);
     context.begin_stop();
     log_event!(context.logger, Event::StopBegun, "in_flight" => context.in_flight.count(),
         "connections" => connections.open());
-    sleep(NOTICE_TIME.min(grace / 3)).await;
-    let ended = async {
+    sleep(UNREADY_NOTICE_TIME.min(grace / 3)).await;
+    let drained = async {
         connections.stop_accepting().await;
         connections.drain().await;
     };
     let left = grace.saturating_sub(begun.elapsed());
-    let in_time = timeout(left, ended).await.is_ok();
+    let in_time = timeout(left, drained).await.is_ok();
     if !in_time {
         log_event!(context.logger, Event::StopCutConnections,
             "in_flight" => context.in_flight.count(), "connections" => connections.open());
