--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -235,7 +235,9 @@
     pub(crate) fn reset_engine(&self, engine: EngineKey) {
         self.router.borrow_mut().forget_engine(engine);
         let started_at_ms = self.started_at_ms(engine);
-        self.fleet.borrow_mut().set_born(engine, started_at_ms);
+        self.fleet
+            .borrow_mut()
+            .set_started_at_ms(engine, started_at_ms);
         if !self.fleet().draining().any(|draining| draining == engine) {
             return;
         }
--- a/crates/forwarding/src/dissemination/sums.rs
+++ b/crates/forwarding/src/dissemination/sums.rs
@@ -45,7 +45,7 @@
         let is_relay = context.dissemination.role(now).is_relay;
         if was_relay.replace(is_relay) == Some(false) && is_relay {
             // Replaced by the statistics of its members and of the other relays.
-            context.sums.forget(LoadSource::Fleet);
+            context.sums.forget_source(LoadSource::Fleet);
         }
         update_own_figures(&context, now);
         context.sums.refresh(now);
@@ -219,7 +219,7 @@
     match rows {
         SummedRows::Classes(rows) => {
             let received = rows.len();
-            let rows = rows.into_iter().filter(|row| row.figures.is_sound());
+            let rows = rows.into_iter().filter(|row| row.figures.is_valid());
             let rows: Vec<_> = rows
                 .map(|row| ((row.pool, row.priority), row.figures))
                 .collect();
@@ -233,7 +233,7 @@
             rows,
         }) => {
             let received = rows.len();
-            let rows = rows.into_iter().filter(|row| row.figures.is_sound());
+            let rows = rows.into_iter().filter(|row| row.figures.is_valid());
             let rows: Vec<_> = rows
                 .map(|row| (((pool.clone(), priority), row.tenant), row.figures))
                 .collect();
@@ -243,7 +243,7 @@
         }
         SummedRows::Slowness(rows) => {
             let received = rows.len();
-            let rows = rows.into_iter().filter(|row| row.figures.is_sound());
+            let rows = rows.into_iter().filter(|row| row.figures.is_valid());
             let rows: Vec<_> = rows
                 .map(|row| ((row.engine, row.kind), row.figures))
                 .collect();
