--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -63,7 +63,7 @@
                 excluded_until.insert(engine.key, now + MAX_EXECUTION_DELAY);
                 pending.record_order(now, engine.key, change);
             }
-            let not_sent = order_all(&context, &fleet_lease, &pool, engines, change).await;
+            let not_sent = send_orders(&context, &fleet_lease, &pool, engines, change).await;
             for engine in not_sent {
                 pending.remove(engine);
             }
@@ -72,7 +72,7 @@
 }
 
 /// Sends an order to each of `engines`, concurrently; returns those for which the order has no effect.
-async fn order_all(
+async fn send_orders(
     context: &Rc<Context>,
     fleet_lease: &FleetLease,
     pool: &PoolName,
--- a/crates/forwarding/tests/figures/mod.rs
+++ b/crates/forwarding/tests/figures/mod.rs
@@ -1,4 +1,4 @@
-//! The figures of a node: what they are called, and that they change. `docs/OPERATIONS.md` lists them.
+//! The metrics of a node change with its work, and `docs/OPERATIONS.md` lists all of them.
 
 use std::collections::BTreeSet;
 
@@ -6,7 +6,7 @@
 
 const CATALOGUE: &str = include_str!("../../../../docs/OPERATIONS.md");
 
-async fn figures_after_one_request() -> String {
+async fn metrics_after_one_request() -> String {
     let node = TestNode::start().await;
     let engine = TestEngine::start(succeeding);
     node.declare(1, "repeatable", 2, 1_000);
@@ -18,25 +18,25 @@
 }
 
 #[actix_rt::test]
-async fn calls_to_the_store_and_the_budget_of_repeated_sends_are_told() {
-    let figures = figures_after_one_request().await;
+async fn store_calls_and_the_retry_budget_are_exported() {
+    let metrics = metrics_after_one_request().await;
     let value = |name: &str| {
-        let line = figures.lines().find(|line| line.starts_with(name));
-        let line = line.unwrap_or_else(|| panic!("{name} in {figures}"));
+        let line = metrics.lines().find(|line| line.starts_with(name));
+        let line = line.unwrap_or_else(|| panic!("{name} in {metrics}"));
         let value = line.rsplit(' ').next().and_then(|value| value.parse().ok());
         value.unwrap_or(0.0_f64)
     };
-    let ranges = "dalestand_store_calls_total{call=\"page\",outcome=\"done\"}";
-    assert!(value(ranges) >= 3.0, "three prefixes are read");
+    let page_calls = "dalestand_store_calls_total{call=\"page\",outcome=\"done\"}";
+    assert!(value(page_calls) >= 3.0, "three prefixes are read");
     assert!(value("dalestand_store_call_seconds_count{call=\"page\"}") >= 3.0);
     let left = value("dalestand_repeated_sends_left{pool=\"pool\"}");
     assert!((1.0..=51.0).contains(&left), "{left}");
 }
 
 #[actix_rt::test]
-async fn the_catalogue_lists_every_figure() {
-    let figures = figures_after_one_request().await;
-    let reported: BTreeSet<&str> = figures
+async fn the_catalogue_lists_every_metric() {
+    let metrics = metrics_after_one_request().await;
+    let reported: BTreeSet<&str> = metrics
         .lines()
         .filter_map(|line| line.strip_prefix("# TYPE "))
         .filter_map(|line| line.split(' ').next())
--- a/crates/forwarding/tests/suspension.rs
+++ b/crates/forwarding/tests/suspension.rs
@@ -1,4 +1,4 @@
-//! A node whose machine was suspended: timers and `Instant` stood still, the world went on.
+//! A node after its machine was suspended, while timers and `Instant` stopped and real time passed.
 
 #[allow(
     dead_code,
@@ -15,20 +15,20 @@
 use dalestand_forwarding::ReportSources;
 use support::{TestEngine, TestNode, status, succeeding};
 
-/// Longer than any bound of these tests.
+/// Longer than any time limit in these tests.
 const SUSPENDED: Duration = Duration::from_secs(12);
 
-/// Time after its due within which an answer must come.
+/// Time after the resume within which an overdue answer must arrive.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
-fn silent(_head: &str, _stream: &mut TcpStream) {
+fn slow(_head: &str, _stream: &mut TcpStream) {
     thread::sleep(Duration::from_secs(3));
 }
 
-/// The declaration was not confirmed for longer than its keys hold, though the monotonic clock says
-/// otherwise: one of them may have been taken away meanwhile.
+/// The time since the declaration was confirmed includes a suspension, so a key that may have been revoked
+/// meanwhile is refused.
 #[actix_rt::test]
-async fn keys_do_not_hold_through_a_suspension() {
+async fn keys_are_refused_after_a_suspension() {
     let revocation = "[revocation]\nbound_ms = 10000\nfail_closed = true\n";
     let node = TestNode::start_with_table(revocation).await;
     let engine = TestEngine::start(succeeding);
@@ -44,23 +44,27 @@
 }
 
 #[actix_rt::test]
-async fn an_answer_that_fell_due_during_a_suspension_comes_soon_after() {
+async fn a_timeout_during_a_suspension_is_answered_soon_after() {
     let node = TestNode::start().await;
-    let engine = TestEngine::start(silent);
+    let engine = TestEngine::start(slow);
     node.declare(1, "once", 1, 10_000);
     node.list("e", &engine, "ready");
     node.settle().await;
-    let wakes = async {
+    let resume = async {
         actix_rt::time::sleep(Duration::from_millis(50)).await;
         suspend(SUSPENDED);
         Instant::now()
     };
-    let (late, woke) = tokio::join!(node.request("1", "/r/x"), wakes);
+    let (late, resumed_at) = tokio::join!(node.request("1", "/r/x"), resume);
     assert_eq!(status(&late), "504", "{late}");
-    assert!(woke.elapsed() < ANSWER_SLACK, "{:?}", woke.elapsed());
+    assert!(
+        resumed_at.elapsed() < ANSWER_SLACK,
+        "{:?}",
+        resumed_at.elapsed()
+    );
 }
 
-/// Engines, entries and connections that a node knew before are older after it, and still of use.
+/// Engines, entries and connections from before the suspension remain usable.
 #[actix_rt::test]
 async fn a_node_serves_after_a_suspension() {
     let node = TestNode::start().await;
@@ -75,9 +79,9 @@
     }
 }
 
-/// Figures of other nodes lapse after three seconds: a node that stood still for longer decides by its own.
+/// Figures of other nodes expire after three seconds, also if the node was suspended meanwhile.
 #[actix_rt::test]
-async fn a_node_that_stood_still_knows_only_its_own_demand() {
+async fn a_suspended_node_drops_figures_of_other_nodes() {
     let node = TestNode::start().await;
     let other = node.start_beside("node-2").await;
     let engine = TestEngine::start(succeeding);
@@ -85,7 +89,7 @@
     node.list("e", &engine, "ready");
     let until = Instant::now() + Duration::from_secs(10);
     while node.room().await.sources == ReportSources::default() {
-        assert!(Instant::now() < until, "the other node is heard");
+        assert!(Instant::now() < until, "the other node reports in time");
         other.request("1", "/r/x").await;
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
