--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -45,7 +45,7 @@
 
 impl Follower for DeclarationFollower {
     fn confirm(&self, called_at: BootInstant) {
-        self.0.declaration_confirmed(called_at);
+        self.0.confirm_declaration(called_at);
     }
 
     fn apply_listing(&self, listing: Listing, _after_outage: bool) {
