--- a/crates/claims/src/entry.rs
+++ b/crates/claims/src/entry.rs
@@ -1,4 +1,5 @@
-//! Entries of a shard's record and their text form, one a line.
+//! Entries of a shard's record and their text encoding: one entry per line, with fixed-width
+//! hexadecimal fields.
 
 use std::collections::HashMap;
 
@@ -7,28 +8,28 @@
 
 use crate::key::ClaimHash;
 
-/// Digits of a key's hash.
+/// Hexadecimal digits of a key hash.
 const HASH_DIGITS: usize = 24;
 
-/// Digits of a request's id.
+/// Hexadecimal digits of a request id.
 const REQUEST_DIGITS: usize = 32;
 
-/// Digits of a fingerprint.
+/// Hexadecimal digits of a fingerprint.
 const FINGERPRINT_DIGITS: usize = 8;
 
-/// Length of a line.
+/// Bytes in a line, without the newline.
 const LINE_LENGTH: usize = 1 + HASH_DIGITS + REQUEST_DIGITS + FINGERPRINT_DIGITS;
 
-/// How far a claimed request has come.
+/// Execution state of the request that claimed a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ClaimState {
-    /// It may be dispatched, may run, and its end was not told.
+    /// It may be dispatched or running; its end has not been recorded.
     Running,
-    /// It ran to its end.
+    /// It ran to completion.
     Complete,
-    /// It may have run.
+    /// It may or may not have run.
     Unknown,
-    /// It did not run: the key is free again.
+    /// It did not run, so its key is free again.
     NotRun,
 }
 
@@ -53,46 +54,46 @@
     }
 }
 
-/// A change of one key's claim.
+/// A change to the claim on one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The key.
+    /// Hash of the tenant and key.
     pub key: ClaimHash,
     /// The request that claims it.
     pub request: RequestId,
-    /// What the request asks for, hashed.
+    /// Hash of the request's content.
     pub fingerprint: u32,
-    /// How far it has come.
+    /// Execution state of the request.
     pub state: ClaimState,
 }
 
-/// A record that cannot be read.
+/// A stored record that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("line {line} of a claim record cannot be read")]
+#[error("line {line} of the claim record is malformed")]
 pub struct EntryError {
-    /// Line, counted from 1.
+    /// Number of the malformed line, counted from 1.
     pub line: usize,
 }
 
-/// A head with a batch in it. An end takes the place of the claim it ends, where that is still in
-/// the head, which saves half of the bytes.
-pub(crate) fn head_with_batch(head: &[Entry], batch: &[Entry]) -> Vec<Entry> {
+/// Adds a batch to a head. An end replaces the `Running` entry of its request if that is still in
+/// the head, so that a finished request takes one line instead of two.
+pub(crate) fn merge_batch(head: &[Entry], batch: &[Entry]) -> Vec<Entry> {
     let mut entries = head.to_vec();
     let running = head.iter().enumerate();
     let running: HashMap<(ClaimHash, RequestId), usize> = running
         .filter(|(_, entry)| entry.state == ClaimState::Running)
-        .map(|(place, entry)| ((entry.key, entry.request), place))
+        .map(|(index, entry)| ((entry.key, entry.request), index))
         .collect();
     for entry in batch {
         match running.get(&(entry.key, entry.request)) {
-            Some(place) => entries[*place] = *entry,
+            Some(index) => entries[*index] = *entry,
             None => entries.push(*entry),
         }
     }
     entries
 }
 
-/// Writes entries, oldest first.
+/// Encodes entries in the given order, which must be oldest first.
 pub fn entries_to_text(entries: &[Entry]) -> String {
     let mut text = String::with_capacity(entries.len() * (LINE_LENGTH + 1));
     for entry in entries {
@@ -105,15 +106,15 @@
     text
 }
 
-/// Reads entries.
+/// Decodes entries written by [`entries_to_text`].
 pub fn entries_from_text(text: &str) -> Result<Vec<Entry>, EntryError> {
     let lines = text.lines().enumerate();
     lines
-        .map(|(index, line)| entry(line).ok_or(EntryError { line: index + 1 }))
+        .map(|(index, line)| parse_entry(line).ok_or(EntryError { line: index + 1 }))
         .collect()
 }
 
-fn entry(line: &str) -> Option<Entry> {
+fn parse_entry(line: &str) -> Option<Entry> {
     if line.len() != LINE_LENGTH || !line.is_ascii() {
         return None;
     }
--- a/crates/claims/src/key.rs
+++ b/crates/claims/src/key.rs
@@ -1,27 +1,28 @@
-//! Hashes of claim keys, shards, and who leads a shard.
+//! Hashes of claim keys, their shards, and the choice of each shard's leader.
 
 use std::fmt;
 
 use dalestand_types::{NodeId, TenantName};
 use serde::{Deserialize, Serialize};
 
-/// Shards of all keys. A shard writes at most once in its write interval, so that the traffic of
-/// the key-value service is bounded however many requests there are.
+/// Number of shards. Each shard's write rate is limited, so this bounds the load on the key-value
+/// service independently of the request rate.
 pub const SHARD_COUNT: u16 = 16;
 
-/// Bits of a hash; two of a million keys meet with a chance of one in 10^17.
+/// Bits of a hash. Among a million keys a collision has a probability of about 10^-17.
 const HASH_BITS: u32 = 96;
 
-/// Hash of a tenant and its key.
+/// Hash of a tenant and an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimHash(pub(crate) u128);
 
-/// One of the shards.
+/// Number of a shard, below [`SHARD_COUNT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ShardId(pub u16);
 
 impl ClaimHash {
-    /// The hash of a tenant's key. Keys of different tenants, and of none, are different.
+    /// Hashes a key within the scope of its tenant: equal keys of different tenants, or of a tenant
+    /// and of no tenant, have different hashes.
     pub fn of(tenant: Option<&TenantName>, key: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
         if let Some(tenant) = tenant {
@@ -36,7 +37,7 @@
         Self(u128::from_le_bytes(bytes) >> (u128::BITS - HASH_BITS))
     }
 
-    /// The shard of this key.
+    /// The shard that stores this key.
     pub fn shard(self) -> ShardId {
         ShardId((self.0 % u128::from(SHARD_COUNT)) as u16)
     }
@@ -48,7 +49,7 @@
     }
 }
 
-/// The node that leads a shard, of those that are live: the highest by rendezvous hash.
+/// The leader of a shard: the live node with the highest rendezvous hash.
 pub fn shard_leader<'a>(
     shard: ShardId,
     live: impl Iterator<Item = &'a NodeId>,
--- a/crates/claims/src/lib.rs
+++ b/crates/claims/src/lib.rs
@@ -1,20 +1,21 @@
-//! At-most-once record of requests that may not be repeated.
+//! Claims that let a request with an idempotency key run at most once in the fleet.
 //!
-//! Keys are spread over a fixed number of shards. A shard's claims stand in the key-value service:
-//! one head record, replaced by compare-and-swap with every batch, and sealed segments that the
-//! head grew into, which run out with their lease. A node that leads a shard keeps a copy in
-//! memory and gathers claims into batches. Who leads is a matter of speed only: two leaders at
-//! once cannot both write after the same head, so a claim is granted once however many there are.
+//! Keys are hashed onto a fixed number of shards. A shard is stored in the key-value service as one
+//! head record, which every batch of claims replaces by compare-and-swap, and as sealed segments:
+//! full heads that were copied to keys of their own and expire with their lease. The leader of a
+//! shard caches its claims in memory and writes them in batches. Leadership only affects speed:
+//! of two leaders that write at once, one fails its compare-and-swap, so a key is still granted
+//! only once.
 //!
-//! Pure: [`Shard`] takes calls, time and the results of its actions, and yields actions and
-//! replies as values.
+//! The crate does no I/O. [`Shard`] takes calls, the current time and the results of its actions,
+//! and returns actions and replies as values.
 
 mod entry;
 mod key;
 mod message;
-mod pace;
 mod shard;
 mod table;
+mod write_rate;
 
 pub use entry::{ClaimState, Entry, EntryError, entries_from_text, entries_to_text};
 pub use key::{ClaimHash, SHARD_COUNT, ShardId, shard_leader};
--- a/crates/claims/src/message.rs
+++ b/crates/claims/src/message.rs
@@ -1,4 +1,4 @@
-//! What a shard takes and yields.
+//! Inputs and outputs of a shard.
 
 use std::time::Duration;
 
@@ -8,55 +8,56 @@
 use crate::entry::{ClaimState, Entry};
 use crate::key::ClaimHash;
 
-/// Names a caller of [`Shard::claim`], for its reply.
+/// Matches a reply to its call of [`Shard::claim`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
-/// Wish to run a request under a key.
+/// A request for the exclusive right to run under a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The key.
+    /// Hash of the tenant and key.
     pub key: ClaimHash,
-    /// The request that is to run.
+    /// The request that wants to run.
     pub request: RequestId,
-    /// What it asks for, hashed.
+    /// Hash of the request's content.
     pub fingerprint: u32,
 }
 
 /// Reply to a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// This request, and no other under the key, may run.
+    /// The request may run; no other request under the key may.
     Granted,
     /// Another request holds the key.
     Held {
         request: RequestId,
         state: ClaimState,
     },
-    /// The key is held for a request that asks for something else.
+    /// Another request with different content holds the key.
     KeyReused,
-    /// No claim can be made now; the request must not run.
+    /// The claim could not be made; the request must not run.
     Refused { retry_after: Duration },
 }
 
-/// What the driver is to do; each result is reported back.
+/// An operation for the driver, which reports the result back to the shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Read the head record and then the sealed segments.
+    /// Read the head record first and the sealed segments after it.
     Load,
-    /// Store a segment under the revision of the head it was, unless it is there already.
+    /// Store a copy of the head as a segment named after the head's revision, unless that segment
+    /// already exists.
     Seal { name: Revision, entries: Vec<Entry> },
-    /// Replace the head record, if it is still at `expected`.
+    /// Replace the head record if its revision is still `expected`.
     Write {
         expected: Option<Revision>,
         entries: Vec<Entry>,
     },
 }
 
-/// The record as it was read.
+/// A shard's record as read from the key-value service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadedRecord {
-    /// Revision of the head; `None` if there is none yet.
+    /// Revision of the head; `None` if there is no head yet.
     pub revision: Option<Revision>,
     /// Entries of the head.
     pub head: Vec<Entry>,
@@ -64,12 +65,12 @@
     pub sealed: Vec<Entry>,
 }
 
-/// Why a write or a seal has no answer that says it is done.
+/// Why a write or a seal was not confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteFailure {
-    /// Another head stands there.
+    /// The head has another revision than expected.
     Conflict,
-    /// It may have taken effect, now or later.
+    /// It may have taken effect, or may still do so.
     InDoubt,
     /// It had no effect.
     NoEffect,
--- a/crates/claims/src/shard.rs
+++ b/crates/claims/src/shard.rs
@@ -1,83 +1,87 @@
-//! One shard at one node: batches claims into its record and answers from its copy.
+//! One shard on one node: batches claims into the stored record and answers from a cached copy.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 
 use dalestand_types::{MonotonicTime, RequestId, Revision};
 
-use crate::entry::{ClaimState, Entry, head_with_batch};
+use crate::entry::{ClaimState, Entry, merge_batch};
 use crate::message::{Action, Claim, LoadedRecord, Reply, Ticket, WriteFailure};
-use crate::pace::WritePace;
 use crate::table::ClaimTable;
+use crate::write_rate::WriteRateLimiter;
 
-/// Longest wait of a claim before it is refused.
-const CLAIM_WAIT: Duration = Duration::from_millis(4_000);
+/// Longest time a claim may be pending before it is refused.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(4_000);
 
-/// A copy that was not confirmed for this long is read again before it says that a key is held:
-/// another leader may have written since.
-const COPY_LIFETIME: Duration = Duration::from_secs(5);
+/// A copy older than this is read again before it is used to refuse a claim, since another leader
+/// may have written in the meantime.
+const MAX_COPY_AGE: Duration = Duration::from_secs(5);
 
-/// After this long a request whose end was not told counts as one whose end is not known: the
-/// node that ran it is most likely gone.
-const RUNNING_LIMIT: Duration = Duration::from_secs(120);
+/// A request whose end was not recorded within this time counts as [`ClaimState::Unknown`]: the
+/// node that ran it has probably failed.
+const RUNNING_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// Pause after a failed call.
-const FAILURE_PAUSE: Duration = Duration::from_millis(1_000);
+/// Delay after a failed call, and the retry delay given to refused callers.
+const RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// Entries of a head record beyond which it is sealed; about 16 KiB of text.
-const HEAD_ENTRIES: usize = 240;
+/// Entries at which a head is sealed; about 16 KiB of text.
+const MAX_HEAD_ENTRIES: usize = 240;
 
-/// Ends of requests kept for the next write; older ones are dropped, their claims then count as
-/// running until they are forgotten.
-const MAX_WAITING_ENDS: usize = 10_000;
+/// Most ends that wait for a write; further ones are dropped, and their claims count as running
+/// until they time out.
+const MAX_PENDING_ENDS: usize = 10_000;
 
-/// Most claims that wait for a write.
-const MAX_WAITING_CLAIMS: usize = 2_000;
+/// Most claims that wait for a write; further ones are refused.
+const MAX_PENDING_CLAIMS: usize = 2_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
+    /// The record has to be read before anything else is done.
     Unloaded,
-    /// The copy is that of the head at its revision.
+    /// The copy matches the head at `revision`.
     Ready,
-    /// An action's result is awaited.
+    /// An action is in progress.
     Busy,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct WaitingClaim {
+struct PendingClaim {
     ticket: Ticket,
     claim: Claim,
     refuse_at: MonotonicTime,
-    /// Whether a write of it is in doubt.
+    /// Whether an unconfirmed write may have stored this claim.
     in_doubt: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct WaitingEnd {
+struct PendingEnd {
     entry: Entry,
-    taken_at: MonotonicTime,
+    received_at: MonotonicTime,
 }
 
-/// One shard at one node.
+/// State of one shard on one node.
 pub struct Shard {
     phase: Phase,
     table: ClaimTable,
-    /// When the call was made that last showed the copy to be that of the record.
+    /// When the last call that confirmed the copy was started.
     confirmed_at: MonotonicTime,
-    /// When the call under way was made.
-    called_at: MonotonicTime,
+    /// When the call in progress was started.
+    call_started_at: MonotonicTime,
     revision: Option<Revision>,
     head: Vec<Entry>,
-    sealed: bool,
-    claims: VecDeque<WaitingClaim>,
-    ends: VecDeque<WaitingEnd>,
-    /// What the write under way adds to the head.
+    /// Whether the head was copied to a segment, so that the next write starts an empty one.
+    head_sealed: bool,
+    claims: VecDeque<PendingClaim>,
+    ends: VecDeque<PendingEnd>,
+    /// Entries that the write in progress adds to the head.
     batch: Vec<Entry>,
-    /// How many of the waiting claims are in it.
-    batch_claims: usize,
-    batch_ends: usize,
-    not_before: MonotonicTime,
-    pace: WritePace,
+    /// Number of pending claims in `batch`.
+    batch_claim_count: usize,
+    /// Number of pending ends in `batch`.
+    batch_end_count: usize,
+    /// Earliest time of the next call to the key-value service.
+    next_call_at: MonotonicTime,
+    write_rate: WriteRateLimiter,
     replies: Vec<(Ticket, Reply)>,
 }
 
@@ -87,36 +91,36 @@
             phase: Phase::Unloaded,
             table: ClaimTable::default(),
             confirmed_at: MonotonicTime::ZERO,
-            called_at: MonotonicTime::ZERO,
+            call_started_at: MonotonicTime::ZERO,
             revision: None,
             head: Vec::new(),
-            sealed: false,
+            head_sealed: false,
             claims: VecDeque::new(),
             ends: VecDeque::new(),
             batch: Vec::new(),
-            batch_claims: 0,
-            batch_ends: 0,
-            not_before: MonotonicTime::ZERO,
-            pace: WritePace::default(),
+            batch_claim_count: 0,
+            batch_end_count: 0,
+            next_call_at: MonotonicTime::ZERO,
+            write_rate: WriteRateLimiter::default(),
             replies: Vec::new(),
         }
     }
 }
 
 impl Shard {
-    /// Takes a claim; its reply comes from [`Self::take_replies`], now or later.
+    /// Submits a claim. [`Self::take_replies`] returns its reply, at once or after a later event.
     pub fn claim(&mut self, now: MonotonicTime, ticket: Ticket, claim: Claim) {
         if self.is_confirmed(now)
-            && let Some(reply) = self.known(now, &claim)
+            && let Some(reply) = self.reply_from_copy(now, &claim)
         {
             self.replies.push((ticket, reply));
             return;
         }
-        let waiting = self.claims.iter().map(|waiting| &waiting.claim);
-        let other = waiting
+        let pending = self.claims.iter().map(|pending| &pending.claim);
+        let other = pending
             .filter(|other| other.key == claim.key && other.request != claim.request)
             .map(|other| {
-                held(
+                held_reply(
                     other.request,
                     other.fingerprint,
                     ClaimState::Running,
@@ -128,21 +132,21 @@
             self.replies.push((ticket, reply));
             return;
         }
-        if self.claims.len() >= MAX_WAITING_CLAIMS || !self.table.has_capacity() {
-            self.replies.push((ticket, refused()));
+        if self.claims.len() >= MAX_PENDING_CLAIMS || !self.table.has_capacity() {
+            self.replies.push((ticket, refused_reply()));
             return;
         }
-        self.claims.push_back(WaitingClaim {
+        self.claims.push_back(PendingClaim {
             ticket,
             claim,
-            refuse_at: now + CLAIM_WAIT,
+            refuse_at: now + CLAIM_TIMEOUT,
             in_doubt: false,
         });
     }
 
-    /// Takes the end of a claimed request, for the next write.
+    /// Queues the end of a claimed request for the next write.
     pub fn record_end(&mut self, now: MonotonicTime, claim: Claim, state: ClaimState) {
-        if self.ends.len() >= MAX_WAITING_ENDS {
+        if self.ends.len() >= MAX_PENDING_ENDS {
             return;
         }
         let entry = Entry {
@@ -151,71 +155,71 @@
             fingerprint: claim.fingerprint,
             state,
         };
-        let taken_at = now;
-        self.ends.push_back(WaitingEnd { entry, taken_at });
+        let received_at = now;
+        self.ends.push_back(PendingEnd { entry, received_at });
     }
 
-    /// Replies that are due.
+    /// Removes and returns the replies that are ready.
     pub fn take_replies(&mut self) -> Vec<(Ticket, Reply)> {
         std::mem::take(&mut self.replies)
     }
 
-    /// When [`Self::tick`] has something to do next; `None` if nothing waits or a result is
-    /// awaited.
+    /// When [`Self::tick`] is due next; `None` if nothing is pending or a call is in progress.
     pub fn wake_at(&self) -> Option<MonotonicTime> {
         if self.phase == Phase::Busy || (self.claims.is_empty() && self.ends.is_empty()) {
             return None;
         }
-        let refusal = self.claims.front().map(|waiting| waiting.refuse_at);
-        Some(refusal.map_or(self.not_before, |at| at.min(self.not_before)))
+        let refusal = self.claims.front().map(|pending| pending.refuse_at);
+        Some(refusal.map_or(self.next_call_at, |at| at.min(self.next_call_at)))
     }
 
-    /// Yields what is to be done at `now`.
+    /// Returns the next action, if one is due.
     pub fn tick(&mut self, now: MonotonicTime) -> Option<Action> {
         if self.phase == Phase::Busy {
             return None;
         }
         self.table.expire(now);
         self.refuse_overdue(now);
-        if now < self.not_before || (self.claims.is_empty() && self.ends.is_empty()) {
+        if now < self.next_call_at || (self.claims.is_empty() && self.ends.is_empty()) {
             return None;
         }
-        if self.phase == Phase::Unloaded || self.must_read_again(now) {
+        if self.phase == Phase::Unloaded || self.must_reload(now) {
             self.phase = Phase::Busy;
-            self.called_at = now;
+            self.call_started_at = now;
             return Some(Action::Load);
         }
-        self.answer_known(now);
-        self.gather_batch();
+        self.answer_from_copy(now);
+        self.build_batch();
         if self.batch.is_empty() {
             return None;
         }
         self.phase = Phase::Busy;
-        self.called_at = now;
+        self.call_started_at = now;
         Some(self.write_action())
     }
 
     fn is_confirmed(&self, now: MonotonicTime) -> bool {
-        now.since(self.confirmed_at) < COPY_LIFETIME
+        now.since(self.confirmed_at) < MAX_COPY_AGE
     }
 
-    /// Whether a copy that may be outdated says that a waiting claim's key is held, or that a
-    /// request which ended does not hold its key.
-    fn must_read_again(&self, now: MonotonicTime) -> bool {
+    /// Whether the copy has to be read again, because a possibly outdated copy says that the key of
+    /// a pending claim is held or that an ended request does not hold its key.
+    fn must_reload(&self, now: MonotonicTime) -> bool {
         let mut claims = self.claims.iter();
         let mut ends = self.ends.iter();
-        ends.any(|end| end.taken_at > self.confirmed_at && !self.takes_effect(&end.entry))
-            || !self.is_confirmed(now) && claims.any(|one| self.known(now, &one.claim).is_some())
+        ends.any(|end| end.received_at > self.confirmed_at && !self.takes_effect(&end.entry))
+            || !self.is_confirmed(now)
+                && claims.any(|pending| self.reply_from_copy(now, &pending.claim).is_some())
     }
 
-    /// Whether an end is of the request that holds its key, or frees a key.
+    /// Whether an end frees its key or belongs to the request that holds the key.
     fn takes_effect(&self, end: &Entry) -> bool {
         end.state == ClaimState::NotRun || self.table.is_held_by(end.key, end.request)
     }
 
     fn write_action(&self) -> Action {
-        if self.head.len() >= HEAD_ENTRIES
-            && !self.sealed
+        if self.head.len() >= MAX_HEAD_ENTRIES
+            && !self.head_sealed
             && let Some(name) = self.revision
         {
             let entries = self.head.clone();
@@ -227,65 +231,71 @@
         }
     }
 
-    /// The head that the write under way puts in place.
+    /// The head that the write in progress stores.
     fn next_head(&self) -> Vec<Entry> {
-        let head = if self.sealed { &[][..] } else { &self.head };
-        head_with_batch(head, &self.batch)
+        let head = if self.head_sealed {
+            &[][..]
+        } else {
+            &self.head
+        };
+        merge_batch(head, &self.batch)
     }
 
-    /// The record was read.
+    /// Reports that [`Action::Load`] succeeded.
     pub fn load_succeeded(&mut self, now: MonotonicTime, loaded: LoadedRecord) {
         self.phase = Phase::Ready;
-        self.confirmed_at = self.called_at;
+        self.confirmed_at = self.call_started_at;
         self.table = ClaimTable::default();
         for entry in loaded.sealed.iter().chain(&loaded.head) {
             self.table.apply(now, entry);
         }
         self.revision = loaded.revision;
         self.head = loaded.head;
-        self.sealed = false;
-        self.answer_known(now);
+        self.head_sealed = false;
+        self.answer_from_copy(now);
     }
 
-    /// The record could not be read.
+    /// Reports that [`Action::Load`] failed.
     pub fn load_failed(&mut self, now: MonotonicTime) {
         self.phase = Phase::Unloaded;
         self.back_off(now);
     }
 
-    /// The segment is stored; the head may start anew.
+    /// Reports that [`Action::Seal`] succeeded.
     pub fn segment_sealed(&mut self) {
         self.phase = Phase::Ready;
-        self.sealed = true;
+        self.head_sealed = true;
     }
 
-    /// The head was replaced.
+    /// Reports that [`Action::Write`] succeeded.
     pub fn write_succeeded(&mut self, now: MonotonicTime, revision: Revision) {
         self.phase = Phase::Ready;
-        self.confirmed_at = self.called_at;
+        self.confirmed_at = self.call_started_at;
         self.revision = Some(revision);
         self.head = self.next_head();
-        self.sealed = false;
+        self.head_sealed = false;
         for entry in std::mem::take(&mut self.batch) {
             self.table.apply(now, &entry);
         }
-        self.ends.drain(..self.batch_ends);
-        let answered: Vec<WaitingClaim> = self.claims.drain(..self.batch_claims).collect();
-        for waiting in answered {
-            let reply = self.known(now, &waiting.claim).unwrap_or_else(refused);
-            self.replies.push((waiting.ticket, reply));
+        self.ends.drain(..self.batch_end_count);
+        let answered: Vec<PendingClaim> = self.claims.drain(..self.batch_claim_count).collect();
+        for pending in answered {
+            let reply = self
+                .reply_from_copy(now, &pending.claim)
+                .unwrap_or_else(refused_reply);
+            self.replies.push((pending.ticket, reply));
         }
-        self.not_before = self.pace.written(now);
+        self.next_call_at = self.write_rate.record_write(now);
     }
 
-    /// A write or a seal is not known to be done. The record is read before anything else is
-    /// decided: it says whether the write took effect after all.
+    /// Reports that a write or a seal was not confirmed. The record is read again before any further
+    /// decision, which shows whether the write took effect.
     pub fn write_failed(&mut self, now: MonotonicTime, failure: WriteFailure) {
         self.phase = Phase::Unloaded;
         self.batch.clear();
         if failure == WriteFailure::InDoubt {
-            for waiting in self.claims.iter_mut().take(self.batch_claims) {
-                waiting.in_doubt = true;
+            for pending in self.claims.iter_mut().take(self.batch_claim_count) {
+                pending.in_doubt = true;
             }
         }
         if failure == WriteFailure::NoEffect {
@@ -293,11 +303,11 @@
         }
     }
 
-    /// The key-value service is of no use for now: nobody is kept waiting.
+    /// Refuses all pending claims and delays the next call.
     fn back_off(&mut self, now: MonotonicTime) {
-        self.not_before = now + FAILURE_PAUSE;
-        while let Some(waiting) = self.claims.pop_front() {
-            self.refuse(now, &waiting);
+        self.next_call_at = now + RETRY_DELAY;
+        while let Some(pending) = self.claims.pop_front() {
+            self.refuse(now, &pending);
         }
     }
 
@@ -305,50 +315,51 @@
         while self
             .claims
             .front()
-            .is_some_and(|waiting| waiting.refuse_at <= now)
+            .is_some_and(|pending| pending.refuse_at <= now)
         {
-            if let Some(waiting) = self.claims.pop_front() {
-                self.refuse(now, &waiting);
+            if let Some(pending) = self.claims.pop_front() {
+                self.refuse(now, &pending);
             }
         }
     }
 
-    fn refuse(&mut self, now: MonotonicTime, waiting: &WaitingClaim) {
-        self.replies.push((waiting.ticket, refused()));
-        if waiting.in_doubt {
-            // The claim may stand in the record; it was not granted, so its request does not run.
-            self.record_end(now, waiting.claim, ClaimState::NotRun);
+    fn refuse(&mut self, now: MonotonicTime, pending: &PendingClaim) {
+        self.replies.push((pending.ticket, refused_reply()));
+        if pending.in_doubt {
+            // The claim may be stored but was not granted, so its request does not run.
+            self.record_end(now, pending.claim, ClaimState::NotRun);
         }
     }
 
-    /// Replies to waiting claims that the copy settles.
-    fn answer_known(&mut self, now: MonotonicTime) {
-        for waiting in std::mem::take(&mut self.claims) {
-            match self.known(now, &waiting.claim) {
-                Some(reply) => self.replies.push((waiting.ticket, reply)),
-                None => self.claims.push_back(waiting),
+    /// Replies to the pending claims that the copy can answer.
+    fn answer_from_copy(&mut self, now: MonotonicTime) {
+        for pending in std::mem::take(&mut self.claims) {
+            match self.reply_from_copy(now, &pending.claim) {
+                Some(reply) => self.replies.push((pending.ticket, reply)),
+                None => self.claims.push_back(pending),
             }
         }
     }
 
-    fn gather_batch(&mut self) {
-        self.drop_void_ends();
-        let claims = self.claims.iter().map(|waiting| Entry {
-            key: waiting.claim.key,
-            request: waiting.claim.request,
-            fingerprint: waiting.claim.fingerprint,
+    fn build_batch(&mut self) {
+        self.drop_ineffective_ends();
+        let claims = self.claims.iter().map(|pending| Entry {
+            key: pending.claim.key,
+            request: pending.claim.request,
+            fingerprint: pending.claim.fingerprint,
             state: ClaimState::Running,
         });
-        // Ends come first: one may free the key of a claim.
+        // Ends come first, since an end may free the key of a claim.
         let ends = self.ends.iter().map(|end| end.entry);
         self.batch = ends.chain(claims).collect();
-        self.batch_ends = self.ends.len();
-        self.batch_claims = self.claims.len();
+        self.batch_end_count = self.ends.len();
+        self.batch_claim_count = self.claims.len();
     }
 
-    /// Drops the ends of requests that do not hold their key, or are freed by another end: such an
-    /// end must not bring a claim back. The copy is that of the head which the write replaces.
-    fn drop_void_ends(&mut self) {
+    /// Drops the ends of requests that do not hold their key or that another pending end frees:
+    /// written, such an end would restore a claim. The copy matches the head that the write
+    /// replaces.
+    fn drop_ineffective_ends(&mut self) {
         let freed: HashSet<RequestId> = self
             .ends
             .iter()
@@ -363,8 +374,9 @@
         self.ends = ends;
     }
 
-    /// What the copy says of a claim; `None` if its key is free or the copy may be of use no more.
-    fn known(&self, now: MonotonicTime, claim: &Claim) -> Option<Reply> {
+    /// The reply to a claim according to the copy; `None` if its key is free or is freed by a
+    /// pending end.
+    fn reply_from_copy(&self, now: MonotonicTime, claim: &Claim) -> Option<Reply> {
         let record = self.table.get(claim.key)?;
         if record.request == claim.request && record.state == ClaimState::Running {
             return Some(Reply::Granted);
@@ -376,16 +388,16 @@
         if freed {
             return None;
         }
-        let silent = now.since(record.learned_at) > RUNNING_LIMIT;
+        let timed_out = now.since(record.learned_at) > RUNNING_TIMEOUT;
         let state = match record.state {
-            ClaimState::Running if silent => ClaimState::Unknown,
+            ClaimState::Running if timed_out => ClaimState::Unknown,
             state => state,
         };
-        Some(held(record.request, record.fingerprint, state, claim))
+        Some(held_reply(record.request, record.fingerprint, state, claim))
     }
 }
 
-fn held(request: RequestId, fingerprint: u32, state: ClaimState, claim: &Claim) -> Reply {
+fn held_reply(request: RequestId, fingerprint: u32, state: ClaimState, claim: &Claim) -> Reply {
     if fingerprint == claim.fingerprint {
         Reply::Held { request, state }
     } else {
@@ -393,8 +405,8 @@
     }
 }
 
-fn refused() -> Reply {
+fn refused_reply() -> Reply {
     Reply::Refused {
-        retry_after: FAILURE_PAUSE,
+        retry_after: RETRY_DELAY,
     }
 }
--- a/crates/claims/src/table.rs
+++ b/crates/claims/src/table.rs
@@ -1,4 +1,4 @@
-//! A shard's claims in memory.
+//! In-memory table of a shard's claims.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -8,22 +8,22 @@
 use crate::entry::{ClaimState, Entry};
 use crate::key::ClaimHash;
 
-/// A claim is remembered at least this long after it was made.
+/// Least time for which a claim is remembered.
 pub const CLAIM_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Most claims of a shard; beyond it new ones are refused. About 130 bytes each.
+/// Most claims per shard; further ones are refused. A claim takes about 130 bytes.
 pub const MAX_CLAIMS_PER_SHARD: usize = 100_000;
 
-/// What is known of a claimed key.
+/// The claim on one key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRecord {
     /// The request that claimed it.
     pub request: RequestId,
-    /// What that request asks for, hashed.
+    /// Hash of the request's content.
     pub fingerprint: u32,
-    /// How far it has come; never [`ClaimState::NotRun`].
+    /// Execution state of the request; never [`ClaimState::NotRun`].
     pub state: ClaimState,
-    /// When this node learnt of the claim.
+    /// When this node first read or wrote the claim.
     pub learned_at: MonotonicTime,
 }
 
@@ -31,39 +31,39 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClaimTable {
     claims: HashMap<ClaimHash, ClaimRecord>,
-    /// Keys in the order they were learnt.
+    /// Keys in the order of `learned_at`, oldest first.
     by_age: VecDeque<(MonotonicTime, ClaimHash)>,
 }
 
 impl ClaimTable {
-    /// What is known of a key.
+    /// The claim on a key, if there is one.
     pub fn get(&self, key: ClaimHash) -> Option<&ClaimRecord> {
         self.claims.get(&key)
     }
 
-    /// Whether a request holds a key.
+    /// Whether `request` holds the key.
     pub fn is_held_by(&self, key: ClaimHash, request: RequestId) -> bool {
         self.get(key)
             .is_some_and(|record| record.request == request)
     }
 
-    /// Claims held.
+    /// Number of claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether there is none.
+    /// Whether the table has no claims.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
 
-    /// Whether another claim fits.
+    /// Whether there is room for another claim.
     pub fn has_capacity(&self) -> bool {
         self.claims.len() < MAX_CLAIMS_PER_SHARD
     }
 
-    /// Applies an entry of the record. A change that names another request than the one that
-    /// holds the key changes nothing.
+    /// Applies an entry of the record. An entry of a request other than the one that holds the key
+    /// is ignored.
     pub fn apply(&mut self, now: MonotonicTime, entry: &Entry) {
         let held_by = self.claims.get(&entry.key).map(|record| record.request);
         if held_by.is_some_and(|request| request != entry.request) {
@@ -89,7 +89,7 @@
         self.by_age.push_back((now, entry.key));
     }
 
-    /// Forgets claims whose lifetime is over.
+    /// Removes claims older than [`CLAIM_LIFETIME`].
     pub fn expire(&mut self, now: MonotonicTime) {
         while let Some((learned_at, key)) = self.by_age.front().copied() {
             if now.since(learned_at) < CLAIM_LIFETIME {
--- a/crates/claims/tests/interleavings.rs
+++ b/crates/claims/tests/interleavings.rs
@@ -1,5 +1,5 @@
-//! Random interleavings of three leaders of one shard and a key-value service that loses answers
-//! and carries writes out late.
+//! A key is granted once under random interleavings of three leaders of one shard and a key-value
+//! service that loses requests and answers and applies writes late.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,29 +14,29 @@
 const LEADERS: usize = 3;
 const KEYS: usize = 3;
 
-/// Rounds without faults in which a fresh key must be granted at every leader.
-const FAIR_ROUNDS: usize = 40;
+/// Rounds without faults within which every leader must grant an unused key.
+const RECOVERY_ROUNDS: usize = 40;
 
-/// Entries put in at the start, so that the head is sealed soon.
-const FORMER_ENTRIES: u128 = 238;
+/// Entries in the first head, so that it is sealed soon.
+const INITIAL_ENTRIES: u128 = 238;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     Claim(usize, usize),
     Tick(usize),
     Deliver(usize),
     LoseCall(usize),
     LoseAnswer(usize),
     DelayCall(usize),
-    Arrive(usize),
+    ApplyLate(usize),
     Fail(usize),
     Restart(usize),
     End(usize, bool),
     Round,
 }
 
-/// A call to the service or its answer, under way.
+/// A call to the service, or its answer, in transit.
 #[derive(Clone, Debug)]
 enum Packet {
     ReadHead,
@@ -50,21 +50,21 @@
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
+struct InTransit {
     leader: usize,
-    life: u32,
+    restarts: u32,
     packet: Packet,
 }
 
 #[derive(Default)]
-struct World {
+struct Simulation {
     now: MonotonicTime,
     leaders: Vec<(Shard, u32)>,
     head: Option<(Revision, Vec<Entry>)>,
     segments: BTreeMap<Revision, Vec<Entry>>,
     revision: u64,
-    network: Vec<Sent>,
-    late: Vec<Sent>,
+    network: Vec<InTransit>,
+    late: Vec<InTransit>,
     claims: Vec<Claim>,
     granted: BTreeMap<ClaimHash, Claim>,
 }
@@ -73,9 +73,9 @@
     ClaimHash::of(None, &name.to_string())
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let former = (0..FORMER_ENTRIES).map(|number| Entry {
+        let previous = (0..INITIAL_ENTRIES).map(|number| Entry {
             key: ClaimHash::of(None, &format!("former {number}")),
             request: RequestId(u128::MAX - number),
             fingerprint: 0,
@@ -83,7 +83,7 @@
         });
         Self {
             leaders: (0..LEADERS).map(|_| (Shard::default(), 0)).collect(),
-            head: Some((Revision(1), former.collect())),
+            head: Some((Revision(1), previous.collect())),
             revision: 1,
             ..Self::default()
         }
@@ -91,53 +91,55 @@
 
     fn apply(&mut self, step: &Step) {
         match *step {
-            Step::Pass(milliseconds) => self.now = self.now + Duration::from_millis(milliseconds),
+            Step::Advance(milliseconds) => {
+                self.now = self.now + Duration::from_millis(milliseconds)
+            }
             Step::Claim(leader, name) => self.claim(leader, key(name)),
             Step::Tick(leader) => self.tick(leader),
-            Step::Deliver(place) => self.take(place, Self::deliver),
-            Step::LoseCall(place) => self.take(place, |world, sent| {
-                world.answer(&sent, in_doubt(&sent.packet));
+            Step::Deliver(index) => self.with_packet(index, Self::deliver),
+            Step::LoseCall(index) => self.with_packet(index, |simulation, sent| {
+                simulation.answer(&sent, in_doubt(&sent.packet));
             }),
-            Step::LoseAnswer(place) => self.take(place, |world, sent| {
-                world.act_late(&sent);
-                world.answer(&sent, in_doubt(&sent.packet));
+            Step::LoseAnswer(index) => self.with_packet(index, |simulation, sent| {
+                simulation.apply_late(&sent);
+                simulation.answer(&sent, in_doubt(&sent.packet));
             }),
-            Step::DelayCall(place) => self.take(place, |world, sent| {
-                world.answer(&sent, in_doubt(&sent.packet));
-                world.late.push(sent);
+            Step::DelayCall(index) => self.with_packet(index, |simulation, sent| {
+                simulation.answer(&sent, in_doubt(&sent.packet));
+                simulation.late.push(sent);
             }),
-            Step::Arrive(place) if !self.late.is_empty() => {
-                let sent = self.late.remove(place % self.late.len());
-                self.act_late(&sent);
+            Step::ApplyLate(index) if !self.late.is_empty() => {
+                let sent = self.late.remove(index % self.late.len());
+                self.apply_late(&sent);
             }
-            Step::Arrive(_) => {}
-            Step::Fail(place) => self.take(place, |world, sent| {
+            Step::ApplyLate(_) => {}
+            Step::Fail(index) => self.with_packet(index, |simulation, sent| {
                 let answer = match &sent.packet {
                     Packet::Act(_) => Packet::Failed(WriteFailure::NoEffect),
                     Packet::ReadHead | Packet::ReadSegments(..) => Packet::LoadFailed,
                     answer => answer.clone(),
                 };
-                world.answer(&sent, answer);
+                simulation.answer(&sent, answer);
             }),
             Step::Restart(leader) => {
-                let (shard, life) = &mut self.leaders[leader];
+                let (shard, restarts) = &mut self.leaders[leader];
                 *shard = Shard::default();
-                *life += 1;
+                *restarts += 1;
             }
-            Step::End(place, ran) => self.end(place, ran),
+            Step::End(index, ran) => self.end(index, ran),
             Step::Round => self.round(),
         }
     }
 
-    fn take(&mut self, place: usize, then: impl FnOnce(&mut Self, Sent)) {
+    fn with_packet(&mut self, index: usize, then: impl FnOnce(&mut Self, InTransit)) {
         if !self.network.is_empty() {
-            let sent = self.network.remove(place % self.network.len());
+            let sent = self.network.remove(index % self.network.len());
             then(self, sent);
         }
     }
 
-    fn answer(&mut self, sent: &Sent, packet: Packet) {
-        self.network.push(Sent {
+    fn answer(&mut self, sent: &InTransit, packet: Packet) {
+        self.network.push(InTransit {
             packet,
             ..sent.clone()
         });
@@ -156,9 +158,9 @@
         self.take_replies(leader);
     }
 
-    fn end(&mut self, place: usize, ran: bool) {
+    fn end(&mut self, index: usize, ran: bool) {
         let count = self.granted.len().max(1);
-        let Some(claim) = self.granted.values().nth(place % count).copied() else {
+        let Some(claim) = self.granted.values().nth(index % count).copied() else {
             return;
         };
         let state = if ran {
@@ -167,49 +169,50 @@
             self.granted.remove(&claim.key);
             ClaimState::NotRun
         };
-        self.leaders[place % LEADERS]
+        self.leaders[index % LEADERS]
             .0
             .record_end(self.now, claim, state);
     }
 
     fn tick(&mut self, leader: usize) {
-        let (shard, life) = &mut self.leaders[leader];
-        let life = *life;
+        let (shard, restarts) = &mut self.leaders[leader];
+        let restarts = *restarts;
         if let Some(action) = shard.tick(self.now) {
             let packet = match action {
                 Action::Load => Packet::ReadHead,
                 action => Packet::Act(action),
             };
-            self.network.push(Sent {
+            self.network.push(InTransit {
                 leader,
-                life,
+                restarts,
                 packet,
             });
         }
         self.take_replies(leader);
     }
 
-    /// A key is granted to a second request only after the first is known not to have run.
+    /// Checks that a key is granted to a second request only after the first is known not to have
+    /// run.
     fn take_replies(&mut self, leader: usize) {
         for (ticket, reply) in self.leaders[leader].0.take_replies() {
             let claim = self.claims[ticket.0 as usize];
             if reply == Reply::Granted {
-                let former = self.granted.insert(claim.key, claim);
+                let previous = self.granted.insert(claim.key, claim);
                 assert!(
-                    former.is_none_or(|former| former.request == claim.request),
+                    previous.is_none_or(|previous| previous.request == claim.request),
                     "a key was granted twice"
                 );
             }
         }
     }
 
-    fn act_late(&mut self, sent: &Sent) {
+    fn apply_late(&mut self, sent: &InTransit) {
         if let Packet::Act(action) = &sent.packet {
-            self.act(action);
+            self.apply_action(action);
         }
     }
 
-    fn act(&mut self, action: &Action) -> Packet {
+    fn apply_action(&mut self, action: &Action) -> Packet {
         match action {
             Action::Load => Packet::ReadHead,
             Action::Seal { name, entries } => {
@@ -217,8 +220,8 @@
                 Packet::Sealed
             }
             Action::Write { expected, entries } => {
-                let stands = self.head.as_ref().map(|(revision, _)| *revision);
-                if stands != *expected {
+                let current = self.head.as_ref().map(|(revision, _)| *revision);
+                if current != *expected {
                     return Packet::Failed(WriteFailure::Conflict);
                 }
                 self.revision += 1;
@@ -229,10 +232,10 @@
         }
     }
 
-    fn deliver(&mut self, sent: Sent) {
+    fn deliver(&mut self, sent: InTransit) {
         let now = self.now;
-        let (shard, life) = &mut self.leaders[sent.leader];
-        let to_leader = *life == sent.life;
+        let (shard, restarts) = &mut self.leaders[sent.leader];
+        let to_leader = *restarts == sent.restarts;
         match &sent.packet {
             Packet::ReadHead => {
                 let (revision, head) = match self.head.clone() {
@@ -250,7 +253,7 @@
                 self.answer(&sent, Packet::Read(loaded));
             }
             Packet::Act(action) => {
-                let answer = self.act(action);
+                let answer = self.apply_action(action);
                 self.answer(&sent, answer);
             }
             _ if !to_leader => {}
@@ -269,18 +272,18 @@
             self.tick(leader);
         }
         for _ in 0..self.network.len() {
-            self.take(0, Self::deliver);
+            self.with_packet(0, Self::deliver);
         }
     }
 
     fn check_recovery(&mut self) {
-        for _ in 0..FAIR_ROUNDS {
+        for _ in 0..RECOVERY_ROUNDS {
             self.round();
         }
         for leader in 0..LEADERS {
             let fresh = ClaimHash::of(None, &format!("fresh {leader}"));
             self.claim(leader, fresh);
-            for _ in 0..FAIR_ROUNDS {
+            for _ in 0..RECOVERY_ROUNDS {
                 self.round();
             }
             assert!(
@@ -291,7 +294,7 @@
     }
 }
 
-/// What a leader makes of a call that it gives up.
+/// The result that a leader records for a call that it abandons.
 fn in_doubt(packet: &Packet) -> Packet {
     match packet {
         Packet::Act(_) | Packet::Sealed | Packet::Written(_) | Packet::Failed(_) => {
@@ -304,25 +307,24 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let place = any::<usize>;
+    let index = any::<usize>;
     prop_oneof![
-        3 => (1..1_500_u64).prop_map(Step::Pass),
+        3 => (1..1_500_u64).prop_map(Step::Advance),
         5 => (0..LEADERS, 0..KEYS).prop_map(|(leader, key)| Step::Claim(leader, key)),
         6 => (0..LEADERS).prop_map(Step::Tick),
-        14 => place().prop_map(Step::Deliver),
-        1 => place().prop_map(Step::LoseCall),
-        2 => place().prop_map(Step::LoseAnswer),
-        2 => place().prop_map(Step::DelayCall),
-        2 => place().prop_map(Step::Arrive),
-        1 => place().prop_map(Step::Fail),
+        14 => index().prop_map(Step::Deliver),
+        1 => index().prop_map(Step::LoseCall),
+        2 => index().prop_map(Step::LoseAnswer),
+        2 => index().prop_map(Step::DelayCall),
+        2 => index().prop_map(Step::ApplyLate),
+        1 => index().prop_map(Step::Fail),
         1 => (0..LEADERS).prop_map(Step::Restart),
-        3 => (place(), any::<bool>()).prop_map(|(place, ran)| Step::End(place, ran)),
+        3 => (index(), any::<bool>()).prop_map(|(index, ran)| Step::End(index, ran)),
         4 => Just(Step::Round),
     ]
 }
 
-/// Fixed cases, or a longer search: `DALESTAND_SEARCH_CASES` and `DALESTAND_SEARCH_SEED` set the
-/// number of cases and the seed.
+/// `DALESTAND_SEARCH_CASES` and `DALESTAND_SEARCH_SEED` override the number of cases and the seed.
 fn config() -> ProptestConfig {
     let number = |name: &str| std::env::var(name).ok()?.parse::<u64>().ok();
     ProptestConfig {
@@ -339,10 +341,10 @@
 
     #[test]
     fn a_key_is_granted_once(steps in prop::collection::vec(step(), 0..200)) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in &steps {
-            world.apply(step);
+            simulation.apply(step);
         }
-        world.check_recovery();
+        simulation.check_recovery();
     }
 }
--- a/crates/claims/tests/late_ends.rs
+++ b/crates/claims/tests/late_ends.rs
@@ -1,4 +1,4 @@
-//! The end of a request that no longer holds its key changes nothing.
+//! The end of a request that does not hold its key must not change the claim on that key.
 
 use dalestand_claims::{
     Action, Claim, ClaimHash, ClaimState, Entry, LoadedRecord, Reply, Shard, Ticket,
@@ -7,7 +7,7 @@
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(10_000);
 
-/// Later than the least time between two writes.
+/// Late enough for a further write.
 const LATER: MonotonicTime = MonotonicTime::from_millis(13_000);
 
 fn claim(request: u128) -> Claim {
@@ -18,7 +18,7 @@
     }
 }
 
-fn written(shard: &mut Shard) -> Vec<Entry> {
+fn next_write(shard: &mut Shard) -> Vec<Entry> {
     match shard.tick(NOW) {
         Some(Action::Write { entries, .. }) => entries,
         other => panic!("a write is due: {other:?}"),
@@ -33,7 +33,7 @@
     shard.claim(NOW, Ticket(4), claim(4));
     assert_eq!(shard.tick(NOW), Some(Action::Load));
     shard.load_succeeded(NOW, LoadedRecord::default());
-    let head = written(&mut shard);
+    let head = next_write(&mut shard);
     shard.write_succeeded(NOW, Revision(1));
     assert_eq!(shard.take_replies(), vec![(Ticket(4), Reply::Granted)]);
 
@@ -64,7 +64,7 @@
     shard.claim(NOW, Ticket(3), first);
     assert_eq!(shard.tick(NOW), Some(Action::Load));
     shard.load_succeeded(NOW, LoadedRecord::default());
-    written(&mut shard);
+    next_write(&mut shard);
     shard.write_succeeded(NOW, Revision(1));
     assert_eq!(shard.take_replies(), vec![(Ticket(3), Reply::Granted)]);
     shard.record_end(NOW, first, ClaimState::NotRun);
@@ -89,7 +89,7 @@
     outdated.load_succeeded(NOW, LoadedRecord::default());
     outdated.tick(NOW);
     outdated.write_succeeded(NOW, Revision(1));
-    // Another leader frees the key and grants it to request 4, whose end comes here.
+    // Another leader frees the key and grants it to request 4, whose end is reported to this one.
     outdated.record_end(LATER, claim(4), ClaimState::Complete);
     assert_eq!(outdated.tick(LATER), Some(Action::Load));
     let entry = |request, state| Entry {
--- a/crates/claims/tests/load.rs
+++ b/crates/claims/tests/load.rs
@@ -1,4 +1,4 @@
-//! What one shard costs the key-value service, in virtual time.
+//! Load that one shard puts on the key-value service, in virtual time.
 
 use std::time::Duration;
 
@@ -8,23 +8,24 @@
 };
 use dalestand_types::{MonotonicTime, RequestId, Revision};
 
-/// Claims a second of a whole fleet at the largest size planned for.
+/// Claims per second of the largest supported fleet.
 const FLEET_CLAIMS_PER_SECOND: u64 = 1_100;
 
-/// Calls a second that claims may cause in the whole fleet: what the leases leave of 50.
+/// Calls per second to the key-value service that the claims of the whole fleet may make: the part
+/// of a limit of 50 that group leases leave.
 const FLEET_CALLS_PER_SECOND: u64 = 20;
 
-/// Length of the run; long, since a shard may begin with a burst of writes.
+/// Length of the run; long enough for the initial burst of writes not to matter.
 const RUN: Duration = Duration::from_secs(300);
 
-/// Time of one call to the key-value service.
-const CALL: Duration = Duration::from_millis(5);
+/// Latency of a call to the key-value service.
+const CALL_LATENCY: Duration = Duration::from_millis(5);
 
 /// Step of virtual time.
 const STEP: Duration = Duration::from_millis(1);
 
-/// Longest that any claim waits: one interval between writes, and the calls.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_400);
+/// Longest wait of a claim: one write interval and the calls.
+const MAX_WAIT: Duration = Duration::from_millis(1_400);
 
 #[derive(Default)]
 struct Cost {
@@ -39,7 +40,7 @@
     let mut shard = Shard::default();
     let mut now = MonotonicTime::ZERO;
     let mut claimed: Vec<(Claim, MonotonicTime)> = Vec::new();
-    let mut under_way: Option<(MonotonicTime, Action)> = None;
+    let mut in_progress: Option<(MonotonicTime, Action)> = None;
     let mut revision = 0;
     while now < MonotonicTime::ZERO + RUN {
         now = now + STEP;
@@ -53,7 +54,7 @@
             claimed.push((claim, now));
             shard.claim(now, Ticket(number), claim);
         }
-        if let Some((_, action)) = under_way.take_if(|(done_at, _)| *done_at <= now) {
+        if let Some((_, action)) = in_progress.take_if(|(done_at, _)| *done_at <= now) {
             match action {
                 Action::Load => shard.load_succeeded(now, LoadedRecord::default()),
                 Action::Seal { .. } => shard.segment_sealed(),
@@ -69,14 +70,14 @@
             cost.waits.push(now.since(at));
             shard.record_end(now, claim, ClaimState::Complete);
         }
-        if under_way.is_none()
+        if in_progress.is_none()
             && let Some(action) = shard.tick(now)
         {
             cost.calls += 1;
             if let Action::Write { entries, .. } | Action::Seal { entries, .. } = &action {
                 cost.bytes += entries_to_text(entries).len() as u64;
             }
-            under_way = Some((now + CALL, action));
+            in_progress = Some((now + CALL_LATENCY, action));
         }
     }
     cost
@@ -98,7 +99,7 @@
         cost.waits[count - 1],
     );
     assert!(cost.calls * u64::from(SHARD_COUNT) <= FLEET_CALLS_PER_SECOND * seconds);
-    assert!(cost.waits[count - 1] <= LONGEST_WAIT);
+    assert!(cost.waits[count - 1] <= MAX_WAIT);
 }
 
 #[test]
