--- a/crates/node/src/admin/forward.rs
+++ b/crates/node/src/admin/forward.rs
@@ -1,4 +1,4 @@
-//! Passes a question on to the node that keeps its answer.
+//! Forwards an operator's request to the node that owns the requested record.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,29 +10,28 @@
 
 use super::Admin;
 
-/// Marks a question that was passed on, so that it is not passed on again.
+/// Header of a forwarded request, which must not be forwarded again.
 const FORWARDED: &str = "x-dalestand-forwarded";
 
 const AUTHORIZATION: &str = "authorization";
 
-/// Time limit of a question that was passed on.
+/// Timeout of a forwarded request.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Largest answer passed back, in bytes.
+/// Size limit of a forwarded answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 1 << 20;
 
 impl Admin {
-    /// Operators' address of the node that took a request in, if it is another live one.
-    pub(super) fn keeper_of_request(&self, id: &str) -> Option<SocketAddr> {
+    /// Operator API address of the node that accepted a request, if that is another live node.
+    pub(super) fn request_owner_address(&self, id: &str) -> Option<SocketAddr> {
         let tag = id.parse::<RequestId>().ok()?.node_tag();
         let cluster = self.cluster.borrow();
-        let keeper = cluster.members().find(|member| member.node.tag() == tag)?;
-        Some(keeper.operator_address)
+        let owner = cluster.members().find(|member| member.node.tag() == tag)?;
+        Some(owner.operator_address)
     }
 
-    /// Operators' address of the node that holds the lease of an engine's group, if it is another
-    /// live one.
-    pub(super) fn holder_of_engine(&self, id: &str) -> Option<SocketAddr> {
+    /// Operator API address of the lease holder of an engine's group, if that is another live node.
+    pub(super) fn engine_holder_address(&self, id: &str) -> Option<SocketAddr> {
         let engine = EngineId::from(id);
         let active = self.shared.configuration.load_full()?;
         let mut groups = active.deployment.groups.iter();
@@ -43,41 +42,47 @@
         Some(member.operator_address)
     }
 
-    /// The answer of this node, or the other node's where this one keeps no record.
-    pub(super) async fn or_forwarded(
+    /// Returns `answer` unless it is 404 and there is an `owner`, in which case the request is forwarded
+    /// to the owner.
+    pub(super) async fn or_forward(
         &self,
         answer: Answer,
         request: &Request,
-        keeper: Option<SocketAddr>,
+        owner: Option<SocketAddr>,
     ) -> Answer {
         let headers = request.head().headers();
         if answer.status() != StatusCode::NOT_FOUND || headers.contains_key(FORWARDED) {
             return answer;
         }
-        let Some(keeper) = keeper else {
+        let Some(owner) = owner else {
             return answer;
         };
         let client = Client::builder()
             .timeout(FORWARD_TIMEOUT)
             .disable_redirects()
             .finish();
-        let url = format!("http://{keeper}{}", request.path());
-        let mut question = client.get(url).insert_header((FORWARDED, "1"));
+        let url = format!("http://{owner}{}", request.path());
+        let mut forward_request = client.get(url).insert_header((FORWARDED, "1"));
         if let Some(key) = headers.get(AUTHORIZATION) {
-            question = question.insert_header((AUTHORIZATION, key.clone()));
+            forward_request = forward_request.insert_header((AUTHORIZATION, key.clone()));
         }
-        let Ok(mut response) = question.send().await else {
-            let message = format!("the node at {keeper} keeps the record and does not answer");
+        let Ok(mut response) = forward_request.send().await else {
+            let message = format!("the node at {owner} owns the record but did not answer");
             return text_answer(StatusCode::BAD_GATEWAY, message);
         };
         let Ok(body) = response.body().limit(MAX_ANSWER_BYTES).await else {
-            return text_answer(StatusCode::BAD_GATEWAY, "the answer broke off");
+            return text_answer(
+                StatusCode::BAD_GATEWAY,
+                "the forwarded answer was incomplete or too long",
+            );
         };
         let text = String::from_utf8_lossy(&body).into_owned();
-        let mut passed = text_answer(response.status(), text);
+        let mut forwarded_answer = text_answer(response.status(), text);
         if let Some(kind) = response.headers().get(CONTENT_TYPE) {
-            passed.headers_mut().insert(CONTENT_TYPE, kind.clone());
+            forwarded_answer
+                .headers_mut()
+                .insert(CONTENT_TYPE, kind.clone());
         }
-        passed
+        forwarded_answer
     }
 }
--- a/crates/node/src/admin/message.rs
+++ b/crates/node/src/admin/message.rs
@@ -1,4 +1,4 @@
-//! What operators' programs send and get, in JSON.
+//! JSON messages of the operator API.
 
 use std::collections::BTreeMap;
 
@@ -10,41 +10,41 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// The deployment file.
+    /// Content of the deployment file.
     pub text: String,
     /// Who applies it.
     pub author: String,
-    /// Revision it must follow; whatever stands there if absent.
+    /// Revision that the file must replace (0 for none); any if absent.
     pub expected: Option<Revision>,
 }
 
 /// Answer to `POST /apply`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyResponse {
-    /// Revision, if it was accepted.
+    /// Revision, if the file was applied.
     pub revision: Option<Revision>,
-    /// Why it was not accepted.
+    /// Why the file was not applied.
     pub error: Option<String>,
-    /// Whether it is unknown if it was accepted.
+    /// Whether it is unknown if the file was applied.
     pub in_doubt: bool,
 }
 
-/// Body of `POST /drain`; the answer has the revision of the mark in JSON.
+/// Body of `POST /drain`; the answer is the revision of the mark.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainRequest {
     /// The engine.
     pub engine: EngineId,
-    /// Whether it is to take no new work.
+    /// Whether it is to drain.
     pub draining: bool,
-    /// Who asks.
+    /// Who sets or removes the mark.
     pub author: String,
 }
 
-/// Answer to `GET /configuration`: what stands in the key-value service.
+/// Answer to `GET /configuration`: the configuration stored in the key-value service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigurationResponse {
-    /// Its revision; 0 if none was ever applied.
+    /// Its revision.
     pub revision: Revision,
     /// Who applied it.
     pub author: String,
@@ -59,34 +59,34 @@
     pub node: NodeId,
     /// Zone of the node.
     pub zone: String,
-    /// Whether the node serves callers.
+    /// Whether the node is ready to serve callers.
     pub ready: bool,
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub stopping: bool,
-    /// Revision of the configuration in force.
+    /// Revision of the active configuration.
     pub revision: Option<Revision>,
     /// Requests in flight.
     pub in_flight: usize,
-    /// Other live nodes, as far as known.
+    /// The other live nodes known to this node.
     pub members: Vec<MemberRow>,
-    /// Holders of the groups' leases, as far as known.
+    /// Known lease holders of the groups.
     pub holders: BTreeMap<GroupId, NodeId>,
-    /// The engines, as routing sees them.
+    /// The engines in the fleet view of routing.
     pub engines: Vec<EngineRow>,
 }
 
-/// One node of a status.
+/// A node in a [`StatusResponse`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberRow {
     /// The node.
     pub node: NodeId,
     /// Its zone.
     pub zone: String,
-    /// Its operators' address.
+    /// Address of its operator API.
     pub operators: String,
 }
 
-/// One engine of a status.
+/// An engine in a [`StatusResponse`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineRow {
     /// The engine.
@@ -101,7 +101,7 @@
     pub running: u32,
     /// Requests accepted and not started.
     pub waiting: u32,
-    /// Whether it may take new work.
+    /// Whether it accepts new requests.
     pub accepting: bool,
     /// Age of this information, in milliseconds.
     pub age_ms: u64,
@@ -112,28 +112,28 @@
 pub struct RequestExplanation {
     /// The record.
     pub record: RequestRecord,
-    /// A plain account of it.
+    /// Explanation of the record as text.
     pub account: String,
 }
 
 /// Answer to `GET /explain/engine/ID`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineExplanation {
-    /// The engine's state, where this node controls it.
+    /// State of the engine, if this node controls it.
     pub control: Option<EngineControlRow>,
-    /// Role decisions, oldest first.
+    /// Recorded role decisions, oldest first.
     pub roles: Vec<RoleRecord>,
-    /// A plain account of them.
+    /// Explanation of the decisions and the state as text.
     pub account: String,
 }
 
-/// An engine as its group's lease holder knows it.
+/// An engine as known to the lease holder of its group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineControlRow {
     /// Its group.
     pub group: GroupId,
     /// Epoch of the lease.
     pub epoch: Epoch,
-    /// Its order state; `None` until it was read under this epoch.
+    /// Its order state; `None` until it has been read under this epoch.
     pub orders: Option<EngineOrders>,
 }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Operators' HTTP surface.
+//! HTTP API for operators.
 
 mod access;
 mod forward;
@@ -34,25 +34,25 @@
 
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// What the operators' surface answers from.
+/// State of the operator API.
 pub(crate) struct Admin {
-    /// State shared with the callers' half.
+    /// State shared with the caller server.
     pub(crate) shared: Arc<Shared>,
-    /// The control half.
+    /// The group controllers.
     pub(crate) control: Rc<ControlDriver>,
     /// Drain marks.
     pub(crate) drains: Rc<Drains>,
-    /// The configuration this node holds.
+    /// Newest configuration on this node.
     pub(crate) configuration: Rc<ConfigurationStore>,
     /// The cluster.
     pub(crate) cluster: Rc<RefCell<Cluster>>,
     /// The key-value service.
     pub(crate) key_value: Rc<dyn KeyValue>,
-    /// Notified when an operator asks for a planned stop.
+    /// Notified when an operator requests a graceful shutdown.
     pub(crate) stop_requested: Rc<Notify>,
 }
 
-/// Serves operators on `listener` until dropped.
+/// Serves the operator API on `listener` until dropped.
 pub(crate) async fn serve_operators(
     listener: TcpListener,
     admin: Admin,
@@ -73,7 +73,7 @@
     if !access.allows(&request) {
         return text_answer(
             StatusCode::UNAUTHORIZED,
-            "the operators' key is missing or wrong",
+            "the operator key is missing or wrong",
         );
     }
     handle(&admin, &mut request)
@@ -103,13 +103,13 @@
     if let Some(id) = path.strip_prefix("/explain/request/") {
         let answer = admin.explain_request(id);
         return Ok(admin
-            .or_forwarded(answer, request, admin.keeper_of_request(id))
+            .or_forward(answer, request, admin.request_owner_address(id))
             .await);
     }
     if let Some(id) = path.strip_prefix("/explain/engine/") {
         let answer = admin.explain_engine(id);
         return Ok(admin
-            .or_forwarded(answer, request, admin.holder_of_engine(id))
+            .or_forward(answer, request, admin.engine_holder_address(id))
             .await);
     }
     Ok(match path.as_str() {
@@ -192,7 +192,7 @@
                 };
                 json_answer(StatusCode::OK, &body)
             }
-            None => text_answer(StatusCode::NOT_FOUND, "this node keeps no record of it"),
+            None => text_answer(StatusCode::NOT_FOUND, "this node has no record of it"),
         }
     }
 
@@ -209,11 +209,11 @@
                 orders: status.orders,
             });
         if roles.is_empty() && control.is_none() {
-            return text_answer(StatusCode::NOT_FOUND, "this node keeps no record of it");
+            return text_answer(StatusCode::NOT_FOUND, "this node has no record of it");
         }
         let mut account: String = roles.iter().map(role_change_explanation).collect();
         if let Some(row) = &control {
-            account.push_str(&account_of_control(&engine, row));
+            account.push_str(&control_state_explanation(&engine, row));
         }
         json_answer(
             StatusCode::OK,
@@ -233,7 +233,10 @@
             }
         };
         let Some(entry) = entry else {
-            return text_answer(StatusCode::NOT_FOUND, "no configuration was applied yet");
+            return text_answer(
+                StatusCode::NOT_FOUND,
+                "no configuration has been applied yet",
+            );
         };
         match serde_json::from_str::<ConfigurationRecord>(&entry.value) {
             Ok(record) => {
@@ -287,9 +290,9 @@
         match apply::apply(&*self.key_value, body.expected, draft).await {
             Ok(applied) => {
                 let revision = applied.revision;
-                // This node has the content: it is in force here at once, and spreads even if the
-                // key-value service goes down now.
-                self.configuration.take(revision, applied.record);
+                // Activated here at once, so that the configuration is disseminated even if the
+                // key-value service fails now.
+                self.configuration.apply(revision, applied.record);
                 let body = ApplyResponse {
                     revision: Some(revision),
                     error: None,
@@ -318,7 +321,7 @@
     }
 }
 
-fn account_of_control(engine: &EngineId, row: &EngineControlRow) -> String {
+fn control_state_explanation(engine: &EngineId, row: &EngineControlRow) -> String {
     let Some(orders) = &row.orders else {
         return format!(
             "engine {engine} of {}: controlled under epoch {}, not yet read\n",
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -1,8 +1,8 @@
-//! Applying a deployment file: one compare-and-swap on one record.
+//! Applies a deployment file by a compare-and-swap on the configuration record.
 //!
-//! A write whose answer was lost is settled by its writer's id, which the record that replaced it
-//! still names, or by writing again after the same revision: of the two writes one at most can
-//! take effect.
+//! A write whose answer was lost is repeated against the same base revision, so that at most one of
+//! the writes takes effect. If the record has changed in the meantime, its history of writer ids
+//! shows whether the write took effect first.
 
 use std::time::Duration;
 
@@ -18,39 +18,39 @@
 #[cfg(test)]
 mod tests;
 
-/// How often a write is tried while an earlier try of it is in doubt.
-const WRITE_ATTEMPTS: usize = 4;
+/// Most attempts of a write as long as its outcome is in doubt.
+const MAX_WRITE_ATTEMPTS: usize = 4;
 
-/// Pause before a write in doubt is looked for again.
+/// Delay before a write in doubt is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Earlier configurations that a record names.
+/// Most previous configurations in the history of a record.
 const MAX_FORMER: usize = 16;
 
-/// What an operator applies.
+/// A deployment file to apply.
 #[derive(Clone, Debug)]
 pub(crate) struct Draft {
-    /// Unique to this apply.
+    /// Id unique to this operation.
     pub(crate) writer: String,
-    /// Who applies it, for people.
+    /// Who applies it; informational.
     pub(crate) author: String,
-    /// When, in milliseconds since 1970, for people.
+    /// When, in milliseconds since the Unix epoch; informational.
     pub(crate) unix_ms: u64,
-    /// The deployment file.
+    /// Content of the deployment file.
     pub(crate) text: String,
 }
 
-/// A configuration that was accepted.
+/// A configuration that was applied.
 #[derive(Clone, Debug)]
 pub(crate) struct Applied {
     /// Its revision.
     pub(crate) revision: Revision,
-    /// The record as it was written.
+    /// The stored record.
     pub(crate) record: ConfigurationRecord,
 }
 
-/// Applies `draft` and yields it with its revision. With `expected` the file must follow that revision;
-/// without it, it follows whatever stands there now.
+/// Applies `draft`. If `expected` is given, fails with a conflict unless that is the current revision
+/// (0 for no configuration); otherwise replaces whatever is current.
 pub(crate) async fn apply(
     key_value: &dyn KeyValue,
     expected: Option<Revision>,
@@ -62,13 +62,13 @@
         .get(CONFIGURATION_KEY)
         .await
         .change_context(ApplyError::Unavailable)?;
-    let stands = current.as_ref().map(|entry| entry.revision);
-    let wanted = expected.filter(|revision| *revision != Revision(0));
-    if expected.is_some() && wanted != stands {
+    let current_revision = current.as_ref().map(|entry| entry.revision);
+    let expected_revision = expected.filter(|revision| *revision != Revision(0));
+    if expected.is_some() && expected_revision != current_revision {
         return Err(conflict(current.as_ref()));
     }
     let record = ConfigurationRecord {
-        former: former_of(current.as_ref()),
+        former: previous_configurations(current.as_ref()),
         writer: draft.writer,
         author: draft.author,
         unix_ms: draft.unix_ms,
@@ -77,15 +77,15 @@
     let write = Write {
         value: serde_json::to_string(&record).change_context(ApplyError::Unavailable)?,
         writer: record.writer.clone(),
-        follows: stands,
+        base: current_revision,
     };
-    let revision = write.carry_out(key_value).await?;
+    let revision = write.execute(key_value).await?;
     Ok(Applied { revision, record })
 }
 
-/// The configurations before the one that is to replace `current`, newest first.
-fn former_of(current: Option<&Entry>) -> Vec<FormerConfiguration> {
-    let Some((revision, record)) = current.and_then(parsed) else {
+/// History for a record that replaces `current`, newest first.
+fn previous_configurations(current: Option<&Entry>) -> Vec<FormerConfiguration> {
+    let Some((revision, record)) = current.and_then(parse_record) else {
         return Vec::new();
     };
     let last = FormerConfiguration {
@@ -101,32 +101,33 @@
         .collect()
 }
 
-fn parsed(entry: &Entry) -> Option<(Revision, ConfigurationRecord)> {
+fn parse_record(entry: &Entry) -> Option<(Revision, ConfigurationRecord)> {
     let record = serde_json::from_str(&entry.value).ok()?;
     Some((entry.revision, record))
 }
 
-/// One write of the record.
+/// A write of the record.
 struct Write {
     value: String,
     writer: String,
-    follows: Option<Revision>,
+    /// Revision to replace; `None` if there is no record yet.
+    base: Option<Revision>,
 }
 
 impl Write {
-    async fn carry_out(&self, key_value: &dyn KeyValue) -> Result<Revision, Report<ApplyError>> {
+    async fn execute(&self, key_value: &dyn KeyValue) -> Result<Revision, Report<ApplyError>> {
         let expectation = self
-            .follows
+            .base
             .map_or(WriteExpectation::Absent, WriteExpectation::At);
         let mut in_doubt = None;
-        for _ in 0..WRITE_ATTEMPTS {
-            let written = key_value
+        for _ in 0..MAX_WRITE_ATTEMPTS {
+            let result = key_value
                 .compare_and_swap(CONFIGURATION_KEY, expectation, Some(&self.value), None)
                 .await;
-            match written {
+            match result {
                 Ok(CasOutcome::Written { revision }) => return Ok(revision),
                 Ok(CasOutcome::Conflict { current }) => {
-                    return self.settle(current.as_ref(), in_doubt.is_some());
+                    return self.resolve_conflict(current.as_ref(), in_doubt.is_some());
                 }
                 Err(error) if error.current_context().is_in_doubt() => in_doubt = Some(error),
                 Err(error) if in_doubt.is_none() => {
@@ -142,14 +143,14 @@
         }
     }
 
-    /// Says what became of this write, now that something else than what it follows stands there:
-    /// it can take effect no more, if it has not.
-    fn settle(
+    /// Determines the outcome of this write after a conflict. The record has another revision than the
+    /// base, so that no pending attempt can take effect any more.
+    fn resolve_conflict(
         &self,
         current: Option<&Entry>,
         was_in_doubt: bool,
     ) -> Result<Revision, Report<ApplyError>> {
-        let Some((revision, record)) = current.and_then(parsed) else {
+        let Some((revision, record)) = current.and_then(parse_record) else {
             return Err(conflict(current));
         };
         if record.writer == self.writer {
@@ -159,29 +160,29 @@
         if let Some(own) = own {
             return Ok(own.revision);
         }
-        if was_in_doubt && !self.reaches_back(&record) {
+        if was_in_doubt && !self.history_includes_base(&record) {
             return Err(Report::new(ApplyError::InDoubt));
         }
         Err(conflict(current))
     }
 
-    /// Whether a record names every configuration since the one this write follows.
-    fn reaches_back(&self, record: &ConfigurationRecord) -> bool {
-        match self.follows {
-            Some(follows) => record.former.iter().any(|one| one.revision == follows),
+    /// Whether the history of a record is complete since the base of this write.
+    fn history_includes_base(&self, record: &ConfigurationRecord) -> bool {
+        match self.base {
+            Some(base) => record.former.iter().any(|one| one.revision == base),
             None => record.former.len() < MAX_FORMER,
         }
     }
 }
 
-/// Another configuration came first: whose, which and when.
+/// A conflict error that names the current revision, its author and its time.
 fn conflict(current: Option<&Entry>) -> Report<ApplyError> {
     let report = Report::new(ApplyError::Conflict);
     let Some(entry) = current else {
         return report.attach("no configuration stands there");
     };
     let revision = entry.revision;
-    match parsed(entry) {
+    match parse_record(entry) {
         Some((_, record)) => {
             let author = record.author;
             let when = Timestamp::from_millisecond(record.unix_ms as i64)
--- a/crates/node/src/apply/tests.rs
+++ b/crates/node/src/apply/tests.rs
@@ -1,4 +1,4 @@
-//! An apply is said to be accepted only when that is certain, and never refused when it stands.
+//! `apply` reports success or failure only if that is certain, and otherwise that it is in doubt.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -21,24 +21,24 @@
     [[pool]]\nname = \"p\"\nmodels = [\"m\"]\n\
     [[group]]\npool = \"p\"\nzone = \"z\"\nengines = [\"e\"]\n";
 
-/// What becomes of one write.
-enum Fate {
-    /// It takes effect, its answer is lost, and another operator then applies this many times.
+/// Behavior of the service for one write.
+enum WriteBehavior {
+    /// The write takes effect but its answer is lost; then others apply `followers` times.
     AnswerLost { followers: usize },
-    /// It takes effect only when the next write has been answered, and is not answered itself.
+    /// The write takes effect only after the next one, and its answer is lost.
     Late,
-    /// It is lost, and another operator then applies.
+    /// The write is lost; then others apply `followers` times.
     LostBefore { followers: usize },
-    /// It is refused without effect.
+    /// The write is refused without effect.
     Refused,
 }
 
 type LateWrite = (WriteExpectation, String);
 
 #[derive(Default)]
-struct Script {
+struct ScriptedKeyValue {
     store: RefCell<Store>,
-    fates: RefCell<VecDeque<Fate>>,
+    behaviors: RefCell<VecDeque<WriteBehavior>>,
     late: RefCell<Option<LateWrite>>,
 }
 
@@ -49,10 +49,10 @@
     })
 }
 
-impl Script {
-    fn new(fates: impl IntoIterator<Item = Fate>) -> Self {
+impl ScriptedKeyValue {
+    fn new(behaviors: impl IntoIterator<Item = WriteBehavior>) -> Self {
         Self {
-            fates: RefCell::new(fates.into_iter().collect()),
+            behaviors: RefCell::new(behaviors.into_iter().collect()),
             ..Self::default()
         }
     }
@@ -64,7 +64,7 @@
         outcome.expect("a write without a lease")
     }
 
-    async fn others_apply(&self, times: usize) {
+    async fn apply_as_others(&self, times: usize) {
         for number in 0..times {
             let other = Box::pin(apply(self, None, draft(&format!("other {number}"))));
             other.await.expect("the other operator is not disturbed");
@@ -73,7 +73,7 @@
 }
 
 #[async_trait(?Send)]
-impl KeyValue for Script {
+impl KeyValue for ScriptedKeyValue {
     async fn get(&self, key: &str) -> Result<Option<Entry>, Report<PlatformError>> {
         Ok(self.store.borrow().get(key))
     }
@@ -90,8 +90,8 @@
         _lease: Option<LeaseId>,
     ) -> Result<CasOutcome, Report<PlatformError>> {
         let value = value.unwrap_or_default();
-        let fate = self.fates.borrow_mut().pop_front();
-        match fate {
+        let behavior = self.behaviors.borrow_mut().pop_front();
+        match behavior {
             None => {
                 let outcome = self.write(expectation, value);
                 if let Some((expectation, value)) = self.late.take() {
@@ -99,20 +99,20 @@
                 }
                 Ok(outcome)
             }
-            Some(Fate::AnswerLost { followers }) => {
+            Some(WriteBehavior::AnswerLost { followers }) => {
                 self.write(expectation, value);
-                self.others_apply(followers).await;
+                self.apply_as_others(followers).await;
                 Err(in_doubt())
             }
-            Some(Fate::LostBefore { followers }) => {
-                self.others_apply(followers).await;
+            Some(WriteBehavior::LostBefore { followers }) => {
+                self.apply_as_others(followers).await;
                 Err(in_doubt())
             }
-            Some(Fate::Late) => {
+            Some(WriteBehavior::Late) => {
                 self.late.replace(Some((expectation, value.to_owned())));
                 Err(in_doubt())
             }
-            Some(Fate::Refused) => Err(Report::new(PlatformError::OutOfService {
+            Some(WriteBehavior::Refused) => Err(Report::new(PlatformError::OutOfService {
                 retry_after: None,
                 system: "key-value service",
             })),
@@ -152,8 +152,8 @@
     }
 }
 
-async fn outcome(script: &Script) -> Result<Revision, ApplyError> {
-    let applied = apply(script, None, draft("me"))
+async fn outcome(key_value: &ScriptedKeyValue) -> Result<Revision, ApplyError> {
+    let applied = apply(key_value, None, draft("me"))
         .await
         .map(|one| one.revision);
     applied.map_err(|report| report.current_context().clone())
@@ -161,55 +161,57 @@
 
 #[actix_rt::test]
 async fn a_write_that_was_not_answered_is_accepted_under_its_own_revision() {
-    let script = Script::new([Fate::AnswerLost { followers: 0 }]);
-    assert_eq!(outcome(&script).await, Ok(Revision(1)));
+    let key_value = ScriptedKeyValue::new([WriteBehavior::AnswerLost { followers: 0 }]);
+    assert_eq!(outcome(&key_value).await, Ok(Revision(1)));
 }
 
 #[actix_rt::test]
 async fn a_write_that_was_replaced_meanwhile_is_still_known() {
-    let script = Script::new([Fate::AnswerLost { followers: 3 }]);
-    assert_eq!(outcome(&script).await, Ok(Revision(1)));
+    let key_value = ScriptedKeyValue::new([WriteBehavior::AnswerLost { followers: 3 }]);
+    assert_eq!(outcome(&key_value).await, Ok(Revision(1)));
 }
 
 #[actix_rt::test]
 async fn a_write_that_lands_late_takes_effect_once() {
-    let script = Script::new([Fate::Late]);
-    assert_eq!(outcome(&script).await, Ok(Revision(1)));
-    let changes = script.store.borrow().changes("", Revision(0));
+    let key_value = ScriptedKeyValue::new([WriteBehavior::Late]);
+    assert_eq!(outcome(&key_value).await, Ok(Revision(1)));
+    let changes = key_value.store.borrow().changes("", Revision(0));
     assert_eq!(changes.events.len(), 1);
 }
 
 #[actix_rt::test]
 async fn a_write_that_others_overtook_is_refused_for_certain() {
-    let script = Script::new([Fate::LostBefore { followers: 2 }]);
-    assert_eq!(outcome(&script).await, Err(ApplyError::Conflict));
+    let key_value = ScriptedKeyValue::new([WriteBehavior::LostBefore { followers: 2 }]);
+    assert_eq!(outcome(&key_value).await, Err(ApplyError::Conflict));
 }
 
 #[actix_rt::test]
 async fn a_write_that_too_many_others_overtook_stays_in_doubt() {
-    let script = Script::new([Fate::LostBefore { followers: 20 }]);
-    assert_eq!(outcome(&script).await, Err(ApplyError::InDoubt));
+    let key_value = ScriptedKeyValue::new([WriteBehavior::LostBefore { followers: 20 }]);
+    assert_eq!(outcome(&key_value).await, Err(ApplyError::InDoubt));
 }
 
 #[actix_rt::test]
 async fn an_outage_after_a_doubt_is_no_proof_that_nothing_was_applied() {
-    let fates = [
-        Fate::AnswerLost { followers: 0 },
-        Fate::Refused,
-        Fate::Refused,
-        Fate::Refused,
+    let behaviors = [
+        WriteBehavior::AnswerLost { followers: 0 },
+        WriteBehavior::Refused,
+        WriteBehavior::Refused,
+        WriteBehavior::Refused,
     ];
-    let script = Script::new(fates);
-    assert_eq!(outcome(&script).await, Err(ApplyError::InDoubt));
-    let refused = Script::new([Fate::Refused]);
+    let key_value = ScriptedKeyValue::new(behaviors);
+    assert_eq!(outcome(&key_value).await, Err(ApplyError::InDoubt));
+    let refused = ScriptedKeyValue::new([WriteBehavior::Refused]);
     assert_eq!(outcome(&refused).await, Err(ApplyError::Unavailable));
 }
 
 #[actix_rt::test]
 async fn the_loser_is_told_by_whom_which_and_when() {
-    let script = Script::default();
-    apply(&script, None, draft("first")).await.expect("applied");
-    let late = apply(&script, Some(Revision(0)), draft("second")).await;
+    let key_value = ScriptedKeyValue::default();
+    apply(&key_value, None, draft("first"))
+        .await
+        .expect("applied");
+    let late = apply(&key_value, Some(Revision(0)), draft("second")).await;
     let report = format!("{:?}", late.expect_err("a conflict"));
     assert!(
         report.contains("revision 1 stands there, applied by first at 2023-11-14T22:13:20Z"),
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/caller_server.rs
@@ -1,7 +1,7 @@
-//! The half of a node that serves callers.
+//! Serves callers on several arbiters that accept from one socket.
 //!
-//! Several arbiters accept from one socket: the tokens of one step of an engine come in together,
-//! and one arbiter alone would delay those it relays last.
+//! An engine emits the tokens of one step for all its requests at once. A single arbiter would delay
+//! the ones that it relays last.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,27 +16,27 @@
 
 use crate::error::NodeError;
 
-/// Processors of the machine for each arbiter that serves callers.
+/// Processors per arbiter that serves callers.
 const PROCESSORS_PER_ARBITER: usize = 3;
 
 /// Most arbiters that serve callers.
 const MAX_ARBITERS: usize = 8;
 
-/// Longest time a stopping node waits for callers to take the last bytes of their answers.
-const FLUSH_LIMIT: Duration = Duration::from_secs(60);
+/// Longest time that a stopping node waits for callers to receive the rest of their answers.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time in which requests on connections that were just taken in are still refused with an answer
-/// before idle connections are ended.
-const LAST_REQUESTS: Duration = Duration::from_millis(200);
+/// Time for which a stopping node still answers requests on recently accepted connections, with a
+/// refusal, before it closes idle connections.
+const LATE_REQUEST_WINDOW: Duration = Duration::from_millis(200);
 
-/// Arbiters that serve callers.
-pub(crate) struct CallerHalf {
+/// The arbiters that serve callers, and their connections.
+pub(crate) struct CallerServer {
     arbiters: Vec<Arbiter>,
     connections: Connections,
 }
 
-impl CallerHalf {
-    /// Starts to serve callers on `listener`.
+impl CallerServer {
+    /// Starts serving callers on `listener`.
     pub(crate) fn start(
         shared: &Arc<Shared>,
         listener: std::net::TcpListener,
@@ -60,13 +60,13 @@
         })
     }
 
-    /// Stops to accept, answers what was taken in, and waits until the last byte of every answer
-    /// has been written: an answer whose last part was taken from its request may still lie in its
-    /// connection's buffer.
+    /// Stops accepting connections and waits until the answers to all accepted requests are written
+    /// completely. The end of an answer may still be in a connection's buffer after its request has
+    /// finished.
     pub(crate) async fn drain(&self, shared: &Shared) {
         self.connections.stop_accepting().await;
-        actix_rt::time::sleep(LAST_REQUESTS).await;
-        if timeout(FLUSH_LIMIT, self.connections.drain())
+        actix_rt::time::sleep(LATE_REQUEST_WINDOW).await;
+        if timeout(FLUSH_TIMEOUT, self.connections.drain())
             .await
             .is_err()
         {
--- a/crates/node/src/claims/record.rs
+++ b/crates/node/src/claims/claim_store.rs
@@ -1,4 +1,4 @@
-//! A shard's record in the key-value service.
+//! Storage of the shards' claim records in the key-value service.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,23 +12,23 @@
 use dalestand_types::Revision;
 use error_stack::Report;
 
-/// How long one lease takes on new segments.
-const SEGMENT_LEASE_USE: Duration = Duration::from_secs(60);
+/// How long new segments are attached to the same lease.
+const SEGMENT_LEASE_REUSE: Duration = Duration::from_secs(60);
 
-/// A record could not be read.
+/// A shard's record could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the claim record could not be read")]
 pub(crate) struct LoadError;
 
-/// Reads and writes the shards' records.
+/// Reads and writes claim records.
 pub(crate) struct ClaimStore {
     key_value: Rc<dyn KeyValue>,
-    /// The lease that new segments hang on, and when it was asked for.
+    /// The lease for new segments, and when it was requested.
     segment_lease: Cell<Option<(LeaseId, BootInstant)>>,
 }
 
 impl ClaimStore {
-    /// Records in `key_value`.
+    /// A store in `key_value`.
     pub(crate) fn new(key_value: Rc<dyn KeyValue>) -> Self {
         Self {
             key_value,
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Reads a shard's record. The head comes first: a segment that is sealed in between is then
-    /// read twice, while the other way round it would be missed.
+    /// Reads a shard's record: first the head, then the segments. If the head is sealed in between, its
+    /// entries are read twice; in the opposite order they would be missed.
     pub(crate) async fn load(&self, shard: ShardId) -> Result<LoadedRecord, Report<LoadError>> {
         let head = self
             .key_value
@@ -60,7 +60,7 @@
         Ok(loaded)
     }
 
-    /// Replaces a shard's head.
+    /// Replaces the head of a shard if its revision is still `expected`.
     pub(crate) async fn write(
         &self,
         shard: ShardId,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Stores a segment; one that is there already is the same.
+    /// Stores a segment. An existing segment with this name has the same content and is kept.
     pub(crate) async fn seal(
         &self,
         shard: ShardId,
@@ -97,24 +97,24 @@
         match written {
             Ok(_) => Ok(()),
             Err(error) => {
-                // The lease itself may be what is wrong.
+                // The failure may be due to the lease.
                 self.segment_lease.set(None);
                 Err(failure(&error))
             }
         }
     }
 
-    /// A lease that keeps a segment for the lifetime of its claims.
+    /// A lease that lasts longer than the claims in a new segment.
     async fn lease(&self) -> Result<LeaseId, Report<PlatformError>> {
-        if let Some((lease, asked_at)) = self.segment_lease.get()
-            && asked_at.elapsed() < SEGMENT_LEASE_USE
+        if let Some((lease, requested_at)) = self.segment_lease.get()
+            && requested_at.elapsed() < SEGMENT_LEASE_REUSE
         {
             return Ok(lease);
         }
-        let asked_at = BootInstant::now();
-        let time_to_live = CLAIM_LIFETIME + SEGMENT_LEASE_USE * 2;
+        let requested_at = BootInstant::now();
+        let time_to_live = CLAIM_LIFETIME + SEGMENT_LEASE_REUSE * 2;
         let lease = self.key_value.grant_lease(time_to_live).await?;
-        self.segment_lease.set(Some((lease, asked_at)));
+        self.segment_lease.set(Some((lease, requested_at)));
         Ok(lease)
     }
 }
--- a/crates/node/src/claims/driver.rs
+++ b/crates/node/src/claims/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the shards this node leads, and takes other claims to their leaders.
+//! Runs the shards that this node leads, and sends claims on other shards to their leaders.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -16,36 +16,36 @@
 use dalestand_types::{NodeId, RequestId, RunState};
 use tokio::sync::oneshot;
 
-use super::answers::{KeptAnswers, Owners};
-use super::record::ClaimStore;
+use super::claim_store::ClaimStore;
+use super::kept_answers::{KeptAnswers, Owners};
 use crate::peer_calls::{ClaimAnswer, PeerCallError, PeerClient, PeerRequest, PeerResponse};
 
-/// When a caller whose key is in progress may come back.
+/// Retry delay for a claim on a key whose request is still running.
 const IN_PROGRESS_RETRY: Duration = Duration::from_millis(1_000);
 
-/// When a claim that was refused may come back.
+/// Retry delay for a claim that could not be made.
 const REFUSED_RETRY: Duration = Duration::from_millis(1_000);
 
-/// Shortest sleep of a shard that waits for its time.
+/// Shortest sleep of a shard task until its next tick.
 const MIN_SLEEP: Duration = Duration::from_millis(5);
 
-/// The claims of one node.
+/// Makes the claims of this node, and serves those of other nodes on the shards that it leads.
 pub(crate) struct ClaimsDriver {
     shared: Arc<Shared>,
     cluster: Rc<RefCell<Cluster>>,
     store: ClaimStore,
     peers: PeerClient,
     shards: RefCell<BTreeMap<ShardId, Shard>>,
-    /// Shards with a task that drives them.
-    driven: RefCell<BTreeSet<ShardId>>,
-    waiting: RefCell<HashMap<Ticket, oneshot::Sender<Reply>>>,
+    /// Shards with a running task.
+    running_tasks: RefCell<BTreeSet<ShardId>>,
+    pending_replies: RefCell<HashMap<Ticket, oneshot::Sender<Reply>>>,
     next_ticket: Cell<u64>,
     owners: RefCell<Owners>,
     answers: RefCell<KeptAnswers>,
 }
 
 impl ClaimsDriver {
-    /// A driver that leads nothing yet.
+    /// A driver without any shard state.
     pub(crate) fn new(
         shared: Arc<Shared>,
         cluster: Rc<RefCell<Cluster>>,
@@ -58,20 +58,20 @@
             store,
             peers,
             shards: RefCell::default(),
-            driven: RefCell::default(),
-            waiting: RefCell::default(),
+            running_tasks: RefCell::default(),
+            pending_replies: RefCell::default(),
             next_ticket: Cell::new(0),
             owners: RefCell::default(),
             answers: RefCell::default(),
         })
     }
 
-    /// Claims a key for a request of this node.
+    /// Claims a key for a request on this node, through the leader of the key's shard.
     pub(crate) async fn claim(self: &Rc<Self>, request: &ClaimRequest) -> ClaimOutcome {
         let claim = claim_of(request);
         let node = self.shared.node.clone();
-        let answer = match self.leader(claim.key.shard()) {
-            None => self.lead(claim, node).await,
+        let answer = match self.remote_leader(claim.key.shard()) {
+            None => self.claim_locally(claim, node).await,
             Some(address) => {
                 let call = PeerRequest::Claim {
                     claim,
@@ -79,11 +79,11 @@
                 };
                 match self.peers.call(address, &call).await {
                     Ok(PeerResponse::Claim(answer)) => answer,
-                    Err(PeerCallError::NotSent) => self.lead(claim, node).await,
+                    Err(PeerCallError::NotSent) => self.claim_locally(claim, node).await,
                     Ok(_) | Err(PeerCallError::InDoubt) => {
-                        // The claim may stand; its request does not run.
-                        self.lead_end(claim, ClaimState::NotRun);
-                        no_leader()
+                        // The claim may have been granted, but its request does not run.
+                        self.record_end_locally(claim, ClaimState::NotRun);
+                        refused_answer()
                     }
                 }
             }
@@ -91,7 +91,7 @@
         self.outcome(answer).await
     }
 
-    /// Takes the end of a request of this node.
+    /// Records the end of a request on this node.
     pub(crate) async fn finish(self: &Rc<Self>, request: &ClaimRequest, end: ClaimEnd) {
         let claim = claim_of(request);
         if let Some(answer) = end.answer {
@@ -102,33 +102,33 @@
             RunState::Complete => ClaimState::Complete,
             _ => ClaimState::Unknown,
         };
-        if let Some(address) = self.leader(claim.key.shard()) {
+        if let Some(address) = self.remote_leader(claim.key.shard()) {
             let call = PeerRequest::EndClaim { claim, state };
             if self.peers.call(address, &call).await.is_ok() {
                 return;
             }
         }
-        // Told twice, an end changes nothing the second time.
-        self.lead_end(claim, state);
+        // Recording an end a second time has no effect.
+        self.record_end_locally(claim, state);
     }
 
-    /// The answer kept of a request that this node served.
+    /// The kept answer to a request that this node served.
     pub(crate) fn kept_answer(&self, request: RequestId) -> Option<KeptAnswer> {
         self.answers.borrow().get(request)
     }
 
-    /// Claims a key at this node, whichever node leads its shard.
-    pub(crate) async fn lead(self: &Rc<Self>, claim: Claim, node: NodeId) -> ClaimAnswer {
+    /// Claims a key through this node's own state of its shard, whichever node is the leader.
+    pub(crate) async fn claim_locally(self: &Rc<Self>, claim: Claim, node: NodeId) -> ClaimAnswer {
         let shard = claim.key.shard();
         let ticket = Ticket(self.next_ticket.get());
         self.next_ticket.set(ticket.0 + 1);
         let (sender, reply) = oneshot::channel();
-        self.waiting.borrow_mut().insert(ticket, sender);
+        self.pending_replies.borrow_mut().insert(ticket, sender);
         let now = self.shared.clock.now();
-        self.with_shard(shard, |one| one.claim(now, ticket, claim));
-        self.drive(shard);
+        self.with_shard(shard, |shard| shard.claim(now, ticket, claim));
+        self.ensure_task(shard);
         let Ok(reply) = reply.await else {
-            return no_leader();
+            return refused_answer();
         };
         let holder = match &reply {
             Reply::Granted => {
@@ -142,16 +142,16 @@
         ClaimAnswer { reply, owner }
     }
 
-    /// Takes the end of a request at this node, whichever node leads its shard.
-    pub(crate) fn lead_end(self: &Rc<Self>, claim: Claim, state: ClaimState) {
+    /// Records the end of a request in this node's own state of its shard, whichever node is the leader.
+    pub(crate) fn record_end_locally(self: &Rc<Self>, claim: Claim, state: ClaimState) {
         let shard = claim.key.shard();
         let now = self.shared.clock.now();
-        self.with_shard(shard, |one| one.record_end(now, claim, state));
-        self.drive(shard);
+        self.with_shard(shard, |shard| shard.record_end(now, claim, state));
+        self.ensure_task(shard);
     }
 
-    /// The address of a shard's leader; `None` if that is this node.
-    fn leader(&self, shard: ShardId) -> Option<SocketAddr> {
+    /// Address of a shard's leader; `None` if that is this node.
+    fn remote_leader(&self, shard: ShardId) -> Option<SocketAddr> {
         let cluster = self.cluster.borrow();
         let me = &self.shared.node;
         let live = cluster.members().map(|member| &member.node);
@@ -175,7 +175,7 @@
             },
             Reply::Held { request, state } => {
                 let complete = state == ClaimState::Complete;
-                let kept = self.answer_of(request, answer.owner.as_ref());
+                let kept = self.find_answer(request, answer.owner.as_ref());
                 ClaimOutcome::Duplicate {
                     first: request,
                     run_state: if complete {
@@ -189,7 +189,7 @@
         }
     }
 
-    async fn answer_of(&self, request: RequestId, owner: Option<&NodeId>) -> Option<KeptAnswer> {
+    async fn find_answer(&self, request: RequestId, owner: Option<&NodeId>) -> Option<KeptAnswer> {
         if let Some(answer) = self.kept_answer(request) {
             return Some(answer);
         }
@@ -207,19 +207,19 @@
         let result = change(shard);
         let replies = shard.take_replies();
         drop(shards);
-        let mut waiting = self.waiting.borrow_mut();
+        let mut pending_replies = self.pending_replies.borrow_mut();
         for (ticket, reply) in replies {
-            if let Some(sender) = waiting.remove(&ticket) {
-                // Whoever waited may have given up.
+            if let Some(sender) = pending_replies.remove(&ticket) {
+                // The receiver is gone if the caller has given up.
                 let _ = sender.send(reply);
             }
         }
         result
     }
 
-    /// Makes sure that a task drives the shard.
-    fn drive(self: &Rc<Self>, shard: ShardId) {
-        if self.driven.borrow_mut().insert(shard) {
+    /// Spawns a task for the shard unless one is running.
+    fn ensure_task(self: &Rc<Self>, shard: ShardId) {
+        if self.running_tasks.borrow_mut().insert(shard) {
             let driver = Rc::clone(self);
             actix_rt::spawn(async move { driver.run_shard(shard).await });
         }
@@ -228,32 +228,32 @@
     async fn run_shard(self: Rc<Self>, shard: ShardId) {
         loop {
             let now = self.shared.clock.now();
-            if let Some(action) = self.with_shard(shard, |one| one.tick(now)) {
-                self.carry_out(shard, action).await;
+            if let Some(action) = self.with_shard(shard, |shard| shard.tick(now)) {
+                self.run_action(shard, action).await;
                 continue;
             }
-            match self.with_shard(shard, |one| one.wake_at()) {
+            match self.with_shard(shard, |shard| shard.wake_at()) {
                 Some(at) => actix_rt::time::sleep(at.since(now).max(MIN_SLEEP)).await,
                 None => {
-                    self.driven.borrow_mut().remove(&shard);
+                    self.running_tasks.borrow_mut().remove(&shard);
                     return;
                 }
             }
         }
     }
 
-    async fn carry_out(&self, shard: ShardId, action: Action) {
+    async fn run_action(&self, shard: ShardId, action: Action) {
         match action {
             Action::Load => {
                 self.shared.metrics.key_value_calls.inc_by(2);
                 let loaded = self.store.load(shard).await;
                 let now = self.shared.clock.now();
                 match loaded {
-                    Ok(loaded) => self.with_shard(shard, |one| one.load_succeeded(now, loaded)),
+                    Ok(loaded) => self.with_shard(shard, |shard| shard.load_succeeded(now, loaded)),
                     Err(error) => {
                         log_event!(self.shared.logger, Event::KeyValueFailed,
                             "shard" => %shard, "error" => format!("{error:?}"));
-                        self.with_shard(shard, |one| one.load_failed(now));
+                        self.with_shard(shard, |shard| shard.load_failed(now));
                     }
                 }
             }
@@ -261,18 +261,18 @@
                 self.shared.metrics.key_value_calls.inc();
                 let sealed = self.store.seal(shard, name, &entries).await;
                 let now = self.shared.clock.now();
-                self.with_shard(shard, |one| match sealed {
-                    Ok(()) => one.segment_sealed(),
-                    Err(failure) => one.write_failed(now, failure),
+                self.with_shard(shard, |shard| match sealed {
+                    Ok(()) => shard.segment_sealed(),
+                    Err(failure) => shard.write_failed(now, failure),
                 });
             }
             Action::Write { expected, entries } => {
                 self.shared.metrics.key_value_calls.inc();
                 let written = self.store.write(shard, expected, &entries).await;
                 let now = self.shared.clock.now();
-                self.with_shard(shard, |one| match written {
-                    Ok(revision) => one.write_succeeded(now, revision),
-                    Err(failure) => one.write_failed(now, failure),
+                self.with_shard(shard, |shard| match written {
+                    Ok(revision) => shard.write_succeeded(now, revision),
+                    Err(failure) => shard.write_failed(now, failure),
                 });
             }
         }
@@ -288,7 +288,7 @@
     }
 }
 
-fn no_leader() -> ClaimAnswer {
+fn refused_answer() -> ClaimAnswer {
     ClaimAnswer {
         reply: Reply::Refused {
             retry_after: REFUSED_RETRY,
--- a/crates/node/src/claims/gate.rs
+++ b/crates/node/src/claims/gate.rs
@@ -1,5 +1,4 @@
-//! The callers' side of the claims: it lives on the callers' arbiter and reaches the driver over
-//! channels.
+//! Channels by which the caller server, on its own arbiters, reaches the claims driver.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,10 +9,10 @@
 
 use super::driver::ClaimsDriver;
 
-/// Most claims on their way to the driver; more are refused.
+/// Capacity of the channel for claims; further ones are refused.
 const MAX_CLAIMS_IN_FLIGHT: usize = 1_024;
 
-/// When a claim that the driver has no room for may come back.
+/// Retry delay for a claim that did not reach the driver.
 const BUSY_RETRY: Duration = Duration::from_millis(1_000);
 
 struct ClaimCall {
@@ -26,23 +25,23 @@
     end: ClaimEnd,
 }
 
-/// The gate as callers' requests see it.
+/// Sending end, used by the caller server.
 pub(crate) struct ChannelGate {
     claims: mpsc::Sender<ClaimCall>,
     ends: mpsc::UnboundedSender<EndCall>,
 }
 
-/// The other end of a [`ChannelGate`].
+/// Receiving end of a [`ChannelGate`].
 pub(crate) struct GateCalls {
     claims: mpsc::Receiver<ClaimCall>,
     ends: mpsc::UnboundedReceiver<EndCall>,
 }
 
 impl ChannelGate {
-    /// A gate and its other end.
+    /// Creates a connected pair.
     pub(crate) fn new() -> (Self, GateCalls) {
         let (claims, claim_calls) = mpsc::channel(MAX_CLAIMS_IN_FLIGHT);
-        // No more than one end a granted claim.
+        // Unbounded, but there is at most one end per granted claim.
         let (ends, end_calls) = mpsc::unbounded_channel();
         let calls = GateCalls {
             claims: claim_calls,
@@ -61,7 +60,7 @@
             reply,
         };
         if self.claims.try_send(call).is_err() {
-            return refused("too many claims wait");
+            return refused("too many claims are pending");
         }
         let ended = refused("this node is stopping");
         outcome.await.unwrap_or(ended)
@@ -69,7 +68,7 @@
 
     fn finish(&self, claim: &ClaimRequest, end: ClaimEnd) {
         let request = claim.clone();
-        // Without a driver the claim stays, and its end counts as unknown.
+        // If the driver is gone, the claim remains and its end counts as unknown.
         drop(self.ends.send(EndCall { request, end }));
     }
 }
@@ -81,7 +80,7 @@
     }
 }
 
-/// Passes calls on to the driver until dropped.
+/// Passes received calls to the driver until dropped.
 pub(crate) async fn serve_gate(mut calls: GateCalls, driver: Rc<ClaimsDriver>) {
     loop {
         tokio::select! {
@@ -101,7 +100,7 @@
 async fn serve_claim(driver: &Rc<ClaimsDriver>, call: ClaimCall) {
     let outcome = driver.claim(&call.request).await;
     if let Err(ClaimOutcome::Granted) = call.reply.send(outcome) {
-        // The caller went away before its request could be dispatched.
+        // The caller disconnected before its request was dispatched.
         driver.finish(&call.request, not_run()).await;
     }
 }
--- a/crates/node/src/claims/answers.rs
+++ b/crates/node/src/claims/kept_answers.rs
@@ -1,20 +1,21 @@
-//! Answers kept by the node that served them, for callers that repeat a key.
+//! Recent answers, kept by the node that produced them for callers that repeat a key, and the nodes
+//! that run claimed requests.
 
 use std::collections::{HashMap, VecDeque};
 
 use dalestand_gateway::KeptAnswer;
 use dalestand_types::{NodeId, RequestId};
 
-/// Longest answer that is kept, in bytes of text.
+/// Size limit of a kept answer, in bytes of text.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Most bytes of text kept in all.
+/// Most bytes of text kept in total.
 const MAX_TOTAL_BYTES: usize = 4 << 20;
 
-/// Most owners remembered; about 100 bytes each.
+/// Most owners kept; an owner takes about 100 bytes.
 const MAX_OWNERS: usize = 20_000;
 
-/// The last answers, within a bound.
+/// The most recent answers, up to a total size.
 #[derive(Default)]
 pub(crate) struct KeptAnswers {
     answers: HashMap<RequestId, KeptAnswer>,
@@ -23,7 +24,7 @@
 }
 
 impl KeptAnswers {
-    /// Keeps an answer, and drops older ones beyond the bound.
+    /// Keeps an answer unless it is too long, and drops the oldest ones beyond the total size.
     pub(crate) fn keep(&mut self, request: RequestId, answer: KeptAnswer) {
         if answer.text.len() > MAX_ANSWER_BYTES || self.answers.contains_key(&request) {
             return;
@@ -39,13 +40,13 @@
         }
     }
 
-    /// The answer to a request.
+    /// The kept answer to a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<KeptAnswer> {
         self.answers.get(&request).cloned()
     }
 }
 
-/// Which node runs a claimed request, as its shard's leader knows it.
+/// The nodes that run claimed requests, known to the leaders of their shards.
 #[derive(Default)]
 pub(crate) struct Owners {
     owners: HashMap<RequestId, NodeId>,
@@ -53,7 +54,7 @@
 }
 
 impl Owners {
-    /// Remembers a request's node, and forgets older ones beyond the bound.
+    /// Records the node of a request, and drops the oldest entries beyond [`MAX_OWNERS`].
     pub(crate) fn put(&mut self, request: RequestId, node: NodeId) {
         if self.owners.insert(request, node).is_none() {
             self.by_age.push_back(request);
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The node of a request.
+    /// The node that runs or ran a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<NodeId> {
         self.owners.get(&request).cloned()
     }
--- a/crates/node/src/claims/tests.rs
+++ b/crates/node/src/claims/tests.rs
@@ -1,4 +1,4 @@
-//! Reading a shard's record while another leader seals it.
+//! A claim is not missed when another leader seals the head while the record is read.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,12 +17,12 @@
 
 const SHARD: ShardId = ShardId(3);
 
-/// A service in which another leader seals the head between two reads.
+/// Key-value service in which another leader seals the head between two reads.
 #[derive(Default)]
 struct Service {
     store: RefCell<Store>,
     reads: Cell<u32>,
-    /// Carried out before the second read.
+    /// Segment to seal before the second read.
     between_reads: RefCell<Option<(WriteExpectation, Vec<Entry>)>>,
 }
 
--- a/crates/node/src/cluster_driver.rs
+++ b/crates/node/src/cluster_driver.rs
@@ -1,4 +1,4 @@
-//! Drives the cluster core over UDP.
+//! Runs the cluster core over UDP.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -18,38 +18,38 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::configuration::Offer;
+use crate::configuration::ConfigurationOffer;
 use crate::drains;
 use crate::machines::{self, Machines};
 
 /// Time between two ticks of the core.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Room for a received datagram; a longer one is not of this protocol.
+/// Size of the receive buffer; the protocol has no longer datagrams.
 const RECEIVE_BYTES: usize = 2_048;
 
-/// Decides which datagrams get through. Experiments and tests put losses and cuts in with it.
+/// Decides which datagrams are sent. Experiments and tests use it to inject losses and partitions.
 pub trait LinkFilter: Send + Sync {
-    /// Whether a datagram to `to` gets through.
+    /// Whether a datagram from `from` to `to` is sent.
     fn passes(&self, from: SocketAddr, to: SocketAddr) -> bool;
 }
 
-/// The way to the other nodes.
+/// Socket and keys for communication with other nodes.
 pub(crate) struct PeerLink {
     /// The socket.
     pub(crate) socket: UdpSocket,
-    /// Where the socket listens.
+    /// Local address of the socket.
     pub(crate) address: SocketAddr,
     /// Authenticates datagrams.
     pub(crate) seal: PeerSeal,
-    /// Notified when there is news that should not wait for the next tick.
-    pub(crate) news: Rc<Notify>,
-    /// Faults put in.
+    /// Notified when a published record should be sent without waiting for the next tick.
+    pub(crate) wake: Rc<Notify>,
+    /// Injected faults.
     pub(crate) filter: Option<Arc<dyn LinkFilter>>,
 }
 
 impl PeerLink {
-    /// Whether the faults put in let anything through to a peer.
+    /// Whether the injected faults let messages to `to` pass.
     pub(crate) fn passes(&self, to: SocketAddr) -> bool {
         let filter = self.filter.as_ref();
         filter.is_none_or(|filter| filter.passes(self.address, to))
@@ -62,19 +62,19 @@
         shared.metrics.peer_bytes_sent.inc_by(bytes);
         shared.metrics.peer_datagrams_sent.inc();
         if self.passes(to) {
-            // A lost datagram is made good by later ones.
+            // The protocol tolerates lost datagrams.
             drop(self.socket.send_to(&sealed, to).await);
         }
     }
 }
 
 /// Runs the cluster core until dropped.
-pub(crate) async fn drive(
+pub(crate) async fn run(
     shared: Arc<Shared>,
     link: Rc<PeerLink>,
     cluster: Rc<RefCell<Cluster>>,
     machines: Rc<RefCell<Machines>>,
-    offers: UnboundedSender<Offer>,
+    offers: UnboundedSender<ConfigurationOffer>,
 ) {
     let mut random = StdRng::from_rng(&mut rand::rng());
     let mut interval = actix_rt::time::interval(TICK);
@@ -85,30 +85,30 @@
             _ = interval.tick() => {
                 let mut cluster = cluster.borrow_mut();
                 let machines = machines.borrow();
-                if machine_changes != Some(machines.changes()) {
-                    machine_changes = Some(machines.changes());
+                if machine_changes != Some(machines.change_count()) {
+                    machine_changes = Some(machines.change_count());
                     cluster.set_listed_addresses(machines.node_addresses());
                 }
                 cluster.tick(shared.clock.now(), &mut random)
             }
-            () = link.news.notified() => {
+            () = link.wake.notified() => {
                 cluster.borrow_mut().tick(shared.clock.now(), &mut random)
             }
             received = link.socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => {
                     receive(&shared, &link, &cluster, from, &buffer[..length], &mut random)
                 }
-                // Errors of earlier sends show here; the peer is found to be down by silence.
+                // Reports errors of earlier sends; probes detect peers that are down.
                 Err(_) => Vec::new(),
             },
         };
         for output in outputs {
-            carry_out(&shared, &link, &cluster, &machines, &offers, output).await;
+            process_output(&shared, &link, &cluster, &machines, &offers, output).await;
         }
     }
 }
 
-/// Tells others that this node leaves as planned.
+/// Announces to other nodes that this node leaves.
 pub(crate) async fn leave(shared: &Shared, link: &PeerLink, cluster: &RefCell<Cluster>) {
     let outputs = cluster.borrow_mut().leave(&mut rand::rng());
     for output in outputs {
@@ -139,48 +139,48 @@
         }
     };
     let now = shared.clock.now();
-    let taken = cluster.borrow_mut().receive(now, from, datagram, random);
-    taken.unwrap_or_else(|error| {
+    let outputs = cluster.borrow_mut().receive(now, from, datagram, random);
+    outputs.unwrap_or_else(|error| {
         log_event!(shared.logger, Event::DatagramUnreadable, "error" => %error);
         Vec::new()
     })
 }
 
-async fn carry_out(
+async fn process_output(
     shared: &Shared,
     link: &PeerLink,
     cluster: &RefCell<Cluster>,
     machines: &RefCell<Machines>,
-    offers: &UnboundedSender<Offer>,
+    offers: &UnboundedSender<ConfigurationOffer>,
     output: Output,
 ) {
     match output {
         Output::Send { to, datagram } => link.send(shared, to, datagram).await,
         Output::RecordChanged(record) => match record.key {
             RecordKey::Machine(_) => {
-                machines::take_record(shared.clock.now(), machines, &record);
+                machines::apply_record(shared.clock.now(), machines, &record);
             }
-            RecordKey::Drain(_) => drains::take_record(machines, &record),
+            RecordKey::Drain(_) => drains::apply_record(machines, &record),
             RecordKey::Configuration | RecordKey::GroupDigest(_) => {}
         },
         Output::RecordOffered { record, from } => {
             let revision = Revision(record.version.major);
-            // Nobody reads offers any more once the node ends.
-            let _ = offers.send(Offer { revision, from });
+            // The receiver is gone once the node stops.
+            let _ = offers.send(ConfigurationOffer { revision, from });
         }
         Output::MemberUp(member) => {
-            count_members(shared, cluster);
+            update_member_gauge(shared, cluster);
             log_event!(shared.logger, Event::MemberUp, "node" => %member.node);
         }
         Output::MemberDown(node) => {
-            count_members(shared, cluster);
+            update_member_gauge(shared, cluster);
             shared.metrics.members_lost.inc();
             log_event!(shared.logger, Event::MemberDown, "node" => %node);
         }
     }
 }
 
-fn count_members(shared: &Shared, cluster: &RefCell<Cluster>) {
+fn update_member_gauge(shared: &Shared, cluster: &RefCell<Cluster>) {
     let members = cluster.borrow().member_count();
     shared.metrics.members.set(members as i64);
 }
--- a/crates/node/src/configuration/exchange.rs
+++ b/crates/node/src/configuration/exchange.rs
@@ -1,4 +1,4 @@
-//! What nodes ask each other about the configuration; it travels as peer calls.
+//! Messages by which a node fetches the configuration from a peer; they are sent as peer calls.
 
 use bytes::Bytes;
 use dalestand_types::Revision;
@@ -7,40 +7,41 @@
 use super::FormerConfiguration;
 use super::parts::PartName;
 
-/// Most parts asked for at once.
-pub(crate) const MAX_PARTS_ASKED: usize = 64;
+/// Most parts in a query.
+pub(crate) const MAX_PARTS_PER_QUERY: usize = 64;
 
-/// A question.
+/// A query for the configuration of a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Question {
-    /// What the configuration in force is made of, if it is newer than this revision.
+pub(crate) enum ConfigurationQuery {
+    /// Asks for the manifest of the peer's newest configuration, if it is newer than this revision.
     Manifest { newer_than: Revision },
-    /// The content of some parts.
+    /// Asks for the content of parts.
     Parts { names: Vec<PartName> },
 }
 
-/// An answer.
+/// The reply to a [`ConfigurationQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Answer {
-    /// What the configuration is made of; `None` if it is not newer.
+pub(crate) enum ConfigurationReply {
+    /// The manifest; `None` if the configuration is not newer.
     Manifest(Option<Manifest>),
-    /// The parts, in the order they were asked for; `None` for one that is not there any more.
+    /// The parts in the order of the query; `None` for a part that the newest configuration does not
+    /// contain.
     Parts(Vec<Option<Bytes>>),
 }
 
-/// What a configuration is made of.
+/// A configuration without the content of its parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Manifest {
     /// Its revision.
     pub(crate) revision: Revision,
-    /// Unique to the write.
+    /// Id unique to the write.
     pub(crate) writer: String,
     /// Who applied it.
     pub(crate) author: String,
-    /// When, in milliseconds since 1970, for people.
+    /// When it was applied, in milliseconds since the Unix epoch; informational.
     pub(crate) unix_ms: u64,
-    /// The configurations before this one, newest first.
+    /// The previous configurations, newest first.
     pub(crate) former: Vec<FormerConfiguration>,
-    /// The parts of the file, in order.
+    /// Names of the parts of the deployment file, in order.
     pub(crate) names: Vec<PartName>,
 }
--- a/crates/node/src/configuration/peers.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -1,4 +1,4 @@
-//! Fetches the configuration that a peer offers.
+//! Fetches configurations that peers announce.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,61 +13,61 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::ConfigurationRecord;
-use super::exchange::{Answer, MAX_PARTS_ASKED, Manifest, Question};
-use super::parts::{PartName, PartedText};
+use super::exchange::{ConfigurationQuery, ConfigurationReply, MAX_PARTS_PER_QUERY, Manifest};
+use super::parts::{PartName, SplitText};
 use super::store::ConfigurationStore;
 use crate::cluster_driver::PeerLink;
 use crate::peer_calls::{PeerCallError, PeerClient, PeerRequest, PeerResponse};
 
-/// Time limit of one fetch.
-const FETCH_LIMIT: Duration = Duration::from_secs(10);
+/// Timeout of a fetch.
+const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A peer that has a configuration newer than this node's.
+/// A peer's announcement of a configuration that was newer than this node's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Offer {
-    /// The revision.
+pub(crate) struct ConfigurationOffer {
+    /// Revision of the configuration.
     pub(crate) revision: Revision,
     /// The peer.
     pub(crate) from: SocketAddr,
 }
 
-/// A configuration could not be fetched from a peer.
+/// Why a configuration could not be fetched from a peer.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
     /// The call failed.
     #[error(transparent)]
     Call(#[from] PeerCallError),
-    /// The peer cannot be reached.
+    /// An injected fault blocks the link to the peer.
     #[error("the peer cannot be reached")]
-    Unreachable,
-    /// The peer took too long.
-    #[error("the peer took too long")]
-    TooSlow,
-    /// The peer's answer does not fit the question, or a part is not what its name says.
-    #[error("the peer's answer does not fit the question")]
-    WrongAnswer,
-    /// The peer holds another configuration by now.
-    #[error("the peer has moved on")]
-    MovedOn,
+    LinkDown,
+    /// The fetch took longer than [`FETCH_TIMEOUT`].
+    #[error("the fetch timed out")]
+    Timeout,
+    /// The reply does not match the query, or the content of a part does not match its name.
+    #[error("the reply of the peer does not match the query")]
+    InvalidReply,
+    /// The peer has another configuration by now.
+    #[error("the peer has another configuration by now")]
+    Superseded,
 }
 
-/// Fetches what peers offer, until dropped.
-pub(crate) async fn follow(
+/// Fetches and applies announced configurations until dropped.
+pub(crate) async fn fetch_offered(
     shared: Arc<Shared>,
     link: Rc<PeerLink>,
     peers: PeerClient,
     store: Rc<ConfigurationStore>,
-    mut offers: UnboundedReceiver<Offer>,
+    mut offers: UnboundedReceiver<ConfigurationOffer>,
 ) {
     while let Some(offer) = offers.recv().await {
         if offer.revision <= store.revision() {
             continue;
         }
         let fetched =
-            actix_rt::time::timeout(FETCH_LIMIT, fetch(&link, &peers, &store, offer.from));
-        match fetched.await.unwrap_or(Err(FetchError::TooSlow)) {
-            Ok((revision, record)) => store.take(revision, record),
-            // Whoever offers it next is asked next.
+            actix_rt::time::timeout(FETCH_TIMEOUT, fetch(&link, &peers, &store, offer.from));
+        match fetched.await.unwrap_or(Err(FetchError::Timeout)) {
+            Ok((revision, record)) => store.apply(revision, record),
+            // Retried when another peer announces it.
             Err(error) => {
                 log_event!(shared.logger, Event::ConfigurationNotFetched,
                     "peer" => %offer.from, "error" => %error);
@@ -83,16 +83,16 @@
     from: SocketAddr,
 ) -> Result<(Revision, ConfigurationRecord), FetchError> {
     if !link.passes(from) {
-        return Err(FetchError::Unreachable);
+        return Err(FetchError::LinkDown);
     }
     let newer_than = store.revision();
-    let question = Question::Manifest { newer_than };
-    let Answer::Manifest(manifest) = ask(peers, from, question).await? else {
-        return Err(FetchError::WrongAnswer);
+    let query = ConfigurationQuery::Manifest { newer_than };
+    let ConfigurationReply::Manifest(manifest) = query_peer(peers, from, query).await? else {
+        return Err(FetchError::InvalidReply);
     };
-    let manifest = manifest.ok_or(FetchError::MovedOn)?;
+    let manifest = manifest.ok_or(FetchError::Superseded)?;
     let parts = fetch_parts(peers, from, store, &manifest).await?;
-    let text = PartedText {
+    let text = SplitText {
         names: manifest.names,
         parts,
     };
@@ -101,12 +101,12 @@
         author: manifest.author,
         unix_ms: manifest.unix_ms,
         former: manifest.former,
-        text: text.text().ok_or(FetchError::WrongAnswer)?,
+        text: text.text().ok_or(FetchError::InvalidReply)?,
     };
     Ok((manifest.revision, record))
 }
 
-/// Gathers the parts: those this node has, and the others from the peer.
+/// Collects the parts of a manifest; those that this node lacks are fetched from the peer.
 async fn fetch_parts(
     peers: &PeerClient,
     from: SocketAddr,
@@ -121,17 +121,17 @@
             None => missing.push(*name),
         }
     }
-    for names in missing.chunks(MAX_PARTS_ASKED) {
-        let question = Question::Parts {
+    for names in missing.chunks(MAX_PARTS_PER_QUERY) {
+        let query = ConfigurationQuery::Parts {
             names: names.to_vec(),
         };
-        let Answer::Parts(answered) = ask(peers, from, question).await? else {
-            return Err(FetchError::WrongAnswer);
+        let ConfigurationReply::Parts(answered) = query_peer(peers, from, query).await? else {
+            return Err(FetchError::InvalidReply);
         };
         for (name, part) in names.iter().zip(answered) {
-            let part = part.ok_or(FetchError::MovedOn)?;
+            let part = part.ok_or(FetchError::Superseded)?;
             if PartName::of(&part) != *name {
-                return Err(FetchError::WrongAnswer);
+                return Err(FetchError::InvalidReply);
             }
             parts.insert(*name, part);
         }
@@ -139,16 +139,13 @@
     Ok(parts)
 }
 
-async fn ask(
+async fn query_peer(
     peers: &PeerClient,
     from: SocketAddr,
-    question: Question,
-) -> Result<Answer, FetchError> {
-    match peers
-        .call(from, &PeerRequest::Configuration(question))
-        .await?
-    {
+    query: ConfigurationQuery,
+) -> Result<ConfigurationReply, FetchError> {
+    match peers.call(from, &PeerRequest::Configuration(query)).await? {
         PeerResponse::Configuration(answer) => Ok(answer),
-        _ => Err(FetchError::WrongAnswer),
+        _ => Err(FetchError::InvalidReply),
     }
 }
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -1,13 +1,13 @@
-//! The configuration in force, never going back.
+//! Distribution of the configuration; its revision never decreases on a node.
 //!
-//! A few nodes watch the key-value service. Whoever has a new configuration offers it to its peers
-//! with the cluster's news; a peer fetches the content from the one that offered it, puts it in
-//! force, and only then offers it on. So whoever offers a configuration has it, and the load of
-//! passing it on is shared by all.
+//! A few nodes watch the key-value service. A node that has a new configuration announces it with a
+//! cluster record. Its peers fetch the content from the announcing node, activate it and then announce
+//! it themselves. Every announcing node can therefore serve the content, and the load is spread over
+//! all nodes.
 
 mod exchange;
+mod fetch;
 mod parts;
-mod peers;
 mod store;
 #[cfg(test)]
 mod tests;
@@ -16,8 +16,8 @@
 use dalestand_types::Revision;
 use serde::{Deserialize, Serialize};
 
-pub(crate) use exchange::{Answer, Question};
-pub(crate) use peers::{Offer, follow};
+pub(crate) use exchange::{ConfigurationQuery, ConfigurationReply};
+pub(crate) use fetch::{ConfigurationOffer, fetch_offered};
 pub(crate) use store::ConfigurationStore;
 pub(crate) use watch::watch;
 
@@ -27,29 +27,29 @@
 /// The configuration record in the key-value service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ConfigurationRecord {
-    /// Unique to the write, so that a writer whose answer was lost knows its own.
+    /// Id unique to the write, by which a writer recognizes its write if the answer was lost.
     pub(crate) writer: String,
-    /// Who applied it, for people.
+    /// Who applied it; informational.
     pub(crate) author: String,
-    /// When it was applied, in milliseconds since 1970, for people.
+    /// When it was applied, in milliseconds since the Unix epoch; informational.
     #[serde(default)]
     pub(crate) unix_ms: u64,
-    /// The configurations before this one, newest first.
+    /// The previous configurations, newest first.
     #[serde(default)]
     pub(crate) former: Vec<FormerConfiguration>,
-    /// The deployment file.
+    /// Content of the deployment file.
     pub(crate) text: String,
 }
 
-/// A configuration that a later one replaced; by it a writer whose answer was lost finds out that
-/// its write took effect.
+/// A previous configuration. By this history a writer whose answer was lost finds out that its write
+/// took effect before it was replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FormerConfiguration {
-    /// The write.
+    /// Id of its write.
     pub(crate) writer: String,
-    /// Who applied it, for people.
+    /// Who applied it; informational.
     pub(crate) author: String,
-    /// When, in milliseconds since 1970, for people.
+    /// When it was applied, in milliseconds since the Unix epoch; informational.
     pub(crate) unix_ms: u64,
     /// Its revision.
     pub(crate) revision: Revision,
--- a/crates/node/src/configuration/parts.rs
+++ b/crates/node/src/configuration/parts.rs
@@ -1,28 +1,28 @@
-//! Cuts a deployment file into parts that are named by their content.
+//! Content-defined chunking of a deployment file into parts named by their hash.
 //!
-//! Cuts follow the content: a small change of a large file changes one or two parts, wherever it
-//! stands, so that a node fetches some kilobytes instead of the whole file.
+//! The boundaries depend on the content only, so that a small change anywhere in a large file changes
+//! one or two parts, and a node fetches a few kilobytes instead of the whole file.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// A part ends after one table in this many, on average.
-const TABLES_A_PART: u8 = 32;
+/// Average number of tables per part.
+const TABLES_PER_PART: u8 = 32;
 
-/// A part ends after this many bytes at the latest, at the end of a line.
+/// Size at which a part ends at the next end of a line.
 const MAX_PART_BYTES: usize = 16 << 10;
 
-/// Begins a table that may stand many times.
+/// Start of a line that begins an element of an array of tables in TOML.
 const TABLE_START: &str = "[[";
 
-/// Names a part: the first half of its BLAKE3 hash.
+/// Name of a part: the first half of the BLAKE3 hash of its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct PartName([u8; 16]);
 
 impl PartName {
-    /// The name of some content.
+    /// The name of a part with this content.
     pub(crate) fn of(content: &[u8]) -> Self {
         let hash = blake3::hash(content);
         let mut name = [0; 16];
@@ -31,41 +31,41 @@
     }
 }
 
-/// A file in parts.
+/// A text split into parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct PartedText {
-    /// The parts' names, in order.
+pub(crate) struct SplitText {
+    /// Names of the parts, in order.
     pub(crate) names: Vec<PartName>,
-    /// The parts.
+    /// Content of the parts by name.
     pub(crate) parts: HashMap<PartName, Bytes>,
 }
 
-impl PartedText {
-    /// Cuts a text.
-    pub(crate) fn cut(text: &str) -> Self {
-        let mut parted = Self::default();
+impl SplitText {
+    /// Splits a text.
+    pub(crate) fn split(text: &str) -> Self {
+        let mut split = Self::default();
         let mut part_start = 0;
         let mut table_start = 0;
-        let mut place = 0;
+        let mut offset = 0;
         for line in text.split_inclusive('\n') {
             if line.starts_with(TABLE_START) {
-                if ends_part(&text[table_start..place]) {
-                    parted.push(&text[part_start..place]);
-                    part_start = place;
+                if ends_part(&text[table_start..offset]) {
+                    split.push(&text[part_start..offset]);
+                    part_start = offset;
                 }
-                table_start = place;
+                table_start = offset;
             }
-            place += line.len();
-            if place - part_start >= MAX_PART_BYTES {
-                parted.push(&text[part_start..place]);
-                part_start = place;
+            offset += line.len();
+            if offset - part_start >= MAX_PART_BYTES {
+                split.push(&text[part_start..offset]);
+                part_start = offset;
             }
         }
-        parted.push(&text[part_start..]);
-        parted
+        split.push(&text[part_start..]);
+        split
     }
 
-    /// The text; `None` if a part is missing or is not UTF-8.
+    /// Joins the parts; `None` if a part is missing or the text is not UTF-8.
     pub(crate) fn text(&self) -> Option<String> {
         let mut bytes = Vec::new();
         for name in &self.names {
@@ -85,7 +85,8 @@
     }
 }
 
+/// Whether a part ends after this table.
 fn ends_part(table: &str) -> bool {
     let hash = blake3::hash(table.as_bytes());
-    !table.is_empty() && hash.as_bytes()[0].is_multiple_of(TABLES_A_PART)
+    !table.is_empty() && hash.as_bytes()[0].is_multiple_of(TABLES_PER_PART)
 }
--- a/crates/node/src/configuration/store.rs
+++ b/crates/node/src/configuration/store.rs
@@ -1,4 +1,4 @@
-//! The configuration this node holds, in force and ready to be passed on.
+//! The newest configuration known to this node: activates it and serves it to peers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,21 +13,21 @@
 use tokio::sync::Notify;
 
 use super::ConfigurationRecord;
-use super::exchange::{Answer, MAX_PARTS_ASKED, Manifest, Question};
-use super::parts::{PartName, PartedText};
+use super::exchange::{ConfigurationQuery, ConfigurationReply, MAX_PARTS_PER_QUERY, Manifest};
+use super::parts::{PartName, SplitText};
 
-struct Held {
+struct HeldConfiguration {
     manifest: Manifest,
-    text: PartedText,
+    text: SplitText,
 }
 
-/// Holds the newest configuration seen; a revision never goes back.
+/// Holds the newest known configuration; its revision never decreases.
 pub(crate) struct ConfigurationStore {
     shared: Arc<Shared>,
     cluster: Rc<RefCell<Cluster>>,
-    /// Notified when there is news that should not wait for the cluster's next tick.
-    news: Rc<Notify>,
-    held: RefCell<Option<Held>>,
+    /// Wakes the cluster driver to send a record without waiting for its next tick.
+    wake: Rc<Notify>,
+    held: RefCell<Option<HeldConfiguration>>,
 }
 
 impl ConfigurationStore {
@@ -35,24 +35,24 @@
     pub(crate) fn new(
         shared: Arc<Shared>,
         cluster: Rc<RefCell<Cluster>>,
-        news: Rc<Notify>,
+        wake: Rc<Notify>,
     ) -> Self {
         Self {
             shared,
             cluster,
-            news,
+            wake,
             held: RefCell::new(None),
         }
     }
 
-    /// The newest revision seen.
+    /// Newest known revision; 0 if there is none.
     pub(crate) fn revision(&self) -> Revision {
         let held = self.held.borrow();
         held.as_ref()
             .map_or(Revision(0), |held| held.manifest.revision)
     }
 
-    /// What the newest configuration is made of, if it is newer than a revision.
+    /// Manifest of the newest configuration, if it is newer than `newer_than`.
     pub(crate) fn manifest(&self, newer_than: Revision) -> Option<Manifest> {
         let held = self.held.borrow();
         let manifest = held.as_ref().map(|held| &held.manifest);
@@ -61,13 +61,15 @@
             .cloned()
     }
 
-    /// Answers another node.
-    pub(crate) fn answer(&self, question: &Question) -> Answer {
-        match question {
-            Question::Manifest { newer_than } => Answer::Manifest(self.manifest(*newer_than)),
-            Question::Parts { names } => {
-                let names = names.iter().take(MAX_PARTS_ASKED);
-                Answer::Parts(names.map(|name| self.part(name)).collect())
+    /// Answers a query of another node.
+    pub(crate) fn answer(&self, query: &ConfigurationQuery) -> ConfigurationReply {
+        match query {
+            ConfigurationQuery::Manifest { newer_than } => {
+                ConfigurationReply::Manifest(self.manifest(*newer_than))
+            }
+            ConfigurationQuery::Parts { names } => {
+                let names = names.iter().take(MAX_PARTS_PER_QUERY);
+                ConfigurationReply::Parts(names.map(|name| self.part(name)).collect())
             }
         }
     }
@@ -78,25 +80,26 @@
         held.as_ref()?.text.parts.get(name).cloned()
     }
 
-    /// Takes what the key-value service holds.
-    pub(crate) fn take_entry(&self, revision: Revision, value: &str) {
+    /// Applies a record read from the key-value service.
+    pub(crate) fn apply_entry(&self, revision: Revision, value: &str) {
         match serde_json::from_str(value) {
-            Ok(record) => self.take(revision, record),
-            Err(error) => self.report_unusable(revision, &error.to_string()),
+            Ok(record) => self.apply(revision, record),
+            Err(error) => self.log_unusable(revision, &error.to_string()),
         }
     }
 
-    /// Puts a configuration in force if it is newer than what was seen, and tells the other nodes.
-    pub(crate) fn take(&self, revision: Revision, record: ConfigurationRecord) {
+    /// Applies a configuration if it is newer than the known one: activates it and announces it to the
+    /// cluster.
+    pub(crate) fn apply(&self, revision: Revision, record: ConfigurationRecord) {
         if revision <= self.revision() {
             return;
         }
         match Deployment::parse(&record.text) {
-            Ok(deployment) => self.put_in_force(revision, deployment),
-            // Kept and passed on all the same: another node may understand it.
-            Err(faults) => self.report_unusable(revision, &faults.to_string()),
+            Ok(deployment) => self.activate(revision, deployment),
+            // Stored and announced nevertheless: nodes of another version may accept it.
+            Err(faults) => self.log_unusable(revision, &faults.to_string()),
         }
-        let text = PartedText::cut(&record.text);
+        let text = SplitText::split(&record.text);
         let manifest = Manifest {
             revision,
             writer: record.writer,
@@ -105,11 +108,11 @@
             former: record.former,
             names: text.names.clone(),
         };
-        *self.held.borrow_mut() = Some(Held { manifest, text });
+        *self.held.borrow_mut() = Some(HeldConfiguration { manifest, text });
         self.announce(revision);
     }
 
-    fn put_in_force(&self, revision: Revision, deployment: Deployment) {
+    fn activate(&self, revision: Revision, deployment: Deployment) {
         let active = ActiveConfiguration {
             revision,
             deployment: Arc::new(deployment),
@@ -131,14 +134,14 @@
         };
         let published = self.cluster.borrow_mut().publish(record);
         match published {
-            Ok(_) => self.news.notify_one(),
+            Ok(_) => self.wake.notify_one(),
             Err(error) => {
                 log_event!(self.shared.logger, Event::DatagramUnreadable, "error" => %error);
             }
         }
     }
 
-    fn report_unusable(&self, revision: Revision, fault: &str) {
+    fn log_unusable(&self, revision: Revision, fault: &str) {
         log_event!(self.shared.logger, Event::ConfigurationUnusable,
             "revision" => revision.0, "fault" => fault);
     }
--- a/crates/node/src/configuration/tests.rs
+++ b/crates/node/src/configuration/tests.rs
@@ -1,4 +1,4 @@
-//! Parts of a deployment file, and the store that never goes back.
+//! Chunking of deployment files, and the order of revisions in the store.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
@@ -13,7 +13,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-use super::parts::PartedText;
+use super::parts::SplitText;
 use super::{ConfigurationRecord, ConfigurationStore};
 
 fn config() -> Config {
@@ -30,7 +30,7 @@
 
     #[test]
     fn a_text_is_put_together_again_from_its_parts(text in "(\\[\\[|[a-zé]|\n){0,200}") {
-        prop_assert_eq!(PartedText::cut(&text).text(), Some(text));
+        prop_assert_eq!(SplitText::split(&text).text(), Some(text));
     }
 }
 
@@ -45,10 +45,10 @@
 
 #[test]
 fn a_change_of_one_table_changes_at_most_three_parts() {
-    let before = PartedText::cut(&file(15_000, 15_000));
+    let before = SplitText::split(&file(15_000, 15_000));
     assert!(before.names.len() > 100, "{} parts", before.names.len());
     for changed in [0, 7_500, 14_999] {
-        let after = PartedText::cut(&file(15_000, changed));
+        let after = SplitText::split(&file(15_000, changed));
         let new = after
             .names
             .iter()
@@ -61,9 +61,9 @@
 #[test]
 fn parts_stay_small() {
     let long_line_free = "x = 1\n".repeat(20_000);
-    let parted = PartedText::cut(&long_line_free);
-    assert!(parted.parts.values().all(|part| part.len() <= 17 << 10));
-    assert_eq!(parted.text(), Some(long_line_free));
+    let split = SplitText::split(&long_line_free);
+    assert!(split.parts.values().all(|part| part.len() <= 17 << 10));
+    assert_eq!(split.text(), Some(long_line_free));
 }
 
 fn record(name: &str) -> ConfigurationRecord {
@@ -97,17 +97,17 @@
         (active.revision, active.deployment.name.clone())
     };
 
-    store.take(Revision(5), record("five"));
-    store.take(Revision(3), record("three"));
-    store.take(Revision(5), record("five again"));
+    store.apply(Revision(5), record("five"));
+    store.apply(Revision(3), record("three"));
+    store.apply(Revision(5), record("five again"));
     assert_eq!(in_force(), (Revision(5), "five".to_owned()));
 
     let unusable = ConfigurationRecord {
         text: "format = 99\n".to_owned(),
         ..record("unusable")
     };
-    store.take(Revision(7), unusable);
-    store.take(Revision(6), record("six"));
+    store.apply(Revision(7), unusable);
+    store.apply(Revision(6), record("six"));
     assert_eq!(in_force(), (Revision(5), "five".to_owned()));
     assert_eq!(
         store.manifest(Revision(6)).map(|one| one.revision),
--- a/crates/node/src/configuration/watch.rs
+++ b/crates/node/src/configuration/watch.rs
@@ -1,8 +1,8 @@
 //! Watches the key-value service for new configurations.
 //!
-//! Two nodes of each zone watch, chosen by hash among the members that are live as far as each
-//! node knows. The others look seldom, in case no watcher can reach the service while they can;
-//! all together they look at a rate that does not grow with the fleet.
+//! Two nodes of each zone, chosen by hash among its live members, keep a watch open. The other nodes
+//! poll infrequently, in case none of the watchers can reach the service; their total rate does not
+//! grow with the fleet.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,66 +20,66 @@
 use super::CONFIGURATION_KEY;
 use super::store::ConfigurationStore;
 
-/// Watchers of a zone.
-const WATCHERS_A_ZONE: usize = 2;
+/// Watching nodes per zone.
+const WATCHERS_PER_ZONE: usize = 2;
 
-/// How long one watch waits.
+/// Time for which a watch call waits for changes.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 
-/// Pause after a failed call.
+/// Delay after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// How long a node that just started waits for word of peers before it looks at the service.
-const FIRST_LOOK: Duration = Duration::from_millis(300);
+/// Delay of a starting node before its first call.
+const INITIAL_DELAY: Duration = Duration::from_millis(300);
 
-/// How long it waits if there may be peers: until it knows them it would take itself for a
-/// watcher, and a fleet that starts at once would ask the service once a node.
-const FIRST_LOOK_WITH_PEERS: Duration = Duration::from_millis(1_500);
+/// The same delay if the node has addresses of peers. Until it knows its peers it considers itself a
+/// watcher, and all nodes of a fleet that starts at once would call the service.
+const INITIAL_DELAY_WITH_PEERS: Duration = Duration::from_millis(1_500);
 
-/// Time between two looks of all nodes that do not watch, together.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Average time between two polls by all nodes that do not watch, together.
+const FLEET_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Least time between two looks of one node.
-const MIN_LOOK_INTERVAL: Duration = Duration::from_secs(10);
+/// Shortest average time between two polls by one node.
+const MIN_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Time between two looks at whether this node watches.
-const ROLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a node that does not watch checks whether it should.
+const WATCHER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Watches, or looks seldom, until dropped.
+/// Watches or polls until dropped.
 pub(crate) async fn watch(
     shared: Arc<Shared>,
     key_value: Rc<dyn KeyValue>,
     cluster: Rc<RefCell<Cluster>>,
     store: Rc<ConfigurationStore>,
 ) {
-    actix_rt::time::sleep(FIRST_LOOK.mul_f64(random_factor())).await;
+    actix_rt::time::sleep(INITIAL_DELAY.mul_f64(jitter())).await;
     if cluster.borrow().has_contacts() {
-        let longer = FIRST_LOOK_WITH_PEERS - FIRST_LOOK;
-        actix_rt::time::sleep(longer.mul_f64(random_factor())).await;
+        let extra_delay = INITIAL_DELAY_WITH_PEERS - INITIAL_DELAY;
+        actix_rt::time::sleep(extra_delay.mul_f64(jitter())).await;
     }
-    let mut next_look = shared.clock.now();
+    let mut next_poll = shared.clock.now();
     loop {
         let watches = is_watcher(&cluster.borrow());
         let now = shared.clock.now();
         let wait = if watches { WATCH_WAIT } else { Duration::ZERO };
-        if watches || now >= next_look {
+        if watches || now >= next_poll {
             shared.metrics.key_value_calls.inc();
-            if let Err(error) = look(&*key_value, &store, wait).await {
+            if let Err(error) = poll(&*key_value, &store, wait).await {
                 log_event!(shared.logger, Event::KeyValueFailed, "error" => %error);
-                actix_rt::time::sleep(RETRY_PAUSE.mul_f64(random_factor())).await;
+                actix_rt::time::sleep(RETRY_PAUSE.mul_f64(jitter())).await;
             }
             let nodes = cluster.borrow().member_count() as u32 + 1;
-            let interval = MIN_LOOK_INTERVAL.max(LOOK_INTERVAL * nodes);
-            next_look = shared.clock.now() + interval.mul_f64(random_factor());
+            let interval = MIN_POLL_INTERVAL.max(FLEET_POLL_INTERVAL * nodes);
+            next_poll = shared.clock.now() + interval.mul_f64(jitter());
         }
         if !watches {
-            actix_rt::time::sleep(ROLE_INTERVAL).await;
+            actix_rt::time::sleep(WATCHER_CHECK_INTERVAL).await;
         }
     }
 }
 
-/// Asks for what is newer than what this node holds.
-async fn look(
+/// Reads a newer configuration, if there is one or one is applied within `wait`.
+async fn poll(
     key_value: &dyn KeyValue,
     store: &ConfigurationStore,
     wait: Duration,
@@ -92,7 +92,7 @@
     if batch.compacted {
         return read(key_value, store).await;
     }
-    take_batch(store, batch);
+    apply_batch(store, batch);
     Ok(())
 }
 
@@ -101,40 +101,40 @@
     store: &ConfigurationStore,
 ) -> Result<(), Report<PlatformError>> {
     match key_value.get(CONFIGURATION_KEY).await? {
-        Some(entry) => store.take_entry(entry.revision, &entry.value),
-        // Nothing was applied yet: wait for the first.
+        Some(entry) => store.apply_entry(entry.revision, &entry.value),
+        // No configuration has been applied yet; wait for the first one.
         None => {
             let batch = key_value
                 .watch(CONFIGURATION_KEY, Revision(0), WATCH_WAIT)
                 .await?;
-            take_batch(store, batch);
+            apply_batch(store, batch);
         }
     }
     Ok(())
 }
 
-fn take_batch(store: &ConfigurationStore, batch: WatchBatch) {
+fn apply_batch(store: &ConfigurationStore, batch: WatchBatch) {
     let events = batch.events.into_iter();
     let events = events.filter(|event| event.key == CONFIGURATION_KEY);
     if let Some(event) = events.max_by_key(|event| event.revision)
         && let Some(value) = event.value
     {
-        store.take_entry(event.revision, &value);
+        store.apply_entry(event.revision, &value);
     }
 }
 
 fn is_watcher(cluster: &Cluster) -> bool {
     let me: &Member = cluster.local_member();
     let zone = cluster.members().filter(|member| member.zone == me.zone);
-    let own = place(&me.node);
-    let before_me = zone.filter(|member| place(&member.node) < own);
-    before_me.count() < WATCHERS_A_ZONE
+    let own_rank = watcher_rank(&me.node);
+    let ahead = zone.filter(|member| watcher_rank(&member.node) < own_rank);
+    ahead.count() < WATCHERS_PER_ZONE
 }
 
-fn place(node: &NodeId) -> [u8; 32] {
+fn watcher_rank(node: &NodeId) -> [u8; 32] {
     *blake3::hash(node.as_str().as_bytes()).as_bytes()
 }
 
-fn random_factor() -> f64 {
+fn jitter() -> f64 {
     rand::rng().random_range(0.75..1.25)
 }
--- a/crates/node/src/control_driver/leases.rs
+++ b/crates/node/src/control_driver/leases.rs
@@ -1,4 +1,4 @@
-//! Acquiring, renewing and giving up the groups' leases.
+//! Acquires, renews and releases group leases.
 
 use std::time::Duration;
 
@@ -11,32 +11,34 @@
 use super::ControlDriver;
 use crate::peer_calls::PeerRequest;
 
-/// Parts of a lease after which one that was not granted may be asked for again.
+/// Retries to acquire a lease, per time to live of a lease.
 const ACQUIRE_RETRIES_PER_LEASE: u32 = 2;
 
 impl ControlDriver {
-    /// Gives every lease up, so that another node can take over at once.
+    /// Releases all leases and asks other nodes to take over the groups.
     pub(crate) async fn release_leases(&self) {
         let retry_at = self.shared.clock.now() + self.leases.time_to_live();
         let grants: Vec<(GroupId, LeaseGrant)> = {
             let mut state = self.state.borrow_mut();
             let controllers = state.controllers.iter_mut();
             controllers
-                .filter_map(|(group, one)| Some((group.clone(), one.hand_over(retry_at)?)))
+                .filter_map(|(group, controller)| {
+                    Some((group.clone(), controller.hand_over(retry_at)?))
+                })
                 .collect()
         };
         let releases = grants.into_iter().map(|(group, grant)| async move {
             if self.release(grant.lease).await {
                 log_event!(self.shared.logger, Event::LeaseReleased, "group" => %group);
-                self.hand_over(&group).await;
+                self.request_takeover(&group).await;
             }
         });
         futures_util::future::join_all(releases).await;
     }
 
-    /// Asks the first candidate to take a group over. If it does not hear, a node takes the group
-    /// over once its digests have stopped for a lease.
-    async fn hand_over(&self, group: &GroupId) {
+    /// Asks the first candidate to take over a group. If the call fails, a node takes over when no
+    /// digest of the group has been received for the time to live of a lease.
+    async fn request_takeover(&self, group: &GroupId) {
         let Some(active) = self.shared.configuration.load_full() else {
             return;
         };
@@ -46,10 +48,10 @@
             .find(|one| one.id() == *group)
             .map(|one| &one.zone);
         let candidates = self.candidates();
-        let chosen = zone.and_then(|zone| successor(group, zone, &candidates));
+        let successor_candidate = zone.and_then(|zone| successor(group, zone, &candidates));
         let address = {
             let cluster = self.cluster.borrow();
-            chosen.and_then(|one| Some(cluster.member(&one.node)?.address))
+            successor_candidate.and_then(|one| Some(cluster.member(&one.node)?.address))
         };
         if let Some(address) = address {
             let group = group.clone();
@@ -61,8 +63,8 @@
         }
     }
 
-    /// Takes a group over that its holder has just given up.
-    pub(crate) fn invite(&self, group: &GroupId) {
+    /// Tries at once to acquire the lease of a group that its holder has released.
+    pub(crate) fn take_over(&self, group: &GroupId) {
         self.with_controller(group, GroupController::acquire_immediately);
     }
 
@@ -70,36 +72,35 @@
         self.shared.metrics.key_value_calls.inc();
         let released = self.leases.release(lease).await;
         if let Err(error) = &released {
-            // It runs out by itself.
+            // The lease expires by itself.
             log_event!(self.shared.logger, Event::KeyValueFailed, "error" => %error);
         }
         released.is_ok()
     }
 
-    /// Keeps this node from asking for leases that are held, and for those that other nodes ask
-    /// for first.
-    pub(super) fn hold_off_candidates(&self, now: MonotonicTime) {
+    /// Postpones the acquisition of leases that other nodes hold or are to acquire first.
+    pub(super) fn postpone_acquires(&self, now: MonotonicTime) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        let Some(active) = &state.configured else {
+        let Some(active) = &state.configuration else {
             return;
         };
         let lease = self.leases.time_to_live();
         for group in &active.deployment.groups {
             let id = group.id();
-            let (Some(controller), Some(silent_since)) = (
+            let (Some(controller), Some(holder_expires_at)) = (
                 state.controllers.get_mut(&id),
-                state.silent_since.get_mut(&id),
+                state.holder_expires_at.get_mut(&id),
             ) else {
                 continue;
             };
-            if let Some(heard_at) = state.digests.heard_at(&id) {
-                *silent_since = (*silent_since).max(heard_at + lease);
+            if let Some(last_received_at) = state.digests.last_received_at(&id) {
+                *holder_expires_at = (*holder_expires_at).max(last_received_at + lease);
             }
-            controller.postpone_acquire(*silent_since);
+            controller.postpone_acquire(*holder_expires_at);
             if controller.acquire_due(now) {
                 match self.acquire_delay(group) {
-                    Some(delay) => controller.postpone_acquire(*silent_since + delay),
+                    Some(delay) => controller.postpone_acquire(*holder_expires_at + delay),
                     None => controller.postpone_acquire(now + lease),
                 }
             }
@@ -116,7 +117,7 @@
         acquire_delay(&group.id(), &group.zone, &me, &others, lease)
     }
 
-    /// The live nodes besides this one.
+    /// The other live nodes.
     pub(super) fn candidates(&self) -> Vec<Candidate> {
         let cluster = self.cluster.borrow();
         let members = cluster.members();
@@ -138,7 +139,7 @@
                 self.shared.metrics.key_value_calls.inc_by(2);
                 log_event!(self.shared.logger, Event::LeaseAcquired,
                     "group" => %group, "epoch" => grant.epoch.0);
-                self.with_controller(group, |one| one.lease_acquired(now, grant));
+                self.with_controller(group, |controller| controller.lease_acquired(now, grant));
                 self.restore_drains(group).await;
             }
             Ok(None) => self.retry_acquire(group, now),
@@ -153,10 +154,10 @@
         let pause = self.leases.time_to_live() / ACQUIRE_RETRIES_PER_LEASE;
         let jitter = rand::rng().random_range(0..=pause.as_millis() as u64);
         let retry_at = now + pause + Duration::from_millis(jitter);
-        self.with_controller(group, |one| one.lease_not_acquired(retry_at));
+        self.with_controller(group, |controller| controller.lease_not_acquired(retry_at));
     }
 
-    /// Spreads the drain marks of a group that was just taken over.
+    /// Publishes the stored drain marks of a group whose lease was just acquired.
     pub(super) async fn restore_drains(&self, group: &GroupId) {
         let engines: Vec<EngineId> = {
             let state = self.state.borrow();
--- a/crates/node/src/control_driver/loads.rs
+++ b/crates/node/src/control_driver/loads.rs
@@ -1,4 +1,4 @@
-//! Load reports of the engines this node controls, and the digests made of them.
+//! Polls the load of controlled engines and publishes it as group digests.
 
 use std::rc::Rc;
 
@@ -20,7 +20,7 @@
             let held = state
                 .controllers
                 .values()
-                .filter(|one| one.grant(now).is_some());
+                .filter(|controller| controller.grant(now).is_some());
             let due: Vec<GroupId> = held
                 .map(|controller| controller.group().clone())
                 .filter(|group| {
@@ -39,14 +39,15 @@
         }
     }
 
-    /// Asks the group's engines for load and publishes the digest.
+    /// Polls the load of a group's engines and publishes a digest.
     async fn poll_loads(&self, group: &GroupId) {
         let engines: Vec<EngineId> = {
             let state = self.state.borrow();
             let controller = state.controllers.get(group);
             controller
-                .map(|one| {
-                    one.statuses()
+                .map(|controller| {
+                    controller
+                        .statuses()
                         .into_iter()
                         .map(|status| status.engine)
                         .collect()
@@ -59,16 +60,16 @@
         let mut state = self.state.borrow_mut();
         for load in reports.into_iter().flatten() {
             if let Some(controller) = state.controllers.get_mut(group) {
-                let seen = EngineObservation {
+                let observation = EngineObservation {
                     incarnation: load.incarnation,
                     role: load.role,
                     requests: load.running + load.waiting,
                 };
-                controller.engine_reported(now, &load.engine, &seen);
+                controller.engine_reported(now, &load.engine, &observation);
             }
-            let before = state.loads.get(&load.engine);
-            let rates = before.map_or_else(TokenRates::default, |before| {
-                TokenRates::between(before.rates, (&before.load, before.at), (&load, now))
+            let previous = state.loads.get(&load.engine);
+            let rates = previous.map_or_else(TokenRates::default, |previous| {
+                TokenRates::between(previous.rates, (&previous.load, previous.at), (&load, now))
             });
             let engine = load.engine.clone();
             let sample = LoadSample {
@@ -84,7 +85,7 @@
 
     pub(super) async fn read_load(&self, engine: &EngineId) -> Option<EngineLoad> {
         let client = self.client(engine)?;
-        // One engine that hangs must not hold up the digest of its group.
+        // An unresponsive engine must not delay the digest of its group.
         let answer = actix_rt::time::timeout(self.load_poll, client.load()).await;
         answer.ok()?.ok()
     }
@@ -100,26 +101,28 @@
         };
         let sequence = state.sequences.entry(group.clone()).or_default();
         *sequence = sequence.next();
-        let Some(active) = &state.configured else {
+        let Some(active) = &state.configuration else {
             return;
         };
         let groups = &mut active.deployment.groups.iter();
-        let Some(configured) = groups.find(|one| one.id() == *group) else {
+        let Some(configured_group) = groups.find(|candidate| candidate.id() == *group) else {
             return;
         };
         let samples = engines.iter().filter_map(|engine| state.loads.get(engine));
         let reports: Vec<RatedReport> = samples
             .map(|sample| rated_report(sample, now, !controller.is_draining(&sample.load.engine)))
             .collect();
-        let whole = GroupDigest {
+        let full_digest = GroupDigest {
             group: group.clone(),
             epoch: grant.epoch,
             sequence: *sequence,
             holder: self.shared.node.clone(),
             engines: reports.iter().map(|rated| rated.digest.clone()).collect(),
         };
-        state.planning.observe(now, &configured.pool, &whole);
-        let digest = CompactDigest::pack(self.shared.node.clone(), configured, &reports);
+        state
+            .planning
+            .observe(now, &configured_group.pool, &full_digest);
+        let digest = CompactDigest::pack(self.shared.node.clone(), configured_group, &reports);
         let Ok(payload) = rmp_serde::to_vec(&digest) else {
             return;
         };
@@ -133,7 +136,7 @@
             payload: Bytes::from(payload),
         };
         let mut cluster = self.cluster.borrow_mut();
-        if let Err(error) = cluster.publish_digest(record, &configured.zone) {
+        if let Err(error) = cluster.publish_digest(record, &configured_group.zone) {
             log_event!(self.shared.logger, Event::DatagramUnreadable, "error" => %error);
         }
     }
--- a/crates/node/src/control_driver/mod.rs
+++ b/crates/node/src/control_driver/mod.rs
@@ -1,4 +1,4 @@
-//! Drives the group controllers: leases, orders, load reports and digests.
+//! Runs the group controllers: leases, orders, load polling and digests.
 
 mod leases;
 mod loads;
@@ -21,18 +21,18 @@
 use crate::desired::desired_engines;
 use crate::drains::Drains;
 use crate::engines::EngineClients;
-use crate::fleet::Digests;
+use crate::fleet::DigestTable;
 use crate::lease_service::LeaseService;
 use crate::machines::Machines;
 use crate::peer_calls::PeerClient;
 use crate::role_planning::RolePlanning;
 use crate::token_rates::TokenRates;
 
-/// Time between two looks at the controllers.
+/// Time between two ticks of the controllers.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Wait after the first configuration before a lease is asked for, in which a starting node hears
-/// of the others and of the holders.
+/// Delay after the first configuration before leases are acquired, in which a starting node learns of
+/// other nodes and of lease holders.
 const START_GRACE: Duration = Duration::from_millis(1_000);
 
 struct LoadSample {
@@ -44,18 +44,19 @@
 #[derive(Default)]
 struct State {
     controllers: BTreeMap<GroupId, GroupController>,
-    configured: Option<Arc<ActiveConfiguration>>,
-    silent_since: BTreeMap<GroupId, MonotonicTime>,
+    configuration: Option<Arc<ActiveConfiguration>>,
+    /// When each group counts as without a lease holder, unless a digest is received before.
+    holder_expires_at: BTreeMap<GroupId, MonotonicTime>,
     loads: HashMap<EngineId, LoadSample>,
     sequences: HashMap<GroupId, Sequence>,
     polled_at: HashMap<GroupId, MonotonicTime>,
     clients: EngineClients,
     planning: RolePlanning,
     machine_changes: u64,
-    digests: Digests,
+    digests: DigestTable,
 }
 
-/// The control half of a node.
+/// Runs the controllers of all groups on one node.
 pub(crate) struct ControlDriver {
     shared: Arc<Shared>,
     leases: LeaseService,
@@ -68,7 +69,7 @@
 }
 
 impl ControlDriver {
-    /// A driver that controls nothing yet.
+    /// A driver without any groups.
     pub(crate) fn new(
         shared: Arc<Shared>,
         leases: LeaseService,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// State of every engine whose group this node controls.
+    /// Group, lease epoch and state of every engine whose group's lease this node holds.
     pub(crate) fn statuses(&self) -> Vec<(GroupId, Epoch, EngineStatus)> {
         let now = self.shared.clock.now();
         let state = self.state.borrow();
@@ -117,7 +118,7 @@
         .collect()
     }
 
-    /// Who holds each group's lease, as far as its last digest says.
+    /// Lease holder of each group according to its last digest.
     pub(crate) fn holders(&self) -> BTreeMap<GroupId, NodeId> {
         let state = self.state.borrow();
         let groups = state.controllers.keys();
@@ -133,7 +134,7 @@
         let now = self.shared.clock.now();
         self.configure(now);
         self.refresh_view(now);
-        self.hold_off_candidates(now);
+        self.postpone_acquires(now);
         if self.shared.stopping() {
             return;
         }
@@ -152,22 +153,22 @@
         };
         for (group, action) in actions {
             let driver = Rc::clone(self);
-            actix_rt::spawn(async move { driver.carry_out(group, action).await });
+            actix_rt::spawn(async move { driver.run_action(group, action).await });
         }
         self.poll_due_loads(now);
     }
 
-    /// Brings the controllers in line with the configuration in force.
+    /// Updates the controllers if the active configuration changed.
     fn configure(&self, now: MonotonicTime) {
         let Some(active) = self.shared.configuration.load_full() else {
             return;
         };
         let mut state = self.state.borrow_mut();
-        let same = state
-            .configured
+        let unchanged = state
+            .configuration
             .as_ref()
             .is_some_and(|known| known.revision == active.revision);
-        if same {
+        if unchanged {
             return;
         }
         let deployment = &active.deployment;
@@ -175,19 +176,22 @@
         let state = &mut *state;
         state.planning.configure(deployment);
         for group in &deployment.groups {
-            state.silent_since.entry(group.id()).or_insert(first_at);
+            state
+                .holder_expires_at
+                .entry(group.id())
+                .or_insert(first_at);
             let controller = state
                 .controllers
                 .entry(group.id())
                 .or_insert_with(|| GroupController::new(group.id(), first_at));
             let planned = state.planning.roles(&group.id());
             let desired = desired_engines(deployment, group, &planned);
-            let bound = deployment.roles.max_changes_at_once as usize;
-            controller.set_desired(now, active.revision, desired, bound);
+            let max_changes = deployment.roles.max_changes_at_once as usize;
+            controller.set_desired(now, active.revision, desired, max_changes);
         }
         let groups: Vec<GroupId> = deployment.groups.iter().map(Group::id).collect();
         state.controllers.retain(|group, _| groups.contains(group));
-        state.configured = Some(active);
+        state.configuration = Some(active);
     }
 
     fn refresh_view(&self, now: MonotonicTime) {
@@ -197,15 +201,17 @@
         let leases_held = state
             .controllers
             .values()
-            .filter(|one| one.grant(now).is_some())
+            .filter(|controller| controller.grant(now).is_some())
             .count();
         self.shared.metrics.leases.set(leases_held as i64);
         let machines = self.machines.borrow();
-        if state.machine_changes != machines.changes() {
-            state.machine_changes = machines.changes();
-            state.clients.retain(|address| machines.uses(address));
+        if state.machine_changes != machines.change_count() {
+            state.machine_changes = machines.change_count();
+            state
+                .clients
+                .retain(|address| machines.uses_address(address));
         }
-        if let Some(active) = &state.configured {
+        if let Some(active) = &state.configuration {
             let deployment = &active.deployment;
             let view = state
                 .digests
--- a/crates/node/src/control_driver/orders.rs
+++ b/crates/node/src/control_driver/orders.rs
@@ -1,4 +1,4 @@
-//! Carrying out a controller's actions.
+//! Executes the actions of the controllers.
 
 use dalestand_control::{Action, EngineCall};
 use dalestand_telemetry::{Event, log_event};
@@ -7,7 +7,7 @@
 use super::ControlDriver;
 
 impl ControlDriver {
-    pub(super) async fn carry_out(&self, group: GroupId, action: Action) {
+    pub(super) async fn run_action(&self, group: GroupId, action: Action) {
         match action {
             Action::AcquireLease => self.acquire(&group).await,
             Action::RenewLease { lease } => self.renew(&group, lease).await,
@@ -38,13 +38,13 @@
     }
 
     pub(super) async fn send_order(&self, group: &GroupId, call: &EngineCall, order: &Order) {
-        // The lease may have run out since the action was made. A pause after this check is closed
-        // by the engine's own fence only.
+        // The lease may have expired since the action was created. If this node stalls after this
+        // check, the engine rejects the order by its epoch.
         let valid = {
             let state = self.state.borrow();
             let controller = state.controllers.get(group);
             controller
-                .and_then(|one| one.grant(self.shared.clock.now()))
+                .and_then(|controller| controller.grant(self.shared.clock.now()))
                 .is_some_and(|grant| grant.epoch == call.epoch)
         };
         let engine = &call.engine;
@@ -57,7 +57,7 @@
             Some(OrderOutcome::Accepted { .. }) => {
                 log_event!(self.shared.logger, Event::OrderGiven, "engine" => %engine,
                     "order" => %order.id, "command" => format!("{:?}", order.command));
-                self.record_role(group, engine, order);
+                self.record_role_decision(group, engine, order);
             }
             Some(outcome) => {
                 log_event!(self.shared.logger, Event::OrderRefused, "engine" => %engine,
--- a/crates/node/src/control_driver/roles.rs
+++ b/crates/node/src/control_driver/roles.rs
@@ -1,4 +1,4 @@
-//! Role plans put into the controllers, and the records of what they led to.
+//! Applies role plans to the controllers and records the resulting role orders.
 
 use dalestand_decision::RoleRecord;
 use dalestand_types::{EngineId, GroupId, MonotonicTime, Order, OrderCommand, Role};
@@ -7,11 +7,11 @@
 use crate::desired::desired_engines;
 
 impl ControlDriver {
-    /// Plans what is due and tells the controllers.
+    /// Runs the planners that are due and updates the desired roles of changed groups.
     pub(super) fn plan_roles(&self, now: MonotonicTime) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
-        let Some(active) = state.configured.clone() else {
+        let Some(active) = state.configuration.clone() else {
             return;
         };
         let held: Vec<GroupId> = state
@@ -20,10 +20,10 @@
             .filter(|controller| controller.grant(now).is_some())
             .map(|controller| controller.group().clone())
             .collect();
-        state.planning.keep(&active.deployment, &held);
+        state.planning.retain_held(&active.deployment, &held);
         self.observe_other_groups(now, state);
         let changed = state.planning.plan_due(now);
-        let bound = active.deployment.roles.max_changes_at_once as usize;
+        let max_changes = active.deployment.roles.max_changes_at_once as usize;
         for group in &active.deployment.groups {
             let id = group.id();
             if !changed.contains(&id) {
@@ -32,24 +32,24 @@
             let planned = state.planning.roles(&id);
             let desired = desired_engines(&active.deployment, group, &planned);
             if let Some(controller) = state.controllers.get_mut(&id) {
-                controller.set_desired(now, active.revision, desired, bound);
+                controller.set_desired(now, active.revision, desired, max_changes);
             }
         }
     }
 
-    /// Gives the planners what other holders reported of groups of the same pools.
+    /// Gives the planners new digests of groups in the same pools that other nodes control.
     fn observe_other_groups(&self, now: MonotonicTime, state: &mut State) {
-        let Some(active) = state.configured.clone() else {
+        let Some(active) = state.configuration.clone() else {
             return;
         };
         let machines = self.machines.borrow();
         for group in &active.deployment.groups {
             let id = group.id();
-            if !state.planning.wants(&group.pool) || !state.digests.take_unplanned(&id) {
+            if !state.planning.plans_pool(&group.pool) || !state.digests.take_unobserved(&id) {
                 continue;
             }
-            let own = state.controllers.get(&id);
-            if own.is_some_and(|controller| controller.grant(now).is_some()) {
+            let controller = state.controllers.get(&id);
+            if controller.is_some_and(|controller| controller.grant(now).is_some()) {
                 continue;
             }
             let digest = state
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Records a role order that an engine took.
-    pub(super) fn record_role(&self, group: &GroupId, engine: &EngineId, order: &Order) {
+    /// Records the decision behind a role order that an engine accepted.
+    pub(super) fn record_role_decision(&self, group: &GroupId, engine: &EngineId, order: &Order) {
         let OrderCommand::AssumeRole { role } = &order.command else {
             return;
         };
         let state = self.state.borrow();
         let from = self.known_role(engine);
-        let plan = state.planning.last(group);
+        let plan = state.planning.last_plan(group);
         let planned = plan.filter(|plan| plan.roles.get(engine) == Some(role));
         let reason = planned.map_or_else(
-            || "the configuration says so".to_owned(),
+            || "set by the configuration".to_owned(),
             |plan| format!("{}; {}", plan.reason, plan.inputs),
         );
         let age = planned.map(|plan| plan.inputs.information_age);
--- a/crates/node/src/control_plane.rs
+++ b/crates/node/src/control_plane.rs
@@ -1,5 +1,5 @@
-//! Assembles the control half of a node: cluster, machines, configuration, group controllers and
-//! the operators' surface. Hollow nodes of experiments run the same half without callers.
+//! Assembles the control plane of a node: cluster, machines, configuration, group controllers and
+//! operator API. Simulated nodes in experiments run it without serving callers.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -26,31 +26,31 @@
 use crate::machines::{Machines, poll_machines};
 use crate::node::NodeAddresses;
 use crate::peer_calls::{PeerClient, serve_peers};
-use crate::tenant_shares::TenantShares;
+use crate::tenant_demand::TenantDemandExchange;
 
-/// What a control half is made of.
+/// Inputs of [`start_control_plane`].
 pub struct ControlPlaneParts {
     /// Settings of the node.
     pub settings: NodeSettings,
-    /// State shared with the callers' half.
+    /// State shared with the caller server.
     pub shared: Arc<Shared>,
-    /// Where the node listens.
+    /// Addresses that the node listens on.
     pub addresses: NodeAddresses,
-    /// Socket for operators.
+    /// Listener of the operator API.
     pub operators: TcpListener,
-    /// Socket for other nodes.
+    /// Socket for datagrams of other nodes.
     pub peers: UdpSocket,
-    /// Socket for calls of other nodes, on the same port number.
+    /// Listener for calls of other nodes, on the same port number as `peers`.
     pub peer_calls: TcpListener,
     /// The key-value service.
     pub key_value: Rc<dyn KeyValue>,
-    /// Losses and cuts put in by an experiment.
+    /// Faults injected by an experiment.
     pub filter: Option<Arc<dyn LinkFilter>>,
-    /// Notified when an operator asks for a planned stop.
+    /// Notified when an operator requests a graceful shutdown.
     pub stop_requested: Rc<Notify>,
 }
 
-/// A running control half.
+/// A running control plane.
 pub struct ControlPlane {
     shared: Arc<Shared>,
     link: Rc<PeerLink>,
@@ -60,17 +60,17 @@
 }
 
 impl ControlPlane {
-    /// Gives up all leases, so that other nodes can take over at once.
+    /// Releases all leases, so that other nodes can take over at once.
     pub async fn release_leases(&self) {
         self.control.release_leases().await;
     }
 
-    /// Tells the other nodes that this one leaves.
+    /// Announces to other nodes that this node leaves.
     pub async fn leave(&self) {
         cluster_driver::leave(&self.shared, &self.link, &self.cluster).await;
     }
 
-    /// Ends every task at once, as when the process is killed.
+    /// Aborts all tasks, as if the process were killed.
     pub fn kill(self) {
         for task in &self.tasks {
             task.abort();
@@ -78,7 +78,7 @@
     }
 }
 
-/// Starts a control half on the current arbiter.
+/// Starts a control plane on the current arbiter.
 pub fn start_control_plane(parts: ControlPlaneParts) -> ControlPlane {
     let ControlPlaneParts {
         settings,
@@ -106,7 +106,7 @@
         socket: peers,
         address: addresses.peers,
         seal: seal.clone(),
-        news: Rc::new(Notify::new()),
+        wake: Rc::new(Notify::new()),
         filter,
     });
     let drains = Rc::new(Drains::new(
@@ -136,7 +136,7 @@
         Rc::clone(&cluster),
     );
     let (offers, received_offers) = mpsc::unbounded_channel();
-    let drive = cluster_driver::drive(
+    let drive = cluster_driver::run(
         Arc::clone(&shared),
         Rc::clone(&link),
         Rc::clone(&cluster),
@@ -146,10 +146,10 @@
     let store = ConfigurationStore::new(
         Arc::clone(&shared),
         Rc::clone(&cluster),
-        Rc::clone(&link.news),
+        Rc::clone(&link.wake),
     );
     let store = Rc::new(store);
-    let follow = configuration::follow(
+    let fetch = configuration::fetch_offered(
         Arc::clone(&shared),
         Rc::clone(&link),
         PeerClient::new(seal.clone()),
@@ -170,7 +170,7 @@
         ClaimStore::new(Rc::clone(&key_value)),
         PeerClient::new(seal.clone()),
     );
-    let tenants = TenantShares::new(
+    let tenants = TenantDemandExchange::new(
         Arc::clone(&shared),
         Rc::clone(&cluster),
         PeerClient::new(seal.clone()),
@@ -196,7 +196,7 @@
     let tasks = vec![
         actix_rt::spawn(poll),
         actix_rt::spawn(drive),
-        actix_rt::spawn(follow),
+        actix_rt::spawn(fetch),
         actix_rt::spawn(watch),
         actix_rt::spawn(serve_gate(calls, claims)),
         actix_rt::spawn(serve),
--- a/crates/node/src/desired.rs
+++ b/crates/node/src/desired.rs
@@ -1,4 +1,4 @@
-//! What the configuration in force makes of a group's engines.
+//! Derives the desired state of a group's engines from the active configuration.
 
 use std::collections::BTreeMap;
 
@@ -6,8 +6,8 @@
 use dalestand_control::{DesiredEngine, DesiredModel};
 use dalestand_types::{EngineId, Role};
 
-/// What each engine of a group is to be: in its fixed role, else the planned one, else the pool's
-/// initial one.
+/// Desired state of each engine of a group. Its role is the fixed one, else the planned one, else the
+/// initial role of the pool.
 pub(crate) fn desired_engines(
     deployment: &Deployment,
     group: &Group,
--- a/crates/node/src/digest_codec.rs
+++ b/crates/node/src/digest_codec.rs
@@ -1,8 +1,9 @@
-//! Load digests as they travel: a few bytes an engine, so that a group of 64 fits one datagram.
+//! Compact encoding of load digests: a few bytes per engine, so that a group of 64 engines fits into
+//! one datagram.
 //!
-//! Engines are named by their place in the group's list in the deployment file, models by hash.
-//! The digest carries a hash of that list; a reader whose list differs leaves the digest alone
-//! until it has the same configuration.
+//! Engines are identified by their index in the group's list in the deployment file, models by hash.
+//! The digest carries a hash of that list; a reader whose list differs ignores the digest until it
+//! has the same configuration.
 
 use std::time::Duration;
 
@@ -19,46 +20,47 @@
 #[cfg(test)]
 mod tests;
 
-/// Tokens counted as one in `queued_prefill`.
+/// Tokens per unit of `queued_prefill`.
 const QUEUED_TOKENS_UNIT: u64 = 64;
 
-/// Prompt tokens a second counted as one in `prefill_rate`.
+/// Prompt tokens per second per unit of `prefill_rate`.
 const PREFILL_RATE_UNIT: f64 = 64.0;
 
-/// Output tokens a second counted as one in `decode_rate`.
+/// Output tokens per second per unit of `decode_rate`.
 const DECODE_RATE_UNIT: f64 = 16.0;
 
-/// Milliseconds counted as one in `age`.
+/// Milliseconds per unit of `age`.
 const AGE_UNIT_MS: u64 = 10;
 
-/// Bits of `flags` that hold the role.
+/// Mask of the role in `flags`.
 const ROLE_BITS: u16 = 0b011;
 
-/// Set in `flags` if the holder lets the engine take new work.
+/// Bit of `flags` that is set if the lease holder lets the engine accept new requests.
 const ACCEPTING: u16 = 0b100;
 
-/// Place in `flags` of the number of the engine's profile.
+/// Bit offset of the profile index in `flags`.
 const PROFILE_SHIFT: u32 = 3;
 
-/// Load of a group's engines on the wire.
+/// Encoded load of a group's engines.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CompactDigest {
-    /// Who holds the group's lease.
+    /// The node that holds the group's lease.
     pub(crate) holder: NodeId,
+    /// Hash of the group's list of engines.
     roster: u32,
     profiles: Vec<Profile>,
-    /// One entry for each engine of the group, in its order; none without a report.
+    /// Entries in the order of the group's list; `None` for an engine without a report.
     engines: Vec<Option<CompactEngine>>,
 }
 
-/// What most engines of a group have in common.
+/// Properties that are usually the same for most engines of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Profile {
     capacity: u32,
     models: Vec<CompactModel>,
 }
 
-/// A loaded model, by hashes.
+/// Hashes that identify a loaded model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct CompactModel {
     model: u32,
@@ -66,7 +68,7 @@
     adapters: Vec<u32>,
 }
 
-/// One engine; the counts are packed by [`compact_number`].
+/// Report of one engine. The counts are encoded by [`compact_number`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct CompactEngine {
     incarnation: u16,
@@ -79,16 +81,16 @@
     decode_rate: u8,
 }
 
-/// One engine as a reader of a digest knows it.
+/// Decoded report of one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct EngineReport {
-    /// Place in the group's list.
-    pub(crate) place: usize,
-    /// Part of its incarnation.
+    /// Index in the group's list.
+    pub(crate) index: usize,
+    /// Lower 16 bits of the engine's incarnation.
     incarnation: u16,
-    /// Its role; `None` while it is out of service.
+    /// Role; `None` while the engine is out of service.
     pub(crate) role: Option<Role>,
-    /// Whether the holder lets it take new work.
+    /// Whether the lease holder lets it accept new requests.
     pub(crate) accepting: bool,
     /// Models it can serve.
     pub(crate) models: Vec<LoadedModel>,
@@ -98,28 +100,29 @@
     pub(crate) waiting: u32,
     /// Prompt tokens accepted and not yet run, rounded up.
     pub(crate) queued_prefill_tokens: u64,
-    /// Most requests it holds at once.
+    /// Most requests that it accepts at once.
     pub(crate) capacity: u32,
-    /// How old the report was when the digest was made.
+    /// Age of the report when the digest was encoded.
     pub(crate) age: Duration,
 }
 
-/// One engine's report with its rates, as a holder packs it.
+/// Report of one engine with its token rates, as encoded by a lease holder.
 #[derive(Clone, Debug)]
 pub(crate) struct RatedReport {
     /// The report.
     pub(crate) digest: EngineDigest,
-    /// What the engine ran in a second.
+    /// Token rates of the engine.
     pub(crate) rates: TokenRates,
 }
 
 impl EngineReport {
-    /// Whether the report is of this run of the engine.
-    pub(crate) fn is_of(&self, incarnation: Incarnation) -> bool {
+    /// Whether the report is of this incarnation of the engine.
+    pub(crate) fn matches_incarnation(&self, incarnation: Incarnation) -> bool {
         self.incarnation == incarnation_tag(incarnation)
     }
 
-    /// The report as the planner takes it; `received_at` tells one digest from the next.
+    /// Converts the report for the planner. The sequence is taken from `received_at`, which differs
+    /// between digests.
     pub(crate) fn into_digest(
         self,
         engine: EngineId,
@@ -152,13 +155,13 @@
 }
 
 impl CompactDigest {
-    /// Packs the reports of a group's engines; engines that are not of the group are left out.
+    /// Encodes the reports of a group's engines and ignores those of other engines.
     pub(crate) fn pack(holder: NodeId, group: &Group, reports: &[RatedReport]) -> Self {
         let mut profiles: Vec<Profile> = Vec::new();
         let engines = group.engines.iter().map(|engine| {
             let mut reports = reports.iter();
             let report = reports.find(|one| one.digest.load.engine == *engine)?;
-            let profile = place_of_profile(&mut profiles, &report.digest.load);
+            let profile = profile_index(&mut profiles, &report.digest.load);
             Some(pack_engine(profile, report))
         });
         let engines = engines.collect();
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Token rates of the group's engines, by place; an engine without a report has none.
+    /// Token rates in the order of the group's list; zero for an engine without a report.
     pub(crate) fn rates(&self) -> impl Iterator<Item = TokenRates> {
         self.engines.iter().map(|engine| {
             let engine = engine.as_ref();
@@ -178,7 +181,7 @@
         })
     }
 
-    /// Unpacks the reports; `None` if the reader's group lists other engines.
+    /// Decodes the reports; `None` if `group` has another list of engines than the sender's.
     pub(crate) fn unpack(
         &self,
         deployment: &Deployment,
@@ -193,18 +196,18 @@
             .map(|profile| find_models(deployment, profile))
             .collect();
         let engines = self.engines.iter().enumerate();
-        let reports = engines.filter_map(|(place, engine)| {
+        let reports = engines.filter_map(|(index, engine)| {
             let engine = engine.as_ref()?;
             let profile = usize::from(engine.flags >> PROFILE_SHIFT);
             let capacity = self.profiles.get(profile)?.capacity;
             let models = model_sets.get(profile)?.clone();
-            Some(unpack_engine(place, engine, capacity, models))
+            Some(unpack_engine(index, engine, capacity, models))
         });
         Some(reports.collect())
     }
 }
 
-fn place_of_profile(profiles: &mut Vec<Profile>, load: &EngineLoad) -> usize {
+fn profile_index(profiles: &mut Vec<Profile>, load: &EngineLoad) -> usize {
     let profile = Profile {
         capacity: load.capacity,
         models: load.models.iter().map(pack_model).collect(),
@@ -226,7 +229,7 @@
         Some(Role::Mixed) => 3,
     };
     let accepting = if report.accepting { ACCEPTING } else { 0 };
-    // A group has at most 64 engines, so the number of a profile always fits.
+    // A group has at most 64 engines, so that a profile index always fits.
     let profile = (profile as u16) << PROFILE_SHIFT;
     let queued = load.queued_prefill_tokens.div_ceil(QUEUED_TOKENS_UNIT);
     CompactEngine {
@@ -242,7 +245,7 @@
 }
 
 fn unpack_engine(
-    place: usize,
+    index: usize,
     engine: &CompactEngine,
     capacity: u32,
     models: Vec<LoadedModel>,
@@ -254,7 +257,7 @@
         _ => None,
     };
     EngineReport {
-        place,
+        index,
         incarnation: engine.incarnation,
         role,
         accepting: engine.flags & ACCEPTING != 0,
@@ -292,21 +295,21 @@
 fn pack_model(loaded: &LoadedModel) -> CompactModel {
     let adapters = loaded.adapters.iter();
     CompactModel {
-        model: text_hash(loaded.model.as_str()),
-        version: text_hash(loaded.version.as_str()),
-        adapters: adapters.map(|one| text_hash(one.as_str())).collect(),
+        model: name_hash(loaded.model.as_str()),
+        version: name_hash(loaded.version.as_str()),
+        adapters: adapters.map(|one| name_hash(one.as_str())).collect(),
     }
 }
 
-/// Finds a model by hash. A model that the deployment no longer names cannot be asked for either.
+/// Finds a model by hash; `None` if the deployment does not contain it any more.
 fn find_model(deployment: &Deployment, compact: &CompactModel) -> Option<LoadedModel> {
     let models = &mut deployment.models.iter();
-    let model = models.find(|one| text_hash(one.name.as_str()) == compact.model)?;
-    let current = text_hash(model.version.as_str()) == compact.version;
+    let model = models.find(|one| name_hash(one.name.as_str()) == compact.model)?;
+    let current = name_hash(model.version.as_str()) == compact.version;
     let version = if current {
         model.version.clone()
     } else {
-        // Still loaded from an earlier configuration; only its hash is known here.
+        // A version from another configuration; only its hash is known.
         Version::from(format!("hash-{:08x}", compact.version))
     };
     let adapters = model.adapters.iter().map(|adapter| adapter.name.clone());
@@ -314,7 +317,7 @@
         model: model.name.clone(),
         version,
         adapters: adapters
-            .filter(|name| compact.adapters.contains(&text_hash(name.as_str())))
+            .filter(|name| compact.adapters.contains(&name_hash(name.as_str())))
             .collect(),
     })
 }
@@ -332,7 +335,7 @@
     first_four_bytes(&hasher.finalize())
 }
 
-fn text_hash(text: &str) -> u32 {
+fn name_hash(text: &str) -> u32 {
     first_four_bytes(&blake3::hash(text.as_bytes()))
 }
 
--- a/crates/node/src/digest_codec/tests.rs
+++ b/crates/node/src/digest_codec/tests.rs
@@ -1,4 +1,4 @@
-//! Packed digests: what a reader gets back, and how large they are.
+//! Accuracy and size of encoded digests.
 
 use dalestand_cluster::{Cluster, ClusterConfig, Member, Record, RecordKey, RecordVersion};
 use dalestand_config::Deployment;
@@ -80,7 +80,7 @@
     assert_eq!(reports.len(), ENGINES);
     for (number, unpacked) in reports.iter().enumerate() {
         let sent = report(number);
-        assert_eq!(unpacked.place, number);
+        assert_eq!(unpacked.index, number);
         assert_eq!(unpacked.role, sent.load.role);
         assert_eq!(unpacked.accepting, sent.accepting);
         assert_eq!(unpacked.models, sent.load.models);
@@ -92,8 +92,8 @@
         );
         assert_eq!(unpacked.capacity, sent.load.capacity);
         assert_eq!(unpacked.age.as_millis(), u128::from(sent.age_ms));
-        assert!(unpacked.is_of(sent.load.incarnation));
-        assert!(!unpacked.is_of(sent.load.incarnation.next()));
+        assert!(unpacked.matches_incarnation(sent.load.incarnation));
+        assert!(!unpacked.matches_incarnation(sent.load.incarnation.next()));
     }
     for rates in read.rates() {
         let lost = 100_000.0 - rates.prefill_per_s;
--- a/crates/node/src/drains.rs
+++ b/crates/node/src/drains.rs
@@ -1,8 +1,9 @@
-//! Drain marks on engines: an engine that bears one takes no new work and finishes what it runs.
+//! Drain marks on engines. A draining engine accepts no new requests and finishes its current ones.
 //!
-//! Marks are kept in one record of the key-value service, since nodes keep nothing, and spread as
-//! cluster records under the revision of that write. Whoever takes a group's lease reads them
-//! once, so that marks outlive every node and cost no traffic that grows with nodes.
+//! All marks are stored in one record of the key-value service, since nodes have no persistent state.
+//! A change is disseminated as a cluster record whose version is the revision of its write. A node
+//! that acquires a group's lease reads the stored marks and publishes them again, so that they
+//! survive the restart of all nodes without reads by every node.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,37 +22,37 @@
 /// Key of the record of all marks.
 const DRAINS_KEY: &str = "configuration/drains";
 
-/// How often a write that another one overtook is tried again.
+/// Most attempts of a write that conflicts with other writes.
 const MAX_WRITE_ATTEMPTS: usize = 5;
 
-/// A mark, or the sign that one was taken off.
+/// The last change of an engine's drain mark: set or removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainMark {
-    /// Whether the engine is to take no new work.
+    /// Whether the engine is to drain.
     pub draining: bool,
-    /// Who set it, for people.
+    /// Who made the change; informational.
     pub author: String,
 }
 
-/// All marks, by engine. A mark that was taken off stays as such, so that its record keeps a
-/// version.
+/// Marks by engine. A removed mark remains with `draining: false`, so that its cluster record gets a
+/// newer version.
 type DrainMarks = BTreeMap<EngineId, DrainMark>;
 
-/// Sets marks and spreads them.
+/// Stores drain marks and publishes them to the cluster.
 pub(crate) struct Drains {
     key_value: Rc<dyn KeyValue>,
     cluster: Rc<RefCell<Cluster>>,
     machines: Rc<RefCell<Machines>>,
 }
 
-/// Marks as they stand in the key-value service.
-struct StoredMarks {
+/// The stored marks, with the expectation for replacing them.
+struct StoredDrainMarks {
     marks: DrainMarks,
     expectation: WriteExpectation,
 }
 
 impl Drains {
-    /// Marks kept in `key_value` and spread by `cluster`.
+    /// Drain marks stored in `key_value` and published to `cluster`.
     pub(crate) fn new(
         key_value: Rc<dyn KeyValue>,
         cluster: Rc<RefCell<Cluster>>,
@@ -64,7 +65,8 @@
         }
     }
 
-    /// Sets an engine's mark; in force here at once and elsewhere as records spread.
+    /// Sets or removes an engine's mark. It takes effect on this node at once, and on other nodes when
+    /// they receive the cluster record.
     pub(crate) async fn set(
         &self,
         engine: &EngineId,
@@ -81,7 +83,7 @@
         Err(Report::new(DrainError::Contended))
     }
 
-    /// Reads the marks of `engines` and spreads them; for a node that has just taken a lease.
+    /// Publishes the stored marks of `engines`; called after a lease was acquired.
     pub(crate) async fn restore(&self, engines: &[EngineId]) -> Result<(), Report<DrainError>> {
         let entry = self.key_value.get(DRAINS_KEY).await.map_err(unavailable)?;
         let Some(entry) = entry else {
@@ -97,24 +99,26 @@
         Ok(())
     }
 
-    async fn read(&self) -> Result<StoredMarks, Report<DrainError>> {
+    async fn read(&self) -> Result<StoredDrainMarks, Report<DrainError>> {
         let entry = self.key_value.get(DRAINS_KEY).await.map_err(unavailable)?;
         match entry {
-            Some(entry) => Ok(StoredMarks {
+            Some(entry) => Ok(StoredDrainMarks {
                 marks: serde_json::from_str(&entry.value).change_context(DrainError::Unreadable)?,
                 expectation: WriteExpectation::At(entry.revision),
             }),
-            None => Ok(StoredMarks {
+            None => Ok(StoredDrainMarks {
                 marks: DrainMarks::new(),
                 expectation: WriteExpectation::Absent,
             }),
         }
     }
 
-    /// Writes the marks; `None` if another write came first. A write whose answer is lost is tried
-    /// again by the caller's next round only if the operator asks again: setting a mark twice is
-    /// the same as once.
-    async fn write(&self, stored: &StoredMarks) -> Result<Option<Revision>, Report<DrainError>> {
+    /// Writes the marks; `None` on a conflict. A write whose answer was lost is an error and not
+    /// repeated here; the operator can repeat it safely, since setting a mark is idempotent.
+    async fn write(
+        &self,
+        stored: &StoredDrainMarks,
+    ) -> Result<Option<Revision>, Report<DrainError>> {
         let value = serde_json::to_string(&stored.marks).change_context(DrainError::Unreadable)?;
         let written = self
             .key_value
@@ -128,7 +132,7 @@
     }
 
     fn publish(&self, engine: &EngineId, mark: &DrainMark, revision: Revision) {
-        // A mark of two plain fields always encodes.
+        // Encoding these plain fields cannot fail.
         let Ok(payload) = rmp_serde::to_vec(mark) else {
             return;
         };
@@ -140,15 +144,15 @@
             },
             payload: Bytes::from(payload),
         };
-        // A mark that is not newer than what is known changes nothing.
+        // A mark that is not newer than the known one has no effect.
         if let Ok(true) = self.cluster.borrow_mut().publish(record.clone()) {
-            take_record(&self.machines, &record);
+            apply_record(&self.machines, &record);
         }
     }
 }
 
-/// Puts a mark in force on this node.
-pub(crate) fn take_record(machines: &RefCell<Machines>, record: &Record) {
+/// Applies a mark received as a cluster record on this node.
+pub(crate) fn apply_record(machines: &RefCell<Machines>, record: &Record) {
     let RecordKey::Drain(engine) = &record.key else {
         return;
     };
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -1,4 +1,4 @@
-//! Clients of engines, one an address.
+//! HTTP clients of engines, one per address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 
 use dalestand_edge::{Engine, HttpEngine};
 
-/// Keeps a client for each engine address, so that connections are used again.
+/// Caches a client per engine address, so that connections are reused.
 #[derive(Default)]
 pub(crate) struct EngineClients {
     clients: HashMap<SocketAddr, Rc<dyn Engine>>,
@@ -19,7 +19,7 @@
         Rc::clone(client.or_insert_with(|| Rc::new(HttpEngine::new(address))))
     }
 
-    /// Drops the clients of addresses that are not in use.
+    /// Drops the clients of addresses for which `in_use` is false.
     pub(crate) fn retain(&mut self, in_use: impl Fn(&SocketAddr) -> bool) {
         self.clients.retain(|address, _| in_use(address));
     }
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -1,35 +1,35 @@
 //! Errors of a node.
 
-/// Why a node could not go on.
+/// Why a node failed to start or stopped.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NodeError {
     /// A listener could not be opened.
     #[error("could not listen on {0}")]
     Listen(String),
-    /// Metrics could not be set up.
-    #[error("metrics could not be set up")]
+    /// The metrics registry could not be set up.
+    #[error("could not set up metrics")]
     Metrics,
     /// A signal handler could not be set up.
-    #[error("signals could not be watched")]
+    #[error("could not install signal handlers")]
     Signals,
-    /// The arbiter of the callers' half ended.
-    #[error("the callers' half ended")]
+    /// The caller server ended.
+    #[error("the caller server ended")]
     CallerServerEnded,
 }
 
 /// Why a configuration was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The file has faults.
-    #[error("the file has faults:\n{0}")]
+    /// The deployment file is invalid.
+    #[error("the deployment file is invalid:\n{0}")]
     Faulty(String),
-    /// Another configuration came first.
-    #[error("another configuration came first")]
+    /// The current configuration is not the one that was expected to be replaced.
+    #[error("another configuration was applied first")]
     Conflict,
-    /// The key-value service could not be used; nothing was applied.
-    #[error("the key-value service could not be used; nothing was applied")]
+    /// The key-value service failed; nothing was applied.
+    #[error("the key-value service failed; nothing was applied")]
     Unavailable,
-    /// The write's answer was lost and it could not be found out whether it took effect.
+    /// The answer to the write was lost, and it could not be determined whether it took effect.
     #[error("it is not known whether the configuration was applied")]
     InDoubt,
 }
@@ -37,16 +37,16 @@
 /// Why a drain mark was not set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DrainError {
-    /// The key-value service could not be used; nothing was changed.
-    #[error("the key-value service could not be used; nothing was changed")]
+    /// The key-value service failed; nothing was changed.
+    #[error("the key-value service failed; nothing was changed")]
     Unavailable,
-    /// The write's answer was lost; setting the mark again is safe.
+    /// The answer to the write was lost; setting the mark again is safe.
     #[error("it is not known whether the mark was set; setting it again is safe")]
     InDoubt,
-    /// Other writes came first again and again; nothing was changed.
-    #[error("other changes came first; nothing was changed")]
+    /// Every attempt conflicted with another write; nothing was changed.
+    #[error("conflicting changes by others; nothing was changed")]
     Contended,
-    /// The record of all marks cannot be read or written.
-    #[error("the record of drain marks is unreadable")]
+    /// The stored record of all marks is malformed.
+    #[error("the stored record of drain marks is malformed")]
     Unreadable,
 }
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Builds the picture of the fleet that requests are routed on.
+//! Builds the fleet view that routing uses from the received load digests.
 //!
-//! The engines of a group are rebuilt only when its digest, the configuration or the machines
-//! changed; the rest of the picture is copied.
+//! The engines of a group are rebuilt only if its digest, the configuration or the machines changed,
+//! and are copied from the previous view otherwise.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::machines::Machines;
 use crate::token_rates::{TokenRates, TokenTotals};
 
-/// Least time between two pictures; digests are several times as old when they come in.
+/// Shortest time between two views; short compared to the age of received digests.
 const MIN_REBUILD_INTERVAL: Duration = Duration::from_millis(100);
 
 struct ReceivedDigest {
@@ -27,31 +27,31 @@
     digest: CompactDigest,
 }
 
-/// What the last picture was built from.
+/// Versions of the configuration and machines that a view was built from.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct Basis {
+struct ViewInputs {
     revision: Revision,
     machines: u64,
 }
 
-/// Digests as they were received, decoded once, and the engines built from them.
+/// The last received digest of each group, and the engines built from it.
 #[derive(Default)]
-pub(crate) struct Digests {
+pub(crate) struct DigestTable {
     by_group: HashMap<GroupId, ReceivedDigest>,
     built: HashMap<GroupId, Vec<EngineView>>,
     groups: Vec<GroupId>,
-    unplanned: BTreeSet<GroupId>,
-    basis: Option<Basis>,
+    unobserved: BTreeSet<GroupId>,
+    inputs: Option<ViewInputs>,
     changed: bool,
     built_at: MonotonicTime,
 }
 
-impl Digests {
-    /// Takes new digests from the cluster's records.
+impl DigestTable {
+    /// Reads the digests that changed in the cluster's records.
     pub(crate) fn refresh(&mut self, now: MonotonicTime, cluster: &mut Cluster) {
         for group in cluster.take_changed_digests() {
             let record = cluster.record(&RecordKey::GroupDigest(group.clone()));
-            // A payload that cannot be read is skipped; the next digest replaces it.
+            // A malformed digest is skipped; the next one replaces it.
             let digest = record.and_then(|record| {
                 let digest = rmp_serde::from_slice(&record.payload).ok()?;
                 Some((record.version, digest))
@@ -66,50 +66,51 @@
                 digest,
             };
             self.built.remove(&group);
-            self.unplanned.insert(group.clone());
+            self.unobserved.insert(group.clone());
             self.by_group.insert(group, received);
             self.changed = true;
         }
     }
 
-    /// Totals of a group's engines, by place, after the time since the digest before.
+    /// Token totals of a group's engines, in the order of its list, extrapolated from the previous
+    /// digest.
     fn totals(
         &self,
         now: MonotonicTime,
         group: &GroupId,
         digest: &CompactDigest,
     ) -> Vec<TokenTotals> {
-        let before = self.by_group.get(group);
-        let elapsed = before.map_or(Duration::ZERO, |before| now.since(before.received_at));
+        let previous = self.by_group.get(group);
+        let elapsed = previous.map_or(Duration::ZERO, |previous| now.since(previous.received_at));
         let rates = digest.rates().enumerate();
         rates
-            .map(|(place, rates)| {
-                let known = before.and_then(|before| before.totals.get(place));
-                known.copied().unwrap_or_default().advanced(rates, elapsed)
+            .map(|(index, rates)| {
+                let known = previous.and_then(|previous| previous.totals.get(index));
+                known.copied().unwrap_or_default().after(rates, elapsed)
             })
             .collect()
     }
 
-    /// When a group's last digest came in.
-    pub(crate) fn heard_at(&self, group: &GroupId) -> Option<MonotonicTime> {
+    /// When the last digest of a group was received.
+    pub(crate) fn last_received_at(&self, group: &GroupId) -> Option<MonotonicTime> {
         self.by_group
             .get(group)
             .map(|received| received.received_at)
     }
 
-    /// Who sent a group's last digest.
+    /// The sender of the last digest of a group.
     pub(crate) fn holder(&self, group: &GroupId) -> Option<&NodeId> {
         self.by_group
             .get(group)
             .map(|received| &received.digest.holder)
     }
 
-    /// Whether a group's digest came in since the last call.
-    pub(crate) fn take_unplanned(&mut self, group: &GroupId) -> bool {
-        self.unplanned.remove(group)
+    /// Whether a digest of the group was received since the last call.
+    pub(crate) fn take_unobserved(&mut self, group: &GroupId) -> bool {
+        self.unobserved.remove(group)
     }
 
-    /// A group's last digest, with its packed numbers rounded.
+    /// The last digest of a group, with counts as decoded from their compact encoding.
     pub(crate) fn group_digest(
         &self,
         now: MonotonicTime,
@@ -121,12 +122,12 @@
         let received_at = received.received_at;
         let reports = received.digest.unpack(deployment, group)?.into_iter();
         let engines = reports.filter_map(|report| {
-            let engine = group.engines.get(report.place)?.clone();
+            let engine = group.engines.get(report.index)?.clone();
             let machine = machines.engine(&engine)?;
-            if !report.is_of(machine.incarnation) {
+            if !report.matches_incarnation(machine.incarnation) {
                 return None;
             }
-            let totals = received.totals.get(report.place).copied();
+            let totals = received.totals.get(report.index).copied();
             let totals = totals.unwrap_or_default();
             Some(report.into_digest(engine, machine.incarnation, totals, now, received_at))
         });
@@ -139,7 +140,7 @@
         })
     }
 
-    /// The picture of the fleet, if it changed since the last call.
+    /// A new fleet view, if its inputs changed since the last one and that is not too recent.
     pub(crate) fn view(
         &mut self,
         now: MonotonicTime,
@@ -147,12 +148,12 @@
         deployment: &Deployment,
         machines: &Machines,
     ) -> Option<FleetView> {
-        let basis = Basis {
+        let inputs = ViewInputs {
             revision,
-            machines: machines.changes(),
+            machines: machines.change_count(),
         };
-        if self.basis != Some(basis) {
-            self.basis = Some(basis);
+        if self.inputs != Some(inputs) {
+            self.inputs = Some(inputs);
             self.built.clear();
             self.groups = deployment.groups.iter().map(Group::id).collect();
             self.changed = true;
@@ -165,7 +166,7 @@
         let mut engines = Vec::new();
         for (id, group) in self.groups.iter().zip(&deployment.groups) {
             if !self.built.contains_key(id) {
-                let built = self.group_view(id, deployment, group, machines);
+                let built = self.build_group(id, deployment, group, machines);
                 self.built.insert(id.clone(), built);
             }
             engines.extend_from_slice(&self.built[id]);
@@ -173,7 +174,7 @@
         Some(FleetView { revision, engines })
     }
 
-    fn group_view(
+    fn build_group(
         &self,
         id: &GroupId,
         deployment: &Deployment,
@@ -188,7 +189,7 @@
         let reports = reports.unwrap_or_default().into_iter();
         reports
             .filter_map(|report| {
-                let rates = rates.get(report.place).copied().unwrap_or_default();
+                let rates = rates.get(report.index).copied().unwrap_or_default();
                 engine_view(id, group, received.received_at, report, rates, machines)
             })
             .collect()
@@ -203,9 +204,10 @@
     rates: TokenRates,
     machines: &Machines,
 ) -> Option<EngineView> {
-    let engine = group.engines.get(report.place)?.clone();
+    let engine = group.engines.get(report.index)?.clone();
     let machine = machines.engine(&engine)?;
-    let live = machine.state == MachineState::Live && report.is_of(machine.incarnation);
+    let live =
+        machine.state == MachineState::Live && report.matches_incarnation(machine.incarnation);
     let draining = machines.is_draining(&engine);
     Some(EngineView {
         engine,
--- a/crates/node/src/lease_service.rs
+++ b/crates/node/src/lease_service.rs
@@ -1,5 +1,5 @@
-//! A group's lease as the key-value service keeps it: a record that names the holder, hanging on
-//! a lease, whose revision is the fencing epoch.
+//! Group leases in the key-value service: each is a record that names the holder and is attached to a
+//! lease of the service. The revision of the record is the fencing epoch.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,21 +11,21 @@
 use rand::RngExt as _;
 use serde::{Deserialize, Serialize};
 
-/// How often a write in doubt is looked for.
+/// Most reads to find out whether a write in doubt took effect.
 const READ_BACK_ATTEMPTS: usize = 3;
 
-/// Pause between two looks for a write in doubt.
+/// Delay between these reads.
 const READ_BACK_PAUSE: Duration = Duration::from_millis(200);
 
-/// Who holds a group's lease; the value of its key.
+/// Stored value that names the holder of a group's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HolderRecord {
     node: NodeId,
-    /// Unique to the write, so that a writer whose answer was lost knows its own.
+    /// Id unique to the write, by which a writer recognizes its write if the answer was lost.
     writer: String,
 }
 
-/// Asks the key-value service for leases on behalf of one node.
+/// Acquires, renews and releases group leases for one node.
 pub(crate) struct LeaseService {
     key_value: Rc<dyn KeyValue>,
     node: NodeId,
@@ -33,7 +33,7 @@
 }
 
 impl LeaseService {
-    /// Leases of `time_to_live` for `node`.
+    /// A service that acquires leases of `time_to_live` for `node`.
     pub(crate) fn new(key_value: Rc<dyn KeyValue>, node: NodeId, time_to_live: Duration) -> Self {
         Self {
             key_value,
@@ -42,27 +42,26 @@
         }
     }
 
-    /// Time to live of a lease.
     pub(crate) fn time_to_live(&self) -> Duration {
         self.time_to_live
     }
 
-    /// Asks for a group's lease; `None` if another node holds it. `sent_at` is the time before
-    /// the call.
+    /// Tries to acquire a group's lease; `None` if another node holds it. `sent_at` is a time before
+    /// the call, from which the validity of the lease counts.
     pub(crate) async fn acquire(
         &self,
         group: &GroupId,
         sent_at: MonotonicTime,
     ) -> Result<Option<LeaseGrant>, Report<PlatformError>> {
         let key = holder_key(group);
-        // One read settles the usual case of a group that is held after all.
+        // Avoids granting a lease in the common case that another node holds the group.
         if self.key_value.get(&key).await?.is_some() {
             return Ok(None);
         }
         let lease = self.key_value.grant_lease(self.time_to_live).await?;
         let written = self.write_holder(&key, lease).await;
         if !matches!(written, Ok(Some(_))) {
-            // Whatever became of the write, without its lease it is of no effect.
+            // Revoking the lease also undoes the write in case it took effect.
             drop(self.key_value.revoke_lease(lease).await);
         }
         let grant = |epoch| LeaseGrant {
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Looks whether a write whose answer was lost took effect: the record says whose it is.
+    /// Reads the record to find out whether a write whose answer was lost took effect.
     async fn read_back(
         &self,
         key: &str,
@@ -119,12 +118,12 @@
         Err(error)
     }
 
-    /// Renews a lease; `false` if it is gone.
+    /// Renews a lease; `false` if it has expired or was revoked.
     pub(crate) async fn renew(&self, lease: u64) -> Result<bool, Report<PlatformError>> {
         self.key_value.renew_lease(LeaseId(lease)).await
     }
 
-    /// Gives a lease up.
+    /// Releases a lease.
     pub(crate) async fn release(&self, lease: u64) -> Result<(), Report<PlatformError>> {
         self.key_value.revoke_lease(LeaseId(lease)).await
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,11 +1,11 @@
-//! One node: the callers' half and the control half, on arbiters of their own.
+//! A node: the caller server and the control plane, on separate arbiters.
 //!
-//! The two halves share [`dalestand_gateway::Shared`] only, so that a stall of the control half
-//! holds no caller's stream.
+//! They share only [`dalestand_gateway::Shared`], so that a stalled control plane does not delay the
+//! streams of callers.
 
 mod admin;
 mod apply;
-mod callers;
+mod caller_server;
 mod claims;
 mod cluster_driver;
 mod compact_number;
@@ -24,7 +24,7 @@
 mod peer_calls;
 mod peer_sockets;
 mod role_planning;
-mod tenant_shares;
+mod tenant_demand;
 mod token_rates;
 
 pub use admin::{
--- a/crates/node/src/machines.rs
+++ b/crates/node/src/machines.rs
@@ -1,8 +1,8 @@
-//! The machines as this node knows them: from its own reads of the list, and from changes that
-//! other nodes found and spread.
+//! The machines known to this node, from its own reads of the machine list and from changes that other
+//! nodes publish.
 //!
-//! The whole list is large, so a node of a large fleet reads it seldom. Together the nodes read it
-//! a few times a second, and whoever finds a change tells the others.
+//! The list is large, so the nodes share the work: all together they read it a few times per poll
+//! interval, whatever the size of the fleet, and a node that finds a change publishes it.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,25 +19,25 @@
 use dalestand_types::{EngineId, Machine, MachineKind, MachineState, MonotonicTime};
 use rand::RngExt as _;
 
-/// Nodes that read the list within one interval, whatever the size of the fleet.
-const READERS_AN_INTERVAL: usize = 4;
+/// Reads of the list per poll interval by the whole fleet.
+const READS_PER_INTERVAL: usize = 4;
 
-/// A machine missing from the list is kept this long after it was last heard of: another node may
-/// have read a later list.
-const KEEP_UNLISTED: Duration = Duration::from_secs(30);
+/// How long a machine that is missing from the list is kept after it was last seen. The list read by
+/// this node may be older than the one in which another node found the machine.
+const UNLISTED_RETENTION: Duration = Duration::from_secs(30);
 
-struct Known {
+struct KnownMachine {
     machine: Machine,
-    heard_at: MonotonicTime,
+    last_seen_at: MonotonicTime,
 }
 
-/// The machines, by name.
+/// The known machines by name, and the engines with a drain mark.
 #[derive(Default)]
 pub(crate) struct Machines {
-    machines: BTreeMap<String, Known>,
+    machines: BTreeMap<String, KnownMachine>,
     draining: BTreeSet<EngineId>,
-    changes: u64,
-    is_read: bool,
+    change_count: u64,
+    list_read: bool,
 }
 
 impl Machines {
@@ -47,12 +47,12 @@
         (machine.kind == MachineKind::Engine).then_some(machine)
     }
 
-    /// Whether an engine bears a drain mark.
+    /// Whether an engine has a drain mark.
     pub(crate) fn is_draining(&self, engine: &EngineId) -> bool {
         self.draining.contains(engine)
     }
 
-    /// Sets or takes off an engine's drain mark.
+    /// Sets or removes an engine's drain mark.
     pub(crate) fn set_draining(&mut self, engine: EngineId, draining: bool) {
         let changed = if draining {
             self.draining.insert(engine)
@@ -60,7 +60,7 @@
             self.draining.remove(&engine)
         };
         if changed {
-            self.changes += 1;
+            self.change_count += 1;
         }
     }
 
@@ -71,53 +71,54 @@
             .map(|machine| machine.address)
     }
 
-    /// Whether an address is in use by any machine.
-    pub(crate) fn uses(&self, address: &SocketAddr) -> bool {
+    /// Whether any machine has this address.
+    pub(crate) fn uses_address(&self, address: &SocketAddr) -> bool {
         self.all().any(|machine| machine.address == *address)
     }
 
-    /// Rises with every change.
-    pub(crate) fn changes(&self) -> u64 {
-        self.changes
+    /// Counter that increases with every change.
+    pub(crate) fn change_count(&self) -> u64 {
+        self.change_count
     }
 
-    /// Takes a list in and yields the engines that the other nodes may not know. Nothing of the
-    /// first list is news, since every node reads it when it starts; nodes are known by the cluster.
-    pub(crate) fn take_list(&mut self, now: MonotonicTime, list: Vec<Machine>) -> Vec<Machine> {
-        let mut news = Vec::new();
+    /// Applies a list and returns the changed engines that other nodes may not know. Returns none for
+    /// the first list, since every node reads it at start. Nodes are excluded because the cluster
+    /// disseminates them as members.
+    pub(crate) fn apply_list(&mut self, now: MonotonicTime, list: Vec<Machine>) -> Vec<Machine> {
+        let mut changed = Vec::new();
         for machine in list {
             let is_engine = machine.kind == MachineKind::Engine;
-            if self.take(now, machine.clone()) && is_engine {
-                news.push(machine);
+            if self.insert_if_newer(now, machine.clone()) && is_engine {
+                changed.push(machine);
             }
         }
-        let before = self.machines.len();
+        let previous_count = self.machines.len();
         self.machines
-            .retain(|_, known| now.since(known.heard_at) < KEEP_UNLISTED);
-        if self.machines.len() < before {
-            self.changes += 1;
+            .retain(|_, known| now.since(known.last_seen_at) < UNLISTED_RETENTION);
+        if self.machines.len() < previous_count {
+            self.change_count += 1;
         }
-        if std::mem::replace(&mut self.is_read, true) {
-            news
+        if std::mem::replace(&mut self.list_read, true) {
+            changed
         } else {
             Vec::new()
         }
     }
 
-    /// Takes one machine in; yields whether it is news. A run never goes back to an earlier one,
-    /// and a machine that leaves does not stay.
-    pub(crate) fn take(&mut self, now: MonotonicTime, machine: Machine) -> bool {
+    /// Inserts a machine unless a version at least as new is known; returns whether it was inserted.
+    /// Within an incarnation, leaving is newer than any other state.
+    pub(crate) fn insert_if_newer(&mut self, now: MonotonicTime, machine: Machine) -> bool {
         let known = self.machines.get_mut(&machine.name);
         if let Some(known) = known
             && version(&machine) <= version(&known.machine)
         {
-            known.heard_at = now;
+            known.last_seen_at = now;
             return false;
         }
-        self.changes += 1;
-        let known = Known {
+        self.change_count += 1;
+        let known = KnownMachine {
             machine: machine.clone(),
-            heard_at: now,
+            last_seen_at: now,
         };
         self.machines.insert(machine.name, known);
         true
@@ -128,7 +129,7 @@
     }
 }
 
-/// Reads the machine list again and again. A failed read keeps what is known.
+/// Polls the machine list until dropped. A failed read leaves the known machines unchanged.
 pub(crate) async fn poll_machines(
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -141,10 +142,10 @@
         let mut wait = interval;
         match list.machines().await {
             Ok(listed) => {
-                let news = machines.borrow_mut().take_list(shared.clock.now(), listed);
-                publish(&shared, &mut cluster.borrow_mut(), &news);
+                let changed = machines.borrow_mut().apply_list(shared.clock.now(), listed);
+                publish(&shared, &mut cluster.borrow_mut(), &changed);
                 let nodes = cluster.borrow().member_count() + 1;
-                wait *= nodes.div_ceil(READERS_AN_INTERVAL) as u32;
+                wait *= nodes.div_ceil(READS_PER_INTERVAL) as u32;
             }
             Err(error) => {
                 log_event!(shared.logger, Event::MachineListFailed, "error" => %error);
@@ -155,15 +156,15 @@
     }
 }
 
-/// Takes in a machine that another node read.
-pub(crate) fn take_record(now: MonotonicTime, machines: &RefCell<Machines>, record: &Record) {
+/// Applies a machine that another node published.
+pub(crate) fn apply_record(now: MonotonicTime, machines: &RefCell<Machines>, record: &Record) {
     if let Ok(machine) = rmp_serde::from_slice(&record.payload) {
-        machines.borrow_mut().take(now, machine);
+        machines.borrow_mut().insert_if_newer(now, machine);
     }
 }
 
-fn publish(shared: &Shared, cluster: &mut Cluster, news: &[Machine]) {
-    for machine in news {
+fn publish(shared: &Shared, cluster: &mut Cluster, changed: &[Machine]) {
+    for machine in changed {
         let published = rmp_serde::to_vec(machine).map(|payload| {
             cluster.publish(Record {
                 key: RecordKey::Machine(machine.name.clone()),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! Starts the halves of a node and stops them as planned.
+//! Starts the caller server and the control plane of a node and shuts them down gracefully.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,12 +15,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::Notify;
 
-use crate::callers::CallerHalf;
+use crate::caller_server::CallerServer;
 use crate::control_plane::{ControlPlaneParts, start_control_plane};
 use crate::error::NodeError;
 use crate::peer_sockets::open_peer_sockets;
 
-/// How often a stopping node looks whether its requests are over.
+/// Interval at which a stopping node checks for requests in flight, and a starting one for a
+/// configuration.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
 /// Addresses a node listens on.
@@ -44,7 +45,7 @@
 }
 
 impl Listeners {
-    /// Opens the sockets that the settings name.
+    /// Opens the sockets at the addresses in the settings.
     pub async fn open(settings: &NodeSettings) -> Result<Self, Report<NodeError>> {
         let callers = listen(settings.caller_listen).await?;
         let operators = listen(settings.operator_listen).await?;
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Where the sockets listen.
+    /// Local addresses of the sockets.
     pub fn addresses(&self) -> NodeAddresses {
         self.addresses
     }
@@ -80,7 +81,7 @@
         .change_context_lazy(|| NodeError::Listen(address.to_string()))
 }
 
-/// Runs a node until a planned stop (SIGTERM or SIGINT) is over.
+/// Runs a node until it has shut down gracefully, after SIGTERM, SIGINT or an operator's request.
 pub async fn run(
     settings: NodeSettings,
     listeners: Listeners,
@@ -100,7 +101,7 @@
     let mut terminate = signal(SignalKind::terminate()).change_context(NodeError::Signals)?;
     let mut interrupt = signal(SignalKind::interrupt()).change_context(NodeError::Signals)?;
 
-    let callers = CallerHalf::start(&shared, listeners.callers)?;
+    let callers = CallerServer::start(&shared, listeners.callers)?;
     let stop_requested = Rc::new(Notify::new());
     let node = settings.node.clone();
     let key_value: Rc<dyn KeyValue> = Rc::new(HttpKeyValue::new(settings.key_value));
@@ -124,10 +125,10 @@
     }
     shared.begin_stop();
     log_event!(shared.logger, Event::StopBegun, "in_flight" => shared.in_flight());
-    // Further signals change nothing.
+    // Further signals are ignored.
     actix_rt::spawn(async move { while terminate.recv().await.is_some() {} });
-    // Given up before the requests in flight end, so that a long answer here leaves no group
-    // without a holder.
+    // Released before the requests in flight end, so that no group is without a lease holder while a
+    // long answer is finished.
     control.release_leases().await;
     while shared.in_flight() > 0 {
         actix_rt::time::sleep(STOP_POLL).await;
@@ -139,7 +140,7 @@
     Ok(())
 }
 
-/// Logs readiness once a configuration is in force.
+/// Logs that the node is ready once it has an active configuration.
 fn log_readiness(shared: Arc<Shared>) {
     actix_rt::spawn(async move {
         while shared.configuration.load().is_none() {
--- a/crates/node/src/peer_calls/client.rs
+++ b/crates/node/src/peer_calls/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other nodes.
+//! Client for calls to other nodes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,36 +8,36 @@
 
 use super::message::{PeerRequest, PeerResponse, read_message, write_message};
 
-/// Longest wait for a connection.
+/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for a reply; longer than a claim waits for its write.
+/// Timeout for a reply; exceeds the timeout after which a claim is refused.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// Why a call has no reply.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum PeerCallError {
-    /// Nothing was sent: the call had no effect.
-    #[error("the node could not be reached")]
+    /// The request was not sent, so the call had no effect.
+    #[error("could not connect to the node")]
     NotSent,
-    /// The call was sent and no reply came.
-    #[error("the node gave no reply; the effect of the call is in doubt")]
+    /// The request may have been sent, but no valid reply was received.
+    #[error("no reply from the node; the call may have taken effect")]
     InDoubt,
 }
 
-/// Calls other nodes.
+/// Client for calls to other nodes; opens a connection per call.
 #[derive(Clone)]
 pub(crate) struct PeerClient {
     seal: PeerSeal,
 }
 
 impl PeerClient {
-    /// A client that seals its calls.
+    /// A client that authenticates its messages with `seal`.
     pub(crate) fn new(seal: PeerSeal) -> Self {
         Self { seal }
     }
 
-    /// Calls the node at `address`.
+    /// Sends a request to the node at `address` and waits for the reply.
     pub(crate) async fn call(
         &self,
         address: SocketAddr,
--- a/crates/node/src/peer_calls/message.rs
+++ b/crates/node/src/peer_calls/message.rs
@@ -1,4 +1,4 @@
-//! Messages of the calls and their framing.
+//! Messages of calls between nodes, and their framing.
 
 use dalestand_claims::{Claim, ClaimState, Reply};
 use dalestand_gateway::KeptAnswer;
@@ -10,56 +10,56 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::TcpStream;
 
-use crate::configuration::{Answer, Question};
+use crate::configuration::{ConfigurationQuery, ConfigurationReply};
 
-/// Largest message, in bytes: the parts of a configuration that are asked for at once.
+/// Size limit of a message, in bytes; the largest ones carry parts of a configuration.
 const MAX_MESSAGE_BYTES: u32 = 4 << 20;
 
-/// What one node asks of another.
+/// A request to another node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PeerRequest {
-    /// Claim a key; `node` is to run the request.
+    /// Claims a key for a request that `node` is to run.
     Claim { claim: Claim, node: NodeId },
-    /// Take the end of a claimed request.
+    /// Records the end of a claimed request.
     EndClaim { claim: Claim, state: ClaimState },
-    /// Yield the answer that was kept of a request.
+    /// Asks for the kept answer of a request.
     KeptAnswer { request: RequestId },
-    /// Take over a group whose lease was just given up.
+    /// Asks the node to take over a group whose lease was just released.
     TakeOver { group: GroupId },
-    /// A question about the configuration.
-    Configuration(Question),
-    /// The demand of tenants at the reporting node; answered by their sums.
+    /// A query about the configuration.
+    Configuration(ConfigurationQuery),
+    /// Reports the demand of tenants at the node `reporter`; answered with their totals.
     TenantDemands {
         reporter: NodeId,
         demands: Vec<TenantDemand>,
     },
 }
 
-/// The reply.
+/// The reply to a [`PeerRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum PeerResponse {
-    /// To a claim.
+    /// Reply to [`PeerRequest::Claim`].
     Claim(ClaimAnswer),
-    /// To a wish for an answer.
+    /// Reply to [`PeerRequest::KeptAnswer`]; `None` if the answer is not kept.
     KeptAnswer(Option<KeptAnswer>),
-    /// To a question about the configuration.
-    Configuration(Answer),
-    /// To the demand of tenants.
+    /// Reply to [`PeerRequest::Configuration`].
+    Configuration(ConfigurationReply),
+    /// Reply to [`PeerRequest::TenantDemands`].
     TenantDemands(Vec<TenantDemand>),
-    /// Done.
+    /// Reply to a request that has no result.
     Done,
 }
 
-/// Reply to a claim, with what is known of who runs the request that holds the key.
+/// Reply to a claim, with the node that runs the request that holds the key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ClaimAnswer {
-    /// The reply.
+    /// The reply to the claim.
     pub(crate) reply: Reply,
-    /// The node that runs or ran the request which holds the key.
+    /// The node that runs or ran the request that holds the key, if known.
     pub(crate) owner: Option<NodeId>,
 }
 
-/// Writes one message.
+/// Writes a message, sealed and with a length prefix.
 pub(crate) async fn write_message<M: Serialize>(
     stream: &mut TcpStream,
     seal: &PeerSeal,
@@ -73,14 +73,14 @@
     stream.write_all(&frame).await
 }
 
-/// Reads one message.
+/// Reads a message written by [`write_message`].
 pub(crate) async fn read_message<M: DeserializeOwned>(
     stream: &mut TcpStream,
     seal: &PeerSeal,
 ) -> std::io::Result<M> {
     let length = stream.read_u32().await?;
     if length > MAX_MESSAGE_BYTES {
-        return Err(std::io::Error::other("the message is too long"));
+        return Err(std::io::Error::other("the message exceeds the size limit"));
     }
     let mut sealed = vec![0; length as usize];
     stream.read_exact(&mut sealed).await?;
--- a/crates/node/src/peer_calls/mod.rs
+++ b/crates/node/src/peer_calls/mod.rs
@@ -1,5 +1,5 @@
-//! Calls from node to node over TCP, at the same port number as datagrams: one call a connection,
-//! a length and a sealed message each way.
+//! Calls between nodes over TCP, at the port number that datagrams also use. A connection carries one
+//! call; request and reply are sealed messages with a length prefix.
 
 mod client;
 mod message;
--- a/crates/node/src/peer_calls/server.rs
+++ b/crates/node/src/peer_calls/server.rs
@@ -1,4 +1,4 @@
-//! Serves the calls of other nodes.
+//! Server for calls of other nodes.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -12,24 +12,24 @@
 use crate::claims::ClaimsDriver;
 use crate::configuration::ConfigurationStore;
 use crate::control_driver::ControlDriver;
-use crate::tenant_shares::TenantShares;
+use crate::tenant_demand::TenantDemandExchange;
 
-/// Most calls served at once; more wait to be accepted.
+/// Most calls served concurrently; further connections wait to be accepted.
 const MAX_CALLS: usize = 1_024;
 
-/// Longest wait for a whole request, and for the caller to take the reply.
+/// Timeout for reading the request and for writing the reply.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// Pause after a connection could not be accepted, such as for want of descriptors.
+/// Delay after a failure to accept, for example because no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// What answers the calls.
+/// The components that handle calls.
 struct PeerServer {
     seal: PeerSeal,
     claims: Rc<ClaimsDriver>,
     control: Rc<ControlDriver>,
     configuration: Rc<ConfigurationStore>,
-    tenants: Rc<TenantShares>,
+    tenants: Rc<TenantDemandExchange>,
 }
 
 /// Serves calls until dropped.
@@ -39,7 +39,7 @@
     claims: Rc<ClaimsDriver>,
     control: Rc<ControlDriver>,
     configuration: Rc<ConfigurationStore>,
-    tenants: Rc<TenantShares>,
+    tenants: Rc<TenantDemandExchange>,
 ) {
     let server = Rc::new(PeerServer {
         seal,
@@ -57,7 +57,7 @@
             Ok((stream, _)) => {
                 let server = Rc::clone(&server);
                 actix_rt::spawn(async move {
-                    // A call that fails shows at its caller.
+                    // The calling node sees the failure of a call.
                     drop(server.serve(stream).await);
                     drop(permit);
                 });
@@ -79,24 +79,24 @@
     async fn answer(&self, request: PeerRequest) -> PeerResponse {
         match request {
             PeerRequest::Claim { claim, node } => {
-                PeerResponse::Claim(self.claims.lead(claim, node).await)
+                PeerResponse::Claim(self.claims.claim_locally(claim, node).await)
             }
             PeerRequest::EndClaim { claim, state } => {
-                self.claims.lead_end(claim, state);
+                self.claims.record_end_locally(claim, state);
                 PeerResponse::Done
             }
             PeerRequest::KeptAnswer { request } => {
                 PeerResponse::KeptAnswer(self.claims.kept_answer(request))
             }
             PeerRequest::TakeOver { group } => {
-                self.control.invite(&group);
+                self.control.take_over(&group);
                 PeerResponse::Done
             }
             PeerRequest::TenantDemands { reporter, demands } => {
-                PeerResponse::TenantDemands(self.tenants.sum(&reporter, &demands))
+                PeerResponse::TenantDemands(self.tenants.record_report(&reporter, &demands))
             }
-            PeerRequest::Configuration(question) => {
-                PeerResponse::Configuration(self.configuration.answer(&question))
+            PeerRequest::Configuration(query) => {
+                PeerResponse::Configuration(self.configuration.answer(&query))
             }
         }
     }
--- a/crates/node/src/peer_sockets.rs
+++ b/crates/node/src/peer_sockets.rs
@@ -1,12 +1,12 @@
-//! The two sockets that other nodes reach a node by: UDP and TCP on the same port number.
+//! UDP and TCP sockets for other nodes, on the same port number.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Attempts to find a free port number that both kinds have free.
+/// Most attempts to find a port number that is free for both protocols.
 const ATTEMPTS: usize = 32;
 
-/// Opens both sockets, non-blocking; port 0 takes any number that is free for both.
+/// Opens both sockets in non-blocking mode. Port 0 selects any number that is free for both.
 pub fn open_peer_sockets(listen: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
     let attempts = if listen.port() == 0 { ATTEMPTS } else { 1 };
     let mut last = io::Error::from(io::ErrorKind::AddrInUse);
--- a/crates/node/src/role_planning.rs
+++ b/crates/node/src/role_planning.rs
@@ -1,8 +1,9 @@
-//! Role plans of the groups whose leases this node holds.
+//! Plans roles for the groups whose leases this node holds.
 //!
-//! A pool's groups are planned as one where their engines can share requests: each holder gives
-//! its planner the digests of the pool's other groups too. The planner's rule leads all holders to
-//! the same composition, and each plan names the holder's own engines only.
+//! The groups of a pool are planned together where their engines can share requests, so each lease
+//! holder also gives its planner the digests of the pool's other groups. The planner's
+//! rules lead all holders to the same composition; each plan assigns roles only to the holder's own
+//! engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -21,16 +22,16 @@
     last: Option<RolePlan>,
 }
 
-/// The planners of the groups that this node controls.
+/// Planners of the groups whose leases this node holds.
 #[derive(Default)]
 pub(crate) struct RolePlanning {
     groups: BTreeMap<GroupId, GroupPlan>,
 }
 
 impl RolePlanning {
-    /// Keeps planners for the held groups only. A holder that was replaced and comes back starts
-    /// afresh: what it had learnt is old.
-    pub(crate) fn keep(&mut self, deployment: &Deployment, held: &[GroupId]) {
+    /// Keeps planners only for the groups in `held`, and creates missing ones. A node that reacquires a
+    /// lease starts with a new planner, since the observations of the old one are outdated.
+    pub(crate) fn retain_held(&mut self, deployment: &Deployment, held: &[GroupId]) {
         self.groups.retain(|group, _| held.contains(group));
         for group in &deployment.groups {
             let id = group.id();
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Takes a new configuration in.
+    /// Applies a new configuration to the planners.
     pub(crate) fn configure(&mut self, deployment: &Deployment) {
         for group in &deployment.groups {
             let config = planner_config(deployment, group);
@@ -62,12 +63,12 @@
         }
     }
 
-    /// Whether a digest of that pool is of use here.
-    pub(crate) fn wants(&self, pool: &PoolName) -> bool {
+    /// Whether any planned group belongs to `pool`.
+    pub(crate) fn plans_pool(&self, pool: &PoolName) -> bool {
         self.groups.values().any(|plan| plan.pool == *pool)
     }
 
-    /// Takes in a digest of a group of `pool`.
+    /// Gives a digest of a group of `pool` to the planners of that pool.
     pub(crate) fn observe(&mut self, now: MonotonicTime, pool: &PoolName, digest: &GroupDigest) {
         for plan in self.groups.values_mut() {
             if plan.pool == *pool {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Plans what is due; yields the groups whose roles changed.
+    /// Runs the planners that are due; returns the groups whose roles changed.
     pub(crate) fn plan_due(&mut self, now: MonotonicTime) -> Vec<GroupId> {
         let mut changed = Vec::new();
         for (group, plan) in &mut self.groups {
@@ -88,11 +89,11 @@
             }
             plan.planned_at = Some(now);
             let next = plan.planner.plan(now);
-            let same = plan
+            let unchanged = plan
                 .last
                 .as_ref()
                 .is_some_and(|last| last.roles == next.roles);
-            if !same {
+            if !unchanged {
                 plan.last = Some(next);
                 changed.push(group.clone());
             }
@@ -101,19 +102,19 @@
     }
 
     /// The last plan that changed a group's roles.
-    pub(crate) fn last(&self, group: &GroupId) -> Option<&RolePlan> {
+    pub(crate) fn last_plan(&self, group: &GroupId) -> Option<&RolePlan> {
         self.groups.get(group)?.last.as_ref()
     }
 
-    /// Roles planned for a group's engines; an engine that was never heard of is absent.
+    /// Planned roles of a group's engines; an engine without any report is absent.
     pub(crate) fn roles(&self, group: &GroupId) -> BTreeMap<EngineId, Role> {
-        self.last(group)
+        self.last_plan(group)
             .map(|plan| plan.roles.clone())
             .unwrap_or_default()
     }
 }
 
-/// Settings of a group's planner; `None` if every role of the group is fixed.
+/// Configuration of a group's planner; `None` if all its roles are fixed.
 fn planner_config(deployment: &Deployment, group: &Group) -> Option<PlannerConfig> {
     let pool: &Pool = deployment.pool(&group.pool)?;
     let is_fixed = |engine: &EngineId| group.fixed_roles.contains_key(engine);
--- a/crates/node/src/tenant_shares.rs
+++ b/crates/node/src/tenant_demand.rs
@@ -1,8 +1,8 @@
-//! Exchanges the demand of tenants, so that each node knows its part of it.
+//! Exchanges the demand of tenants among nodes, so that each node knows its share of the total.
 //!
-//! A few nodes keep the sums, chosen by hash among the live ones; each tenant falls to one of
-//! them. A node reports the tenants that asked within the last seconds and is told their sums. So
-//! a node makes a few calls in an interval, whatever the number of tenants and nodes.
+//! A few live nodes, chosen by hash, add up the demand; each tenant is assigned to one of them. A node
+//! reports the demand of its recently active tenants and receives their totals. The number of calls
+//! per node is therefore bounded, whatever the number of tenants and nodes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -21,22 +21,22 @@
 /// Time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(3);
 
-/// Nodes that keep sums.
+/// Number of nodes that add up demand.
 const SUMMING_NODES: usize = 16;
 
-/// Most tenants of one report; those with the largest demand go first.
-const MAX_REPORTED: usize = 512;
+/// Most tenants in a report; the ones with the largest demand are reported.
+const MAX_TENANTS_PER_REPORT: usize = 512;
 
-/// The exchange of one node.
-pub(crate) struct TenantShares {
+/// Reports the demand at this node, and adds up the reports that it receives.
+pub(crate) struct TenantDemandExchange {
     shared: Arc<Shared>,
     cluster: Rc<RefCell<Cluster>>,
     peers: PeerClient,
     totals: RefCell<TenantTotals>,
 }
 
-impl TenantShares {
-    /// An exchange that has heard of no demand.
+impl TenantDemandExchange {
+    /// An exchange without any reports.
     pub(crate) fn new(
         shared: Arc<Shared>,
         cluster: Rc<RefCell<Cluster>>,
@@ -51,7 +51,7 @@
         })
     }
 
-    /// Reports again and again, until dropped.
+    /// Reports periodically until dropped.
     pub(crate) async fn run(self: Rc<Self>) {
         loop {
             actix_rt::time::sleep(REPORT_INTERVAL).await;
@@ -59,8 +59,12 @@
         }
     }
 
-    /// Takes a node's report in and yields the sums for the tenants it names.
-    pub(crate) fn sum(&self, node: &NodeId, demands: &[TenantDemand]) -> Vec<TenantDemand> {
+    /// Records a node's report and returns the totals of the tenants in it.
+    pub(crate) fn record_report(
+        &self,
+        node: &NodeId,
+        demands: &[TenantDemand],
+    ) -> Vec<TenantDemand> {
         let now = self.shared.clock.now();
         let mut totals = self.totals.borrow_mut();
         totals.forget_silent(now);
@@ -73,12 +77,12 @@
         let demands = {
             let mut limits = self.shared.tenant_limits();
             limits.set_nodes(nodes);
-            limits.demands(now, MAX_REPORTED)
+            limits.demands(now, MAX_TENANTS_PER_REPORT)
         };
         for (node, demands) in self.by_summing_node(demands) {
-            let sums = self.ask(&node, demands).await;
+            let totals = self.request_totals(&node, demands).await;
             let now = self.shared.clock.now();
-            self.shared.tenant_limits().observe_totals(now, &sums);
+            self.shared.tenant_limits().observe_totals(now, &totals);
         }
     }
 
@@ -93,7 +97,7 @@
         reports
     }
 
-    /// The nodes that keep sums: the same for all that know the same members.
+    /// The nodes that add up demand; nodes with the same view of the membership choose the same ones.
     fn summing_nodes(&self) -> Vec<NodeId> {
         let cluster = self.cluster.borrow();
         let members = cluster.members().map(|member| member.node.clone());
@@ -104,11 +108,11 @@
         nodes
     }
 
-    /// Asks a node for the sums. Without an answer the sums known before stand until they are old,
-    /// and after that an even share.
-    async fn ask(&self, node: &NodeId, demands: Vec<TenantDemand>) -> Vec<TenantDemand> {
+    /// Reports demands to a summing node and returns the totals. If that fails, the last known totals
+    /// remain in use until they are outdated, and an even share is assumed after that.
+    async fn request_totals(&self, node: &NodeId, demands: Vec<TenantDemand>) -> Vec<TenantDemand> {
         if *node == self.shared.node {
-            return self.sum(node, &demands);
+            return self.record_report(node, &demands);
         }
         let Some(address) = self.address_of(node) else {
             return Vec::new();
--- a/crates/node/src/token_rates.rs
+++ b/crates/node/src/token_rates.rs
@@ -1,31 +1,32 @@
-//! Token rates of engines, as they travel in digests, and the totals a reader makes of them.
+//! Token rates of engines, which digests carry, and the token totals that a reader derives from them.
 //!
-//! Totals would take several bytes an engine. A rate takes one, and a lost digest costs a reader
-//! little: the next rate stands for the time since the last digest it has.
+//! A rate takes one byte per engine, a total would take several. A reader that misses a digest applies
+//! the next rate to the whole time since the last digest that it received.
 
 use std::time::Duration;
 
 use dalestand_types::{EngineLoad, MonotonicTime};
 
-/// Shortest time between two reports that a rate is made of.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(50);
+/// Shortest time between two reports from which a rate is computed.
+const MIN_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Longest time that one rate stands for.
-const LONGEST_INTERVAL: Duration = Duration::from_secs(10);
+/// Longest time to which a rate is applied.
+const MAX_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What an engine ran in a second.
+/// Token rates of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct TokenRates {
-    /// Prompt tokens a second.
+    /// Prompt tokens per second.
     pub(crate) prefill_per_s: f64,
-    /// Output tokens a second.
+    /// Output tokens per second.
     pub(crate) decode_per_s: f64,
 }
 
 impl TokenRates {
-    /// The rates between two reports of one run; `before` if they are too close.
+    /// Rates between two reports: zero if the engine restarted in between, `previous` if the reports
+    /// are too close to each other.
     pub(crate) fn between(
-        before: Self,
+        previous: Self,
         earlier: (&EngineLoad, MonotonicTime),
         later: (&EngineLoad, MonotonicTime),
     ) -> Self {
@@ -33,8 +34,8 @@
         if later.0.incarnation != earlier.0.incarnation {
             return Self::default();
         }
-        if elapsed < SHORTEST_INTERVAL {
-            return before;
+        if elapsed < MIN_INTERVAL {
+            return previous;
         }
         let rate = |now: u64, then: u64| now.saturating_sub(then) as f64 / elapsed.as_secs_f64();
         Self {
@@ -44,7 +45,7 @@
     }
 }
 
-/// Tokens that an engine ran since a reader first heard of it.
+/// Estimated tokens that an engine processed since the reader's first digest of it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct TokenTotals {
     /// Prompt tokens.
@@ -54,9 +55,9 @@
 }
 
 impl TokenTotals {
-    /// The totals after a rate has stood for `elapsed`.
-    pub(crate) fn advanced(self, rates: TokenRates, elapsed: Duration) -> Self {
-        let seconds = elapsed.min(LONGEST_INTERVAL).as_secs_f64();
+    /// The totals after `elapsed` at the given rates.
+    pub(crate) fn after(self, rates: TokenRates, elapsed: Duration) -> Self {
+        let seconds = elapsed.min(MAX_INTERVAL).as_secs_f64();
         Self {
             prefill: self.prefill + rates.prefill_per_s * seconds,
             decode: self.decode + rates.decode_per_s * seconds,
