--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims over several nodes with real sockets and a key-value service with faults.
+//! Claims on several nodes over real sockets, with faults of the key-value service.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,10 +19,10 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 
-/// Longest wait for a condition; only a fault reaches it.
-const CONDITION_LIMIT: Duration = Duration::from_secs(30);
+/// Timeout for a condition.
+const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
-struct Site {
+struct TestSite {
     key_value: SocketAddr,
     machine_list: SocketAddr,
     seeds: Vec<SocketAddr>,
@@ -33,7 +33,7 @@
     control: ControlPlane,
 }
 
-impl Site {
+impl TestSite {
     async fn start() -> Self {
         let key_value = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let machine_list = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -111,7 +111,7 @@
     }
 }
 
-/// Two sockets with one port number. A port that is free for one may be taken for the other.
+/// TCP and UDP sockets with the same port number; a port may be free for one protocol only.
 async fn peer_sockets() -> (TcpListener, UdpSocket) {
     loop {
         let calls = TcpListener::bind("127.0.0.1:0").await.expect("a port");
@@ -144,7 +144,7 @@
     F: FnMut() -> W,
     W: Future<Output = Option<T>>,
 {
-    let deadline = Instant::now() + CONDITION_LIMIT;
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
     loop {
         if let Some(value) = condition().await {
             return value;
@@ -167,7 +167,7 @@
 
 #[actix_rt::test]
 async fn of_claims_at_several_nodes_at_once_one_is_granted() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     let nodes = site.start_nodes(&["a", "b", "c"]).await;
     for key in 0..12 {
         let claims = nodes.iter().enumerate().map(|(index, node)| {
@@ -187,7 +187,7 @@
 
 #[actix_rt::test]
 async fn claims_outlive_every_node() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     let mut nodes = site.start_nodes(&["a", "b"]).await;
     let (running, complete) = (claim("running", 1), claim("complete", 2));
     assert_eq!(nodes[0].claim(&running).await, ClaimOutcome::Granted);
@@ -218,7 +218,7 @@
 
 #[actix_rt::test]
 async fn an_outage_refuses_claims_and_forgets_none() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     let nodes = site.start_nodes(&["a", "b"]).await;
     let before = claim("before", 1);
     assert_eq!(nodes[0].claim(&before).await, ClaimOutcome::Granted);
@@ -247,7 +247,7 @@
 
 #[actix_rt::test]
 async fn a_claim_whose_write_was_not_answered_is_granted_once() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     let nodes = site.start_nodes(&["a", "b"]).await;
     let lost = KeyValueFaults {
         lose_write_answers: 1,
@@ -255,7 +255,7 @@
     };
     site.set_faults(&lost).await;
     let first = nodes[0].claim(&claim("key", 1)).await;
-    assert_eq!(first, ClaimOutcome::Granted, "the record says whose it is");
+    assert_eq!(first, ClaimOutcome::Granted, "the record names this request");
     let second = nodes[1].claim(&claim("key", 2)).await;
     assert!(
         matches!(second, ClaimOutcome::InProgress { .. }),
@@ -265,7 +265,7 @@
 
 #[actix_rt::test]
 async fn a_repeated_key_gets_the_first_answer_from_another_node() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     let nodes = site.start_nodes(&["a", "b"]).await;
     let first = claim("key", 1);
     assert_eq!(nodes[0].claim(&first).await, ClaimOutcome::Granted);
@@ -286,7 +286,7 @@
 
 #[actix_rt::test]
 async fn a_request_that_did_not_run_frees_its_key() {
-    let mut site = Site::start().await;
+    let mut site = TestSite::start().await;
     let nodes = site.start_nodes(&["a", "b"]).await;
     let first = claim("key", 1);
     assert_eq!(nodes[0].claim(&first).await, ClaimOutcome::Granted);
