--- a/crates/claims/tests/late_ends.rs
+++ b/crates/claims/tests/late_ends.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn of_contradicting_ends_the_one_that_frees_the_key_stands_alone() {
+fn an_end_that_frees_the_key_overrides_another_end_of_its_request() {
     let mut shard = Shard::default();
     let first = claim(3);
     shard.claim(NOW, Ticket(3), first);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_end_is_not_dropped_on_the_word_of_an_outdated_copy() {
+fn an_end_is_not_dropped_because_of_an_outdated_copy() {
     let mut outdated = Shard::default();
     outdated.claim(NOW, Ticket(1), claim(1));
     assert_eq!(outdated.tick(NOW), Some(Action::Load));
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -79,7 +79,7 @@
     /// A peer announced a newer version of a record that refers to content (see
     /// [`RecordKey::is_content_reference`](crate::RecordKey::is_content_reference)). The record is
     /// stored and gossiped once the driver has fetched the content and published the record.
-    RecordOffered {
+    RecordAnnounced {
         /// The record.
         record: Record,
         /// The peer that announced it.
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -101,7 +101,7 @@
         let known = self.peers.get(&update.member.node);
         let newer = match known {
             Some(peer) => update.rank() > peer.update.rank(),
-            // An unknown member that is down was probably removed here already.
+            // Does not add a member that was probably removed here after it had been down.
             None => update.state == MemberState::Alive,
         };
         if !newer {
--- a/crates/cluster/src/receive.rs
+++ b/crates/cluster/src/receive.rs
@@ -43,7 +43,7 @@
             Item::Record(record) if record.key.is_content_reference() => {
                 let known = self.records.get(&record.key).map(|record| record.version);
                 let newer = known.is_none_or(|known| record.version > known);
-                Ok(newer.then_some(Output::RecordOffered { record, from }))
+                Ok(newer.then_some(Output::RecordAnnounced { record, from }))
             }
             Item::Record(record) => Ok(self
                 .store(record, encoded.clone())
--- a/crates/cluster/src/retransmit_queue.rs
+++ b/crates/cluster/src/retransmit_queue.rs
@@ -19,7 +19,7 @@
 /// Transmissions of a normal item.
 const NORMAL_TRANSMISSIONS: u32 = 4;
 
-/// How soon an item must reach all nodes.
+/// How soon an item must reach all nodes; ordered from most to least urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Urgency {
     /// As soon as possible.
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_dead_node_is_noticed_by_all_within_5_seconds() {
+fn a_failed_node_is_detected_by_all_within_5_seconds() {
     for seed in 0..10 {
         let mut network = joined(seed, 40);
         network.nodes[7].alive = false;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_node_that_dies_soon_after_its_start_is_noticed_as_fast() {
+fn a_node_that_fails_soon_after_its_start_is_detected_as_fast() {
     let mut network = joined(8, 150);
     network.run(Duration::from_secs(30));
     let late = network.start("late", 1, "z0");
@@ -50,14 +50,14 @@
 }
 
 #[test]
-fn no_live_node_is_called_down_at_5_percent_loss() {
+fn no_live_node_is_marked_down_at_5_percent_loss() {
     let mut network = joined(3, 40);
     network.run(Duration::from_secs(300));
     assert_eq!(network.down_notifications(), 0);
 }
 
 #[test]
-fn a_zone_that_was_cut_off_is_whole_again_within_11_seconds() {
+fn a_healed_partition_of_a_zone_is_repaired_within_11_seconds() {
     let mut network = joined(4, 40);
     network.partitioned_zones = vec![ZoneName::from("z1")];
     network.run_until(Duration::from_secs(30), |network| {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_node_comes_back_at_another_address_as_another_run() {
+fn a_node_restarted_at_another_address_is_found() {
     let mut network = joined(5, 20);
     network.nodes[7].alive = false;
     let again = network.start("n007", 2, "z3");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_run_numbered_below_the_one_before_is_still_found() {
+fn a_node_restarted_with_a_lower_incarnation_is_found() {
     let mut network = joined(6, 20);
     network.nodes[7].alive = false;
     network.start("n007", 0, "z3");
@@ -98,14 +98,14 @@
 }
 
 #[test]
-fn a_planned_leave_is_known_without_waiting_for_suspicion() {
+fn an_announced_leave_is_known_without_a_suspicion_timeout() {
     let mut network = joined(7, 40);
     network.leave(7);
     network.run_until(Duration::from_secs(2), Network::agrees);
 }
 
 #[test]
-fn an_address_that_left_the_machine_list_is_not_asked_any_more() {
+fn an_address_removed_from_the_machine_list_is_not_contacted() {
     let mut network = Network::with_nodes(9, Faults::default(), 2, 1);
     network.nodes[0].alive = false;
     let gone = network.start("gone", 1, "z0");
--- a/crates/cluster/tests/network/mod.rs
+++ b/crates/cluster/tests/network/mod.rs
@@ -210,7 +210,7 @@
                     let versions = node.versions.entry(record.key).or_default();
                     versions.push(record.version);
                 }
-                Output::RecordOffered { record, .. } => {
+                Output::RecordAnnounced { record, .. } => {
                     // The content counts as fetched at once.
                     if node.cluster.publish(record.clone()) == Ok(true) {
                         let versions = node.versions.entry(record.key).or_default();
--- a/crates/cluster/tests/spread.rs
+++ b/crates/cluster/tests/spread.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_datagram_of_a_stranger_is_an_error_and_changes_nothing() {
+fn a_datagram_of_another_protocol_is_an_error() {
     let mut network = Network::with_nodes(1, NO_FAULTS, 2, 1);
     let from = network.nodes[1].cluster.local_member().address;
     let mut random = rand::rng();
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -73,7 +73,7 @@
     if !access.allows(&request) {
         return text_answer(
             StatusCode::UNAUTHORIZED,
-            "the operator key is missing or wrong",
+            "the operators' key is missing or wrong",
         );
     }
     handle(&admin, &mut request)
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -12,7 +12,7 @@
 use error_stack::{Report, ResultExt as _};
 use jiff::Timestamp;
 
-use crate::configuration::{CONFIGURATION_KEY, ConfigurationRecord, FormerConfiguration};
+use crate::configuration::{CONFIGURATION_KEY, ConfigurationRecord, PreviousConfiguration};
 use crate::error::ApplyError;
 
 #[cfg(test)]
@@ -22,10 +22,10 @@
 const MAX_WRITE_ATTEMPTS: usize = 4;
 
 /// Delay before a write in doubt is repeated.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Most previous configurations in the history of a record.
-const MAX_FORMER: usize = 16;
+const MAX_HISTORY: usize = 16;
 
 /// A deployment file to apply.
 #[derive(Clone, Debug)]
@@ -83,12 +83,12 @@
     Ok(Applied { revision, record })
 }
 
-/// History for a record that replaces `current`, newest first.
-fn previous_configurations(current: Option<&Entry>) -> Vec<FormerConfiguration> {
+/// History of a record that is to replace `current`, newest first.
+fn previous_configurations(current: Option<&Entry>) -> Vec<PreviousConfiguration> {
     let Some((revision, record)) = current.and_then(parse_record) else {
         return Vec::new();
     };
-    let last = FormerConfiguration {
+    let last = PreviousConfiguration {
         writer: record.writer,
         author: record.author,
         unix_ms: record.unix_ms,
@@ -97,7 +97,7 @@
     let earlier = record.former.into_iter();
     std::iter::once(last)
         .chain(earlier)
-        .take(MAX_FORMER)
+        .take(MAX_HISTORY)
         .collect()
 }
 
@@ -135,7 +135,7 @@
                 }
                 Err(error) => in_doubt = Some(error),
             }
-            actix_rt::time::sleep(RETRY_PAUSE).await;
+            actix_rt::time::sleep(RETRY_DELAY).await;
         }
         match in_doubt {
             Some(error) => Err(error.change_context(ApplyError::InDoubt)),
@@ -170,7 +170,7 @@
     fn history_includes_base(&self, record: &ConfigurationRecord) -> bool {
         match self.base {
             Some(base) => record.former.iter().any(|one| one.revision == base),
-            None => record.former.len() < MAX_FORMER,
+            None => record.former.len() < MAX_HISTORY,
         }
     }
 }
--- a/crates/node/src/apply/tests.rs
+++ b/crates/node/src/apply/tests.rs
@@ -166,7 +166,7 @@
 }
 
 #[actix_rt::test]
-async fn a_write_that_was_replaced_meanwhile_is_still_known() {
+async fn a_replaced_write_is_found_in_the_history() {
     let key_value = ScriptedKeyValue::new([WriteBehavior::AnswerLost { followers: 3 }]);
     assert_eq!(outcome(&key_value).await, Ok(Revision(1)));
 }
@@ -180,19 +180,19 @@
 }
 
 #[actix_rt::test]
-async fn a_write_that_others_overtook_is_refused_for_certain() {
+async fn a_lost_write_that_others_preceded_is_a_conflict() {
     let key_value = ScriptedKeyValue::new([WriteBehavior::LostBefore { followers: 2 }]);
     assert_eq!(outcome(&key_value).await, Err(ApplyError::Conflict));
 }
 
 #[actix_rt::test]
-async fn a_write_that_too_many_others_overtook_stays_in_doubt() {
+async fn a_lost_write_older_than_the_history_stays_in_doubt() {
     let key_value = ScriptedKeyValue::new([WriteBehavior::LostBefore { followers: 20 }]);
     assert_eq!(outcome(&key_value).await, Err(ApplyError::InDoubt));
 }
 
 #[actix_rt::test]
-async fn an_outage_after_a_doubt_is_no_proof_that_nothing_was_applied() {
+async fn a_write_in_doubt_stays_in_doubt_during_an_outage() {
     let behaviors = [
         WriteBehavior::AnswerLost { followers: 0 },
         WriteBehavior::Refused,
@@ -206,7 +206,7 @@
 }
 
 #[actix_rt::test]
-async fn the_loser_is_told_by_whom_which_and_when() {
+async fn a_conflict_names_revision_author_and_time() {
     let key_value = ScriptedKeyValue::default();
     apply(&key_value, None, draft("first"))
         .await
--- a/crates/node/src/cluster_driver.rs
+++ b/crates/node/src/cluster_driver.rs
@@ -18,7 +18,7 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::configuration::ConfigurationOffer;
+use crate::configuration::ConfigurationAnnouncement;
 use crate::drains;
 use crate::machines::{self, Machines};
 
@@ -74,19 +74,19 @@
     link: Rc<PeerLink>,
     cluster: Rc<RefCell<Cluster>>,
     machines: Rc<RefCell<Machines>>,
-    offers: UnboundedSender<ConfigurationOffer>,
+    announcements: UnboundedSender<ConfigurationAnnouncement>,
 ) {
     let mut random = StdRng::from_rng(&mut rand::rng());
     let mut interval = actix_rt::time::interval(TICK);
     let mut buffer = vec![0_u8; RECEIVE_BYTES];
-    let mut machine_changes = None;
+    let mut listed_change_count = None;
     loop {
         let outputs = tokio::select! {
             _ = interval.tick() => {
                 let mut cluster = cluster.borrow_mut();
                 let machines = machines.borrow();
-                if machine_changes != Some(machines.change_count()) {
-                    machine_changes = Some(machines.change_count());
+                if listed_change_count != Some(machines.change_count()) {
+                    listed_change_count = Some(machines.change_count());
                     cluster.set_listed_addresses(machines.node_addresses());
                 }
                 cluster.tick(shared.clock.now(), &mut random)
@@ -103,7 +103,7 @@
             },
         };
         for output in outputs {
-            process_output(&shared, &link, &cluster, &machines, &offers, output).await;
+            process_output(&shared, &link, &cluster, &machines, &announcements, output).await;
         }
     }
 }
@@ -151,7 +151,7 @@
     link: &PeerLink,
     cluster: &RefCell<Cluster>,
     machines: &RefCell<Machines>,
-    offers: &UnboundedSender<ConfigurationOffer>,
+    announcements: &UnboundedSender<ConfigurationAnnouncement>,
     output: Output,
 ) {
     match output {
@@ -163,10 +163,10 @@
             RecordKey::Drain(_) => drains::apply_record(machines, &record),
             RecordKey::Configuration | RecordKey::GroupDigest(_) => {}
         },
-        Output::RecordOffered { record, from } => {
+        Output::RecordAnnounced { record, from } => {
             let revision = Revision(record.version.major);
             // The receiver is gone once the node stops.
-            let _ = offers.send(ConfigurationOffer { revision, from });
+            let _ = announcements.send(ConfigurationAnnouncement { revision, from });
         }
         Output::MemberUp(member) => {
             update_member_gauge(shared, cluster);
--- a/crates/node/src/configuration/exchange.rs
+++ b/crates/node/src/configuration/exchange.rs
@@ -4,7 +4,7 @@
 use dalestand_types::Revision;
 use serde::{Deserialize, Serialize};
 
-use super::FormerConfiguration;
+use super::PreviousConfiguration;
 use super::parts::PartName;
 
 /// Most parts in a query.
@@ -41,7 +41,7 @@
     /// When it was applied, in milliseconds since the Unix epoch; informational.
     pub(crate) unix_ms: u64,
     /// The previous configurations, newest first.
-    pub(crate) former: Vec<FormerConfiguration>,
+    pub(crate) former: Vec<PreviousConfiguration>,
     /// Names of the parts of the deployment file, in order.
     pub(crate) names: Vec<PartName>,
 }
--- a/crates/node/src/configuration/fetch.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -24,7 +24,7 @@
 
 /// A peer's announcement of a configuration that was newer than this node's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct ConfigurationOffer {
+pub(crate) struct ConfigurationAnnouncement {
     /// Revision of the configuration.
     pub(crate) revision: Revision,
     /// The peer.
@@ -52,25 +52,27 @@
 }
 
 /// Fetches and applies announced configurations until dropped.
-pub(crate) async fn fetch_offered(
+pub(crate) async fn fetch_announced(
     shared: Arc<Shared>,
     link: Rc<PeerLink>,
     peers: PeerClient,
     store: Rc<ConfigurationStore>,
-    mut offers: UnboundedReceiver<ConfigurationOffer>,
+    mut announcements: UnboundedReceiver<ConfigurationAnnouncement>,
 ) {
-    while let Some(offer) = offers.recv().await {
-        if offer.revision <= store.revision() {
+    while let Some(announcement) = announcements.recv().await {
+        if announcement.revision <= store.revision() {
             continue;
         }
-        let fetched =
-            actix_rt::time::timeout(FETCH_TIMEOUT, fetch(&link, &peers, &store, offer.from));
+        let fetched = actix_rt::time::timeout(
+            FETCH_TIMEOUT,
+            fetch(&link, &peers, &store, announcement.from),
+        );
         match fetched.await.unwrap_or(Err(FetchError::Timeout)) {
             Ok((revision, record)) => store.apply(revision, record),
             // Retried when another peer announces it.
             Err(error) => {
                 log_event!(shared.logger, Event::ConfigurationNotFetched,
-                    "peer" => %offer.from, "error" => %error);
+                    "peer" => %announcement.from, "error" => %error);
             }
         }
     }
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 pub(crate) use exchange::{ConfigurationQuery, ConfigurationReply};
-pub(crate) use fetch::{ConfigurationOffer, fetch_offered};
+pub(crate) use fetch::{ConfigurationAnnouncement, fetch_announced};
 pub(crate) use store::ConfigurationStore;
 pub(crate) use watch::watch;
 
@@ -36,7 +36,7 @@
     pub(crate) unix_ms: u64,
     /// The previous configurations, newest first.
     #[serde(default)]
-    pub(crate) former: Vec<FormerConfiguration>,
+    pub(crate) former: Vec<PreviousConfiguration>,
     /// Content of the deployment file.
     pub(crate) text: String,
 }
@@ -44,7 +44,7 @@
 /// A previous configuration. By this history a writer whose answer was lost finds out that its write
 /// took effect before it was replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct FormerConfiguration {
+pub(crate) struct PreviousConfiguration {
     /// Id of its write.
     pub(crate) writer: String,
     /// Who applied it; informational.
--- a/crates/node/src/configuration/tests.rs
+++ b/crates/node/src/configuration/tests.rs
@@ -29,7 +29,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn a_text_is_put_together_again_from_its_parts(text in "(\\[\\[|[a-zé]|\n){0,200}") {
+    fn a_text_is_restored_from_its_parts(text in "(\\[\\[|[a-zé]|\n){0,200}") {
         prop_assert_eq!(SplitText::split(&text).text(), Some(text));
     }
 }
--- a/crates/node/src/configuration/watch.rs
+++ b/crates/node/src/configuration/watch.rs
@@ -27,7 +27,7 @@
 const WATCH_WAIT: Duration = Duration::from_secs(10);
 
 /// Delay after a failed call.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Delay of a starting node before its first call.
 const INITIAL_DELAY: Duration = Duration::from_millis(300);
@@ -66,7 +66,7 @@
             shared.metrics.key_value_calls.inc();
             if let Err(error) = poll(&*key_value, &store, wait).await {
                 log_event!(shared.logger, Event::KeyValueFailed, "error" => %error);
-                actix_rt::time::sleep(RETRY_PAUSE.mul_f64(jitter())).await;
+                actix_rt::time::sleep(RETRY_DELAY.mul_f64(jitter())).await;
             }
             let nodes = cluster.borrow().member_count() as u32 + 1;
             let interval = MIN_POLL_INTERVAL.max(FLEET_POLL_INTERVAL * nodes);
--- a/crates/node/src/control_driver/leases.rs
+++ b/crates/node/src/control_driver/leases.rs
@@ -48,10 +48,10 @@
             .find(|one| one.id() == *group)
             .map(|one| &one.zone);
         let candidates = self.candidates();
-        let successor_candidate = zone.and_then(|zone| successor(group, zone, &candidates));
+        let next_holder = zone.and_then(|zone| successor(group, zone, &candidates));
         let address = {
             let cluster = self.cluster.borrow();
-            successor_candidate.and_then(|one| Some(cluster.member(&one.node)?.address))
+            next_holder.and_then(|one| Some(cluster.member(&one.node)?.address))
         };
         if let Some(address) = address {
             let group = group.clone();
--- a/crates/node/src/control_driver/loads.rs
+++ b/crates/node/src/control_driver/loads.rs
@@ -90,6 +90,7 @@
         answer.ok()?.ok()
     }
 
+    /// Publishes the group's digest, if this node holds its lease, and gives it to the planner.
     pub(super) fn publish_digest(&self, group: &GroupId, engines: &[EngineId], now: MonotonicTime) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
--- a/crates/node/src/control_driver/mod.rs
+++ b/crates/node/src/control_driver/mod.rs
@@ -52,7 +52,7 @@
     polled_at: HashMap<GroupId, MonotonicTime>,
     clients: EngineClients,
     planning: RolePlanning,
-    machine_changes: u64,
+    machine_change_count: u64,
     digests: DigestTable,
 }
 
@@ -172,18 +172,18 @@
             return;
         }
         let deployment = &active.deployment;
-        let first_at = now + START_GRACE;
+        let first_acquire_at = now + START_GRACE;
         let state = &mut *state;
         state.planning.configure(deployment);
         for group in &deployment.groups {
             state
                 .holder_expires_at
                 .entry(group.id())
-                .or_insert(first_at);
+                .or_insert(first_acquire_at);
             let controller = state
                 .controllers
                 .entry(group.id())
-                .or_insert_with(|| GroupController::new(group.id(), first_at));
+                .or_insert_with(|| GroupController::new(group.id(), first_acquire_at));
             let planned = state.planning.roles(&group.id());
             let desired = desired_engines(deployment, group, &planned);
             let max_changes = deployment.roles.max_changes_at_once as usize;
@@ -205,8 +205,8 @@
             .count();
         self.shared.metrics.leases.set(leases_held as i64);
         let machines = self.machines.borrow();
-        if state.machine_changes != machines.change_count() {
-            state.machine_changes = machines.change_count();
+        if state.machine_change_count != machines.change_count() {
+            state.machine_change_count = machines.change_count();
             state
                 .clients
                 .retain(|address| machines.uses_address(address));
--- a/crates/node/src/control_plane.rs
+++ b/crates/node/src/control_plane.rs
@@ -135,13 +135,13 @@
         Rc::clone(&machines),
         Rc::clone(&cluster),
     );
-    let (offers, received_offers) = mpsc::unbounded_channel();
+    let (announcements, received_announcements) = mpsc::unbounded_channel();
     let drive = cluster_driver::run(
         Arc::clone(&shared),
         Rc::clone(&link),
         Rc::clone(&cluster),
         machines,
-        offers,
+        announcements,
     );
     let store = ConfigurationStore::new(
         Arc::clone(&shared),
@@ -149,12 +149,12 @@
         Rc::clone(&link.wake),
     );
     let store = Rc::new(store);
-    let fetch = configuration::fetch_offered(
+    let fetch = configuration::fetch_announced(
         Arc::clone(&shared),
         Rc::clone(&link),
         PeerClient::new(seal.clone()),
         Rc::clone(&store),
-        received_offers,
+        received_announcements,
     );
     let watch = configuration::watch(
         Arc::clone(&shared),
--- a/crates/node/src/digest_codec/tests.rs
+++ b/crates/node/src/digest_codec/tests.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_reader_with_another_list_of_engines_takes_nothing() {
+fn a_reader_with_another_list_of_engines_ignores_the_digest() {
     let digest = packed(&deployment(ENGINES));
     let other = deployment(ENGINES - 1);
     assert_eq!(digest.unpack(&other, &other.groups[0]), None);
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -140,7 +140,8 @@
         })
     }
 
-    /// A new fleet view, if its inputs changed since the last one and that is not too recent.
+    /// Builds a fleet view if its inputs changed since the last one and that is at least
+    /// [`MIN_REBUILD_INTERVAL`] old.
     pub(crate) fn view(
         &mut self,
         now: MonotonicTime,
--- a/crates/node/src/lease_service.rs
+++ b/crates/node/src/lease_service.rs
@@ -15,7 +15,7 @@
 const READ_BACK_ATTEMPTS: usize = 3;
 
 /// Delay between these reads.
-const READ_BACK_PAUSE: Duration = Duration::from_millis(200);
+const READ_BACK_DELAY: Duration = Duration::from_millis(200);
 
 /// Stored value that names the holder of a group's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -113,7 +113,7 @@
                 Ok(_) => return Ok(None),
                 Err(next) => error = next,
             }
-            actix_rt::time::sleep(READ_BACK_PAUSE).await;
+            actix_rt::time::sleep(READ_BACK_DELAY).await;
         }
         Err(error)
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -22,7 +22,7 @@
 
 /// Interval at which a stopping node checks for requests in flight, and a starting one for a
 /// configuration.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Addresses a node listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -131,7 +131,7 @@
     // long answer is finished.
     control.release_leases().await;
     while shared.in_flight() > 0 {
-        actix_rt::time::sleep(STOP_POLL).await;
+        actix_rt::time::sleep(POLL_INTERVAL).await;
     }
     control.leave().await;
     callers.drain(&shared).await;
@@ -144,7 +144,7 @@
 fn log_readiness(shared: Arc<Shared>) {
     actix_rt::spawn(async move {
         while shared.configuration.load().is_none() {
-            actix_rt::time::sleep(STOP_POLL).await;
+            actix_rt::time::sleep(POLL_INTERVAL).await;
         }
         log_event!(shared.logger, Event::NodeReady, "zone" => %shared.zone);
     });
--- a/crates/node/src/peer_calls/server.rs
+++ b/crates/node/src/peer_calls/server.rs
@@ -21,7 +21,7 @@
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// Delay after a failure to accept, for example because no file descriptor is free.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// The components that handle calls.
 struct PeerServer {
@@ -62,7 +62,7 @@
                     drop(permit);
                 });
             }
-            Err(_) => actix_rt::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/crates/node/src/tenant_demand.rs
+++ b/crates/node/src/tenant_demand.rs
@@ -120,7 +120,7 @@
         let reporter = self.shared.node.clone();
         let request = PeerRequest::TenantDemands { reporter, demands };
         match self.peers.call(address, &request).await {
-            Ok(PeerResponse::TenantDemands(sums)) => sums,
+            Ok(PeerResponse::TenantDemands(totals)) => totals,
             _ => Vec::new(),
         }
     }
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -166,7 +166,7 @@
 }
 
 #[actix_rt::test]
-async fn of_claims_at_several_nodes_at_once_one_is_granted() {
+async fn one_of_several_concurrent_claims_is_granted() {
     let mut site = TestSite::start().await;
     let nodes = site.start_nodes(&["a", "b", "c"]).await;
     for key in 0..12 {
@@ -255,7 +255,11 @@
     };
     site.set_faults(&lost).await;
     let first = nodes[0].claim(&claim("key", 1)).await;
-    assert_eq!(first, ClaimOutcome::Granted, "the record names this request");
+    assert_eq!(
+        first,
+        ClaimOutcome::Granted,
+        "the record names this request"
+    );
     let second = nodes[1].claim(&claim("key", 2)).await;
     assert!(
         matches!(second, ClaimOutcome::InProgress { .. }),
