--- a/crates/claims/src/write_rate.rs
+++ b/crates/claims/src/write_rate.rs
@@ -14,7 +14,7 @@
 /// request rate.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct WriteRateLimiter {
-    /// Time at which the writes made so far would end at one per [`WRITE_INTERVAL`].
+    /// When all writes so far would be done if they were made at one per [`WRITE_INTERVAL`].
     charged_until: MonotonicTime,
 }
 
--- a/crates/cluster/src/bucket_hashes.rs
+++ b/crates/cluster/src/bucket_hashes.rs
@@ -21,12 +21,10 @@
         .collect()
 }
 
-/// Index of a member's bucket.
 pub(crate) fn bucket_of_member(node: &NodeId) -> usize {
     bucket(&blake3::hash(node.as_str().as_bytes()))
 }
 
-/// Index of a record's bucket.
 pub(crate) fn bucket_of_record(key: &RecordKey) -> usize {
     bucket(&hash_of_key(key))
 }
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -11,7 +11,7 @@
 
 use crate::record::{MemberUpdate, Record};
 
-/// Size limit of a datagram; it fits the common MTU of 1,500 bytes with headers and encapsulation.
+/// Size limit of a datagram; below the smallest usual MTU minus headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
 
 /// Size limit of an encoded item; leaves room for the body of its datagram.
@@ -60,7 +60,6 @@
         origin: SocketAddr,
         /// The node that answers.
         node: NodeId,
-        /// Its incarnation.
         incarnation: Incarnation,
     },
     /// Carries items only.
@@ -90,7 +89,6 @@
 pub(crate) enum Item {
     /// An update about a member.
     Member(MemberUpdate),
-    /// A record.
     Record(Record),
 }
 
--- a/crates/cluster/src/probe.rs
+++ b/crates/cluster/src/probe.rs
@@ -26,14 +26,11 @@
 pub(crate) enum ProbeAction {
     /// Ping a member directly and, from the second round on, indirectly as well.
     Ping {
-        /// The member.
         target: NodeId,
-        /// Number of the probe.
         probe: u32,
         /// Whether other members are asked to ping it as well.
         indirect: bool,
     },
-    /// Mark a member as down.
     MarkDown(NodeId),
 }
 
--- a/crates/cluster/src/retransmit_queue.rs
+++ b/crates/cluster/src/retransmit_queue.rs
@@ -16,7 +16,6 @@
 /// Base of the transmissions of an urgent item; each doubling of the fleet size adds one.
 const URGENT_BASE_TRANSMISSIONS: u32 = 3;
 
-/// Transmissions of a normal item.
 const NORMAL_TRANSMISSIONS: u32 = 4;
 
 /// How soon an item must reach all nodes; ordered from most to least urgent.
@@ -31,9 +30,7 @@
 /// Subject of an item; a newer item replaces the queued one with the same subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Subject {
-    /// A member.
     Member(NodeId),
-    /// A record.
     Record(RecordKey),
 }
 
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -8,14 +8,14 @@
 use dalestand_types::{NodeId, ZoneName};
 use network::{Faults, Network, record};
 
-const FIVE_PERCENT: Faults = Faults {
+const FIVE_PERCENT_LOSS: Faults = Faults {
     loss: 0.05,
     duplication: 0.02,
 };
 const JOIN_LIMIT: Duration = Duration::from_secs(20);
 
 fn joined(seed: u64, nodes: usize) -> Network {
-    let mut network = Network::with_nodes(seed, FIVE_PERCENT, nodes, 4);
+    let mut network = Network::with_nodes(seed, FIVE_PERCENT_LOSS, nodes, 4);
     network.run_until(JOIN_LIMIT, Network::agrees);
     network
 }
--- a/crates/cluster/tests/network/mod.rs
+++ b/crates/cluster/tests/network/mod.rs
@@ -16,7 +16,6 @@
 
 const TICK: Duration = Duration::from_millis(50);
 
-/// Faults of the network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub loss: f64,
--- a/crates/node/src/admin/forward.rs
+++ b/crates/node/src/admin/forward.rs
@@ -15,7 +15,6 @@
 
 const AUTHORIZATION: &str = "authorization";
 
-/// Timeout of a forwarded request.
 const FORWARD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Size limit of a forwarded answer, in bytes.
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -40,13 +40,10 @@
     pub(crate) shared: Arc<Shared>,
     /// The group controllers.
     pub(crate) control: Rc<ControlDriver>,
-    /// Drain marks.
     pub(crate) drains: Rc<Drains>,
     /// Newest configuration on this node.
     pub(crate) configuration: Rc<ConfigurationStore>,
-    /// The cluster.
     pub(crate) cluster: Rc<RefCell<Cluster>>,
-    /// The key-value service.
     pub(crate) key_value: Rc<dyn KeyValue>,
     /// Notified when an operator requests a graceful shutdown.
     pub(crate) stop_requested: Rc<Notify>,
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -43,9 +43,7 @@
 /// A configuration that was applied.
 #[derive(Clone, Debug)]
 pub(crate) struct Applied {
-    /// Its revision.
     pub(crate) revision: Revision,
-    /// The stored record.
     pub(crate) record: ConfigurationRecord,
 }
 
--- a/crates/node/src/caller_server.rs
+++ b/crates/node/src/caller_server.rs
@@ -19,7 +19,6 @@
 /// Processors per arbiter that serves callers.
 const PROCESSORS_PER_ARBITER: usize = 3;
 
-/// Most arbiters that serve callers.
 const MAX_ARBITERS: usize = 8;
 
 /// Longest time that a stopping node waits for callers to receive the rest of their answers.
@@ -75,7 +74,6 @@
         }
     }
 
-    /// Stops the arbiters.
     pub(crate) fn stop(self) {
         for arbiter in self.arbiters {
             arbiter.stop();
--- a/crates/node/src/cluster_driver.rs
+++ b/crates/node/src/cluster_driver.rs
@@ -25,7 +25,7 @@
 /// Time between two ticks of the core.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Size of the receive buffer; the protocol has no longer datagrams.
+/// Size of the receive buffer; exceeds the size limit of datagrams.
 const RECEIVE_BYTES: usize = 2_048;
 
 /// Decides which datagrams are sent. Experiments and tests use it to inject losses and partitions.
@@ -36,7 +36,6 @@
 
 /// Socket and keys for communication with other nodes.
 pub(crate) struct PeerLink {
-    /// The socket.
     pub(crate) socket: UdpSocket,
     /// Local address of the socket.
     pub(crate) address: SocketAddr,
@@ -98,7 +97,7 @@
                 Ok((length, from)) => {
                     receive(&shared, &link, &cluster, from, &buffer[..length], &mut random)
                 }
-                // Reports errors of earlier sends; probes detect peers that are down.
+                // Caused by an earlier send; probes detect peers that are down.
                 Err(_) => Vec::new(),
             },
         };
--- a/crates/node/src/configuration/exchange.rs
+++ b/crates/node/src/configuration/exchange.rs
@@ -7,7 +7,6 @@
 use super::PreviousConfiguration;
 use super::parts::PartName;
 
-/// Most parts in a query.
 pub(crate) const MAX_PARTS_PER_QUERY: usize = 64;
 
 /// A query for the configuration of a peer.
@@ -32,7 +31,6 @@
 /// A configuration without the content of its parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Manifest {
-    /// Its revision.
     pub(crate) revision: Revision,
     /// Id unique to the write.
     pub(crate) writer: String,
--- a/crates/node/src/configuration/fetch.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -19,22 +19,18 @@
 use crate::cluster_driver::PeerLink;
 use crate::peer_calls::{PeerCallError, PeerClient, PeerRequest, PeerResponse};
 
-/// Timeout of a fetch.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A peer's announcement of a configuration that was newer than this node's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConfigurationAnnouncement {
-    /// Revision of the configuration.
     pub(crate) revision: Revision,
-    /// The peer.
     pub(crate) from: SocketAddr,
 }
 
 /// Why a configuration could not be fetched from a peer.
 #[derive(Debug, thiserror::Error)]
 enum FetchError {
-    /// The call failed.
     #[error(transparent)]
     Call(#[from] PeerCallError),
     /// An injected fault blocks the link to the peer.
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -21,7 +21,6 @@
 pub(crate) use store::ConfigurationStore;
 pub(crate) use watch::watch;
 
-/// Key of the configuration record.
 pub(crate) const CONFIGURATION_KEY: &str = "configuration/deployment";
 
 /// The configuration record in the key-value service.
@@ -51,6 +50,5 @@
     pub(crate) author: String,
     /// When it was applied, in milliseconds since the Unix epoch; informational.
     pub(crate) unix_ms: u64,
-    /// Its revision.
     pub(crate) revision: Revision,
 }
--- a/crates/node/src/configuration/watch.rs
+++ b/crates/node/src/configuration/watch.rs
@@ -20,7 +20,6 @@
 use super::CONFIGURATION_KEY;
 use super::store::ConfigurationStore;
 
-/// Watching nodes per zone.
 const WATCHERS_PER_ZONE: usize = 2;
 
 /// Time for which a watch call waits for changes.
--- a/crates/node/src/digest_codec.rs
+++ b/crates/node/src/digest_codec.rs
@@ -109,9 +109,7 @@
 /// Report of one engine with its token rates, as encoded by a lease holder.
 #[derive(Clone, Debug)]
 pub(crate) struct RatedReport {
-    /// The report.
     pub(crate) digest: EngineDigest,
-    /// Token rates of the engine.
     pub(crate) rates: TokenRates,
 }
 
--- a/crates/node/src/peer_calls/client.rs
+++ b/crates/node/src/peer_calls/client.rs
@@ -8,7 +8,6 @@
 
 use super::message::{PeerRequest, PeerResponse, read_message, write_message};
 
-/// Timeout for connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Timeout for a reply; exceeds the timeout after which a claim is refused.
--- a/crates/node/src/peer_calls/message.rs
+++ b/crates/node/src/peer_calls/message.rs
@@ -53,7 +53,6 @@
 /// Reply to a claim, with the node that runs the request that holds the key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct ClaimAnswer {
-    /// The reply to the claim.
     pub(crate) reply: Reply,
     /// The node that runs or ran the request that holds the key, if known.
     pub(crate) owner: Option<NodeId>,
--- a/crates/node/src/tenant_demand.rs
+++ b/crates/node/src/tenant_demand.rs
@@ -18,7 +18,6 @@
 
 use crate::peer_calls::{PeerClient, PeerRequest, PeerResponse};
 
-/// Time between two reports.
 const REPORT_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Number of nodes that add up demand.
--- a/crates/node/src/token_rates.rs
+++ b/crates/node/src/token_rates.rs
@@ -13,7 +13,6 @@
 /// Longest time to which a rate is applied.
 const MAX_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Token rates of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct TokenRates {
     /// Prompt tokens per second.
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -19,7 +19,6 @@
 use tokio::net::{TcpListener, UdpSocket};
 use tokio::sync::Notify;
 
-/// Timeout for a condition.
 const CONDITION_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct TestSite {
