--- a/crates/node/src/role_planning.rs
+++ b/crates/node/src/role_planning.rs
@@ -1,9 +1,8 @@
 //! Plans roles for the groups whose leases this node holds.
 //!
 //! The groups of a pool are planned together where their engines can share requests, so each lease
-//! holder also gives its planner the digests of the pool's other groups. The planner's
-//! rules lead all holders to the same composition; each plan assigns roles only to the holder's own
-//! engines.
+//! holder also gives its planner the digests of the pool's other groups. The planner's rules lead all
+//! holders to the same composition; each plan assigns roles only to the holder's own engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
