--- a/crates/claims/src/shard.rs
+++ b/crates/claims/src/shard.rs
@@ -288,8 +288,8 @@
         self.next_call_at = self.write_rate.record_write(now);
     }
 
-    /// Reports that a write or a seal was not confirmed. The record is read again before any further
-    /// decision, which shows whether the write took effect.
+    /// Reports that a write or a seal was not confirmed. The record is read again before any
+    /// further decision, which shows whether the write took effect.
     pub fn write_failed(&mut self, now: MonotonicTime, failure: WriteFailure) {
         self.phase = Phase::Unloaded;
         self.batch.clear();
--- a/crates/cluster/src/anti_entropy.rs
+++ b/crates/cluster/src/anti_entropy.rs
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Addresses of down members and contacts that no live member has. Contacting them detects that a
-    /// network partition has healed.
+    /// Addresses of down members and contacts that no live member has. Contacting them detects that
+    /// a network partition has healed.
     fn absent_addresses(&self) -> Vec<SocketAddr> {
         let live: HashSet<SocketAddr> = self.members().map(|member| member.address).collect();
         let down = self.membership.down_members().map(|member| member.address);
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -25,8 +25,8 @@
     pub indirect_probes: usize,
     /// Peers that receive one round of gossip.
     pub gossip_fan_out: usize,
-    /// Members to which a lease holder sends a load digest directly; small, since a node may hold many
-    /// groups.
+    /// Members to which a lease holder sends a load digest directly; small, since a node may hold
+    /// many groups.
     pub digest_fan_out: usize,
     /// Members to which a relay forwards a load digest.
     pub relay_fan_out: usize,
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -106,8 +106,8 @@
         std::mem::take(&mut self.changed_digests)
     }
 
-    /// Replaces the node addresses known from the machine list. They are contacted, like the seeds, to
-    /// find other nodes; an address that is no longer listed is not contacted again.
+    /// Replaces the node addresses known from the machine list. They are contacted, like the seeds,
+    /// to find other nodes; an address that is no longer listed is not contacted again.
     pub fn set_listed_addresses(&mut self, addresses: impl IntoIterator<Item = SocketAddr>) {
         self.listed_addresses = addresses.into_iter().collect();
     }
@@ -117,15 +117,15 @@
         self.contacts().next().is_some()
     }
 
-    /// Publishes a record to all nodes. Returns `false`, without effect, if it is not newer than the
-    /// known version.
+    /// Publishes a record to all nodes. Returns `false`, without effect, if it is not newer than
+    /// the known version.
     pub fn publish(&mut self, record: Record) -> Result<bool, CodecError> {
         let encoded = encode_item(&Item::Record(record.clone()))?;
         Ok(self.store(record, encoded).is_some())
     }
 
-    /// Publishes a load digest to all nodes of zone `home`, and at a lower rate to other zones. It is
-    /// sent at the next tick. Returns `false` if it is not newer than the known version.
+    /// Publishes a load digest to all nodes of zone `home`, and at a lower rate to other zones. It
+    /// is sent at the next tick. Returns `false` if it is not newer than the known version.
     pub fn publish_digest(&mut self, record: Record, home: &ZoneName) -> Result<bool, CodecError> {
         let encoded = encode_item(&Item::Record(record.clone()))?;
         let Some(stored) = self.store(record, encoded.clone()) else {
@@ -177,8 +177,8 @@
         known.filter(move |address| *address != own)
     }
 
-    /// Stores a record if it is newer than the known version, and queues it for gossip unless it is a
-    /// load digest.
+    /// Stores a record if it is newer than the known version, and queues it for gossip unless it is
+    /// a load digest.
     pub(crate) fn store(&mut self, record: Record, encoded: Bytes) -> Option<Record> {
         let known = self.records.get(&record.key);
         if known.is_some_and(|known| known.version >= record.version) {
--- a/crates/cluster/src/digest_dissemination.rs
+++ b/crates/cluster/src/digest_dissemination.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Time between two digests of a group sent to other zones. It grows with the fleet, as does the
-    /// cost of these digests to each node.
+    /// Time between two digests of a group sent to other zones. It grows with the fleet, as does
+    /// the cost of these digests to each node.
     fn remote_digest_period(&self) -> Duration {
         let members = self.member_count().min(FULL_PERIOD_FLEET_SIZE);
         self.config.remote_digest_period * members as u32 / FULL_PERIOD_FLEET_SIZE as u32
--- a/crates/cluster/src/probe.rs
+++ b/crates/cluster/src/probe.rs
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Starts to probe the next member of a random order. The order is drawn anew when it is used up
-    /// or the live members changed, so that a new member does not wait for a whole cycle, which takes
-    /// minutes in a large fleet.
+    /// Starts to probe the next member of a random order. The order is drawn anew when it is used
+    /// up or the live members changed, so that a new member does not wait for a whole cycle, which
+    /// takes minutes in a large fleet.
     fn start_probe<R: Rng>(&mut self, now: MonotonicTime, members: &Membership, random: &mut R) {
         let live = members.live();
         if self.order.is_empty() || self.order_version != members.live_version() {
--- a/crates/cluster/src/record.rs
+++ b/crates/cluster/src/record.rs
@@ -67,8 +67,8 @@
 }
 
 impl RecordKey {
-    /// Whether every node must eventually receive the latest version. Load digests are replaced within
-    /// seconds, so lost ones are not repaired.
+    /// Whether every node must eventually receive the latest version. Load digests are replaced
+    /// within seconds, so lost ones are not repaired.
     pub fn is_durable(&self) -> bool {
         !matches!(self, Self::GroupDigest(_))
     }
--- a/crates/cluster/src/relay.rs
+++ b/crates/cluster/src/relay.rs
@@ -3,8 +3,8 @@
 //! The seed of a digest maps each member to a 64-bit position. A relay serves a range of positions:
 //! it splits the members in its range into a few subtrees and sends the digest to the first member
 //! of each, which serves the rest of the subtree. Nodes with different views of the membership
-//! disagree only within their own ranges. Each digest has another seed, so that a failed relay affects
-//! other members each time.
+//! disagree only within their own ranges. Each digest has another seed, so that a failed relay
+//! affects other members each time.
 
 use std::net::SocketAddr;
 
--- a/crates/cluster/src/retransmit_queue.rs
+++ b/crates/cluster/src/retransmit_queue.rs
@@ -1,9 +1,9 @@
 //! Queue of gossip items, each of which is transmitted a limited number of times.
 //!
 //! Urgent items (failed members, new configurations, drain marks) are infrequent; they are sent
-//! first and more often, so that gossip alone reaches nearly every node. Normal items are sent a few
-//! times only, since all members are announced at once when a fleet starts or a network partition
-//! heals; anti-entropy repairs what a node missed.
+//! first and more often, so that gossip alone reaches nearly every node. Normal items are sent a
+//! few times only, since all members are announced at once when a fleet starts or a network
+//! partition heals; anti-entropy repairs what a node missed.
 
 use std::collections::BTreeMap;
 
--- a/crates/cluster/tests/network/mod.rs
+++ b/crates/cluster/tests/network/mod.rs
@@ -1,4 +1,5 @@
-//! Simulated network of cluster cores in virtual time, with loss, duplication, delay and partitions.
+//! Simulated network of cluster cores in virtual time, with loss, duplication, delay and
+//! partitions.
 
 #![allow(dead_code)]
 
--- a/crates/cluster/tests/spread.rs
+++ b/crates/cluster/tests/spread.rs
@@ -34,8 +34,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// For any sequence of publications and any loss and duplication of datagrams, every node ends with
-    /// the highest version and none observes a decrease.
+    /// For any sequence of publications and any loss and duplication of datagrams, every node ends
+    /// with the highest version and none observes a decrease.
     #[test]
     fn every_node_ends_with_the_highest_version_and_none_goes_back(
         seed in any::<u64>(),
--- a/crates/node/src/admin/forward.rs
+++ b/crates/node/src/admin/forward.rs
@@ -41,8 +41,8 @@
         Some(member.operator_address)
     }
 
-    /// Returns `answer` unless it is 404 and there is an `owner`, in which case the request is forwarded
-    /// to the owner.
+    /// Returns `answer` unless it is 404 and there is an `owner`, in which case the request is
+    /// forwarded to the owner.
     pub(super) async fn or_forward(
         &self,
         answer: Answer,
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -47,8 +47,8 @@
     pub(crate) record: ConfigurationRecord,
 }
 
-/// Applies `draft`. If `expected` is given, fails with a conflict unless that is the current revision
-/// (0 for no configuration); otherwise replaces whatever is current.
+/// Applies `draft`. If `expected` is given, fails with a conflict unless that is the current
+/// revision (0 for no configuration); otherwise replaces whatever is current.
 pub(crate) async fn apply(
     key_value: &dyn KeyValue,
     expected: Option<Revision>,
@@ -141,8 +141,8 @@
         }
     }
 
-    /// Determines the outcome of this write after a conflict. The record has another revision than the
-    /// base, so that no pending attempt can take effect any more.
+    /// Determines the outcome of this write after a conflict. The record has another revision than
+    /// the base, so that no pending attempt can take effect any more.
     fn resolve_conflict(
         &self,
         current: Option<&Entry>,
--- a/crates/node/src/caller_server.rs
+++ b/crates/node/src/caller_server.rs
@@ -1,7 +1,7 @@
 //! Serves callers on several arbiters that accept from one socket.
 //!
-//! An engine emits the tokens of one step for all its requests at once. A single arbiter would delay
-//! the ones that it relays last.
+//! An engine emits the tokens of one step for all its requests at once. A single arbiter would
+//! delay the ones that it relays last.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/node/src/claims/claim_store.rs
+++ b/crates/node/src/claims/claim_store.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Reads a shard's record: first the head, then the segments. If the head is sealed in between, its
-    /// entries are read twice; in the opposite order they would be missed.
+    /// Reads a shard's record: first the head, then the segments. If the head is sealed in between,
+    /// its entries are read twice; in the opposite order they would be missed.
     pub(crate) async fn load(&self, shard: ShardId) -> Result<LoadedRecord, Report<LoadError>> {
         let head = self
             .key_value
--- a/crates/node/src/claims/driver.rs
+++ b/crates/node/src/claims/driver.rs
@@ -142,7 +142,8 @@
         ClaimAnswer { reply, owner }
     }
 
-    /// Records the end of a request in this node's own state of its shard, whichever node is the leader.
+    /// Records the end of a request in this node's own state of its shard, whichever node is the
+    /// leader.
     pub(crate) fn record_end_locally(self: &Rc<Self>, claim: Claim, state: ClaimState) {
         let shard = claim.key.shard();
         let now = self.shared.clock.now();
--- a/crates/node/src/configuration/exchange.rs
+++ b/crates/node/src/configuration/exchange.rs
@@ -23,8 +23,8 @@
 pub(crate) enum ConfigurationReply {
     /// The manifest; `None` if the configuration is not newer.
     Manifest(Option<Manifest>),
-    /// The parts in the order of the query; `None` for a part that the newest configuration does not
-    /// contain.
+    /// The parts in the order of the query; `None` for a part that the newest configuration does
+    /// not contain.
     Parts(Vec<Option<Bytes>>),
 }
 
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -1,9 +1,9 @@
 //! Distribution of the configuration; its revision never decreases on a node.
 //!
 //! A few nodes watch the key-value service. A node that has a new configuration announces it with a
-//! cluster record. Its peers fetch the content from the announcing node, activate it and then announce
-//! it themselves. Every announcing node can therefore serve the content, and the load is spread over
-//! all nodes.
+//! cluster record. Its peers fetch the content from the announcing node, activate it and then
+//! announce it themselves. Every announcing node can therefore serve the content, and the load is
+//! spread over all nodes.
 
 mod exchange;
 mod fetch;
@@ -40,8 +40,8 @@
     pub(crate) text: String,
 }
 
-/// A previous configuration. By this history a writer whose answer was lost finds out that its write
-/// took effect before it was replaced.
+/// A previous configuration. By this history a writer whose answer was lost finds out that its
+/// write took effect before it was replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PreviousConfiguration {
     /// Id of its write.
--- a/crates/node/src/configuration/parts.rs
+++ b/crates/node/src/configuration/parts.rs
@@ -1,7 +1,7 @@
 //! Content-defined chunking of a deployment file into parts named by their hash.
 //!
-//! The boundaries depend on the content only, so that a small change anywhere in a large file changes
-//! one or two parts, and a node fetches a few kilobytes instead of the whole file.
+//! The boundaries depend on the content only, so that a small change anywhere in a large file
+//! changes one or two parts, and a node fetches a few kilobytes instead of the whole file.
 
 use std::collections::HashMap;
 
--- a/crates/node/src/configuration/store.rs
+++ b/crates/node/src/configuration/store.rs
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Applies a configuration if it is newer than the known one: activates it and announces it to the
-    /// cluster.
+    /// Applies a configuration if it is newer than the known one: activates it and announces it to
+    /// the cluster.
     pub(crate) fn apply(&self, revision: Revision, record: ConfigurationRecord) {
         if revision <= self.revision() {
             return;
--- a/crates/node/src/configuration/watch.rs
+++ b/crates/node/src/configuration/watch.rs
@@ -1,8 +1,8 @@
 //! Watches the key-value service for new configurations.
 //!
-//! Two nodes of each zone, chosen by hash among its live members, keep a watch open. The other nodes
-//! poll infrequently, in case none of the watchers can reach the service; their total rate does not
-//! grow with the fleet.
+//! Two nodes of each zone, chosen by hash among its live members, keep a watch open. The other
+//! nodes poll infrequently, in case none of the watchers can reach the service; their total rate
+//! does not grow with the fleet.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -31,8 +31,8 @@
 /// Delay of a starting node before its first call.
 const INITIAL_DELAY: Duration = Duration::from_millis(300);
 
-/// The same delay if the node has addresses of peers. Until it knows its peers it considers itself a
-/// watcher, and all nodes of a fleet that starts at once would call the service.
+/// The same delay if the node has addresses of peers. Until it knows its peers it considers itself
+/// a watcher, and all nodes of a fleet that starts at once would call the service.
 const INITIAL_DELAY_WITH_PEERS: Duration = Duration::from_millis(1_500);
 
 /// Average time between two polls by all nodes that do not watch, together.
--- a/crates/node/src/control_driver/mod.rs
+++ b/crates/node/src/control_driver/mod.rs
@@ -31,8 +31,8 @@
 /// Time between two ticks of the controllers.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Delay after the first configuration before leases are acquired, in which a starting node learns of
-/// other nodes and of lease holders.
+/// Delay after the first configuration before leases are acquired, in which a starting node learns
+/// of other nodes and of lease holders.
 const START_GRACE: Duration = Duration::from_millis(1_000);
 
 struct LoadSample {
--- a/crates/node/src/desired.rs
+++ b/crates/node/src/desired.rs
@@ -6,8 +6,8 @@
 use dalestand_control::{DesiredEngine, DesiredModel};
 use dalestand_types::{EngineId, Role};
 
-/// Desired state of each engine of a group. Its role is the fixed one, else the planned one, else the
-/// initial role of the pool.
+/// Desired state of each engine of a group. Its role is the fixed one, else the planned one, else
+/// the initial role of the pool.
 pub(crate) fn desired_engines(
     deployment: &Deployment,
     group: &Group,
--- a/crates/node/src/digest_codec.rs
+++ b/crates/node/src/digest_codec.rs
@@ -1,9 +1,9 @@
-//! Compact encoding of load digests: a few bytes per engine, so that a group of 64 engines fits into
-//! one datagram.
+//! Compact encoding of load digests: a few bytes per engine, so that a group of 64 engines fits
+//! into one datagram.
 //!
-//! Engines are identified by their index in the group's list in the deployment file, models by hash.
-//! The digest carries a hash of that list; a reader whose list differs ignores the digest until it
-//! has the same configuration.
+//! Engines are identified by their index in the group's list in the deployment file, models by
+//! hash. The digest carries a hash of that list; a reader whose list differs ignores the digest
+//! until it has the same configuration.
 
 use std::time::Duration;
 
--- a/crates/node/src/drains.rs
+++ b/crates/node/src/drains.rs
@@ -1,9 +1,9 @@
 //! Drain marks on engines. A draining engine accepts no new requests and finishes its current ones.
 //!
-//! All marks are stored in one record of the key-value service, since nodes have no persistent state.
-//! A change is disseminated as a cluster record whose version is the revision of its write. A node
-//! that acquires a group's lease reads the stored marks and publishes them again, so that they
-//! survive the restart of all nodes without reads by every node.
+//! All marks are stored in one record of the key-value service, since nodes have no persistent
+//! state. A change is disseminated as a cluster record whose version is the revision of its write.
+//! A node that acquires a group's lease reads the stored marks and publishes them again, so that
+//! they survive the restart of all nodes without reads by every node.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -34,8 +34,8 @@
     pub author: String,
 }
 
-/// Marks by engine. A removed mark remains with `draining: false`, so that its cluster record gets a
-/// newer version.
+/// Marks by engine. A removed mark remains with `draining: false`, so that its cluster record gets
+/// a newer version.
 type DrainMarks = BTreeMap<EngineId, DrainMark>;
 
 /// Stores drain marks and publishes them to the cluster.
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Sets or removes an engine's mark. It takes effect on this node at once, and on other nodes when
-    /// they receive the cluster record.
+    /// Sets or removes an engine's mark. It takes effect on this node at once, and on other nodes
+    /// when they receive the cluster record.
     pub(crate) async fn set(
         &self,
         engine: &EngineId,
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Builds the fleet view that routing uses from the received load digests.
 //!
-//! The engines of a group are rebuilt only if its digest, the configuration or the machines changed,
-//! and are copied from the previous view otherwise.
+//! The engines of a group are rebuilt only if its digest, the configuration or the machines
+//! changed, and are copied from the previous view otherwise.
 
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
--- a/crates/node/src/lease_service.rs
+++ b/crates/node/src/lease_service.rs
@@ -1,5 +1,5 @@
-//! Group leases in the key-value service: each is a record that names the holder and is attached to a
-//! lease of the service. The revision of the record is the fencing epoch.
+//! Group leases in the key-value service: each is a record that names the holder and is attached to
+//! a lease of the service. The revision of the record is the fencing epoch.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -46,8 +46,8 @@
         self.time_to_live
     }
 
-    /// Tries to acquire a group's lease; `None` if another node holds it. `sent_at` is a time before
-    /// the call, from which the validity of the lease counts.
+    /// Tries to acquire a group's lease; `None` if another node holds it. `sent_at` is a time
+    /// before the call, from which the validity of the lease counts.
     pub(crate) async fn acquire(
         &self,
         group: &GroupId,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,7 +1,7 @@
 //! A node: the caller server and the control plane, on separate arbiters.
 //!
-//! They share only [`dalestand_gateway::Shared`], so that a stalled control plane does not delay the
-//! streams of callers.
+//! They share only [`dalestand_gateway::Shared`], so that a stalled control plane does not delay
+//! the streams of callers.
 
 mod admin;
 mod apply;
--- a/crates/node/src/machines.rs
+++ b/crates/node/src/machines.rs
@@ -1,5 +1,5 @@
-//! The machines known to this node, from its own reads of the machine list and from changes that other
-//! nodes publish.
+//! The machines known to this node, from its own reads of the machine list and from changes that
+//! other nodes publish.
 //!
 //! The list is large, so the nodes share the work: all together they read it a few times per poll
 //! interval, whatever the size of the fleet, and a node that finds a change publishes it.
@@ -22,8 +22,8 @@
 /// Reads of the list per poll interval by the whole fleet.
 const READS_PER_INTERVAL: usize = 4;
 
-/// How long a machine that is missing from the list is kept after it was last seen. The list read by
-/// this node may be older than the one in which another node found the machine.
+/// How long a machine that is missing from the list is kept after it was last seen. The list read
+/// by this node may be older than the one in which another node found the machine.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(30);
 
 struct KnownMachine {
@@ -81,9 +81,9 @@
         self.change_count
     }
 
-    /// Applies a list and returns the changed engines that other nodes may not know. Returns none for
-    /// the first list, since every node reads it at start. Nodes are excluded because the cluster
-    /// disseminates them as members.
+    /// Applies a list and returns the changed engines that other nodes may not know. Returns none
+    /// for the first list, since every node reads it at start. Nodes are excluded because the
+    /// cluster disseminates them as members.
     pub(crate) fn apply_list(&mut self, now: MonotonicTime, list: Vec<Machine>) -> Vec<Machine> {
         let mut changed = Vec::new();
         for machine in list {
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Inserts a machine unless a version at least as new is known; returns whether it was inserted.
-    /// Within an incarnation, leaving is newer than any other state.
+    /// Inserts a machine unless a version at least as new is known; returns whether it was
+    /// inserted. Within an incarnation, leaving is newer than any other state.
     pub(crate) fn insert_if_newer(&mut self, now: MonotonicTime, machine: Machine) -> bool {
         let known = self.machines.get_mut(&machine.name);
         if let Some(known) = known
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -127,8 +127,8 @@
     log_event!(shared.logger, Event::StopBegun, "in_flight" => shared.in_flight());
     // Further signals are ignored.
     actix_rt::spawn(async move { while terminate.recv().await.is_some() {} });
-    // Released before the requests in flight end, so that no group is without a lease holder while a
-    // long answer is finished.
+    // Released before the requests in flight end, so that no group is without a lease holder while
+    // a long answer is finished.
     control.release_leases().await;
     while shared.in_flight() > 0 {
         actix_rt::time::sleep(POLL_INTERVAL).await;
--- a/crates/node/src/peer_calls/mod.rs
+++ b/crates/node/src/peer_calls/mod.rs
@@ -1,5 +1,5 @@
-//! Calls between nodes over TCP, at the port number that datagrams also use. A connection carries one
-//! call; request and reply are sealed messages with a length prefix.
+//! Calls between nodes over TCP, at the port number that datagrams also use. A connection carries
+//! one call; request and reply are sealed messages with a length prefix.
 
 mod client;
 mod message;
--- a/crates/node/src/role_planning.rs
+++ b/crates/node/src/role_planning.rs
@@ -1,8 +1,8 @@
 //! Plans roles for the groups whose leases this node holds.
 //!
 //! The groups of a pool are planned together where their engines can share requests, so each lease
-//! holder also gives its planner the digests of the pool's other groups. The planner's rules lead all
-//! holders to the same composition; each plan assigns roles only to the holder's own engines.
+//! holder also gives its planner the digests of the pool's other groups. The planner's rules lead
+//! all holders to the same composition; each plan assigns roles only to the holder's own engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,8 +28,9 @@
 }
 
 impl RolePlanning {
-    /// Keeps planners only for the groups in `held`, and creates missing ones. A node that reacquires a
-    /// lease starts with a new planner, since the observations of the old one are outdated.
+    /// Keeps planners only for the groups in `held`, and creates missing ones. A node that
+    /// reacquires a lease starts with a new planner, since the observations of the old one are
+    /// outdated.
     pub(crate) fn retain_held(&mut self, deployment: &Deployment, held: &[GroupId]) {
         self.groups.retain(|group, _| held.contains(group));
         for group in &deployment.groups {
--- a/crates/node/src/tenant_demand.rs
+++ b/crates/node/src/tenant_demand.rs
@@ -1,8 +1,8 @@
 //! Exchanges the demand of tenants among nodes, so that each node knows its share of the total.
 //!
-//! A few live nodes, chosen by hash, add up the demand; each tenant is assigned to one of them. A node
-//! reports the demand of its recently active tenants and receives their totals. The number of calls
-//! per node is therefore bounded, whatever the number of tenants and nodes.
+//! A few live nodes, chosen by hash, add up the demand; each tenant is assigned to one of them. A
+//! node reports the demand of its recently active tenants and receives their totals. The number of
+//! calls per node is therefore bounded, whatever the number of tenants and nodes.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -96,7 +96,8 @@
         reports
     }
 
-    /// The nodes that add up demand; nodes with the same view of the membership choose the same ones.
+    /// The nodes that add up demand; nodes with the same view of the membership choose the same
+    /// ones.
     fn summing_nodes(&self) -> Vec<NodeId> {
         let cluster = self.cluster.borrow();
         let members = cluster.members().map(|member| member.node.clone());
@@ -107,8 +108,8 @@
         nodes
     }
 
-    /// Reports demands to a summing node and returns the totals. If that fails, the last known totals
-    /// remain in use until they are outdated, and an even share is assumed after that.
+    /// Reports demands to a summing node and returns the totals. If that fails, the last known
+    /// totals remain in use until they are outdated, and an even share is assumed after that.
     async fn request_totals(&self, node: &NodeId, demands: Vec<TenantDemand>) -> Vec<TenantDemand> {
         if *node == self.shared.node {
             return self.record_report(node, &demands);
--- a/crates/node/src/token_rates.rs
+++ b/crates/node/src/token_rates.rs
@@ -1,7 +1,8 @@
-//! Token rates of engines, which digests carry, and the token totals that a reader derives from them.
+//! Token rates of engines, which digests carry, and the token totals that a reader derives from
+//! them.
 //!
-//! A rate takes one byte per engine, a total would take several. A reader that misses a digest applies
-//! the next rate to the whole time since the last digest that it received.
+//! A rate takes one byte per engine, a total would take several. A reader that misses a digest
+//! applies the next rate to the whole time since the last digest that it received.
 
 use std::time::Duration;
 
@@ -22,8 +23,8 @@
 }
 
 impl TokenRates {
-    /// Rates between two reports: zero if the engine restarted in between, `previous` if the reports
-    /// are too close to each other.
+    /// Rates between two reports: zero if the engine restarted in between, `previous` if the
+    /// reports are too close to each other.
     pub(crate) fn between(
         previous: Self,
         earlier: (&EngineLoad, MonotonicTime),
