--- a/crates/cluster/tests/network/mod.rs
+++ b/crates/cluster/tests/network/mod.rs
@@ -1,4 +1,5 @@
-//! Simulated network of cluster cores in virtual time, with loss, duplication, delay and partitions.
+//! Simulated network of cluster cores in virtual time, with loss, duplication, delay and
+//! partitions.
 
 #![allow(dead_code)]
 
@@ -16,7 +17,6 @@
 
 const TICK: Duration = Duration::from_millis(50);
 
-/// Faults of the network.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub loss: f64,
--- a/crates/node/src/configuration/exchange.rs
+++ b/crates/node/src/configuration/exchange.rs
@@ -7,7 +7,6 @@
 use super::PreviousConfiguration;
 use super::parts::PartName;
 
-/// Most parts in a query.
 pub(crate) const MAX_PARTS_PER_QUERY: usize = 64;
 
 /// A query for the configuration of a peer.
@@ -24,15 +23,14 @@
 pub(crate) enum ConfigurationReply {
     /// The manifest; `None` if the configuration is not newer.
     Manifest(Option<Manifest>),
-    /// The parts in the order of the query; `None` for a part that the newest configuration does not
-    /// contain.
+    /// The parts in the order of the query; `None` for a part that the newest configuration does
+    /// not contain.
     Parts(Vec<Option<Bytes>>),
 }
 
 /// A configuration without the content of its parts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Manifest {
-    /// Its revision.
     pub(crate) revision: Revision,
     /// Id unique to the write.
     pub(crate) writer: String,
--- a/crates/node/src/digest_codec.rs
+++ b/crates/node/src/digest_codec.rs
@@ -1,9 +1,9 @@
-//! Compact encoding of load digests: a few bytes per engine, so that a group of 64 engines fits into
-//! one datagram.
+//! Compact encoding of load digests: a few bytes per engine, so that a group of 64 engines fits
+//! into one datagram.
 //!
-//! Engines are identified by their index in the group's list in the deployment file, models by hash.
-//! The digest carries a hash of that list; a reader whose list differs ignores the digest until it
-//! has the same configuration.
+//! Engines are identified by their index in the group's list in the deployment file, models by
+//! hash. The digest carries a hash of that list; a reader whose list differs ignores the digest
+//! until it has the same configuration.
 
 use std::time::Duration;
 
@@ -109,9 +109,7 @@
 /// Report of one engine with its token rates, as encoded by a lease holder.
 #[derive(Clone, Debug)]
 pub(crate) struct RatedReport {
-    /// The report.
     pub(crate) digest: EngineDigest,
-    /// Token rates of the engine.
     pub(crate) rates: TokenRates,
 }
 
