--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Members are found, failures noticed, false alarms avoided, cuts overcome.
+//! Discovery of members, failure detection without false positives, and recovery from partitions.
 
 mod network;
 
@@ -8,14 +8,14 @@
 use dalestand_types::{NodeId, ZoneName};
 use network::{Faults, Network, record};
 
-const FIVE_PERCENT: Faults = Faults {
+const FIVE_PERCENT_LOSS: Faults = Faults {
     loss: 0.05,
-    repeat: 0.02,
+    duplication: 0.02,
 };
 const JOIN_LIMIT: Duration = Duration::from_secs(20);
 
 fn joined(seed: u64, nodes: usize) -> Network {
-    let mut network = Network::with_nodes(seed, FIVE_PERCENT, nodes, 4);
+    let mut network = Network::with_nodes(seed, FIVE_PERCENT_LOSS, nodes, 4);
     network.run_until(JOIN_LIMIT, Network::agrees);
     network
 }
@@ -24,14 +24,14 @@
 fn nodes_that_know_one_seed_find_each_other_at_20_percent_loss() {
     let faults = Faults {
         loss: 0.2,
-        repeat: 0.1,
+        duplication: 0.1,
     };
     let mut network = Network::with_nodes(1, faults, 40, 4);
     network.run_until(JOIN_LIMIT, Network::agrees);
 }
 
 #[test]
-fn a_dead_node_is_noticed_by_all_within_5_seconds() {
+fn a_failed_node_is_detected_by_all_within_5_seconds() {
     for seed in 0..10 {
         let mut network = joined(seed, 40);
         network.nodes[7].alive = false;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_node_that_dies_soon_after_its_start_is_noticed_as_fast() {
+fn a_node_that_fails_soon_after_its_start_is_detected_as_fast() {
     let mut network = joined(8, 150);
     network.run(Duration::from_secs(30));
     let late = network.start("late", 1, "z0");
@@ -50,16 +50,16 @@
 }
 
 #[test]
-fn no_live_node_is_called_down_at_5_percent_loss() {
+fn no_live_node_is_marked_down_at_5_percent_loss() {
     let mut network = joined(3, 40);
     network.run(Duration::from_secs(300));
-    assert_eq!(network.false_alarms(), 0);
+    assert_eq!(network.down_notifications(), 0);
 }
 
 #[test]
-fn a_zone_that_was_cut_off_is_whole_again_within_11_seconds() {
+fn a_healed_partition_of_a_zone_is_repaired_within_11_seconds() {
     let mut network = joined(4, 40);
-    network.cut = vec![ZoneName::from("z1")];
+    network.partitioned_zones = vec![ZoneName::from("z1")];
     network.run_until(Duration::from_secs(30), |network| {
         network.live().all(|node| {
             let inside = node.cluster.local_member().zone.as_str() == "z1";
@@ -71,7 +71,7 @@
         .publish(record(RecordKey::Configuration, 9, 40));
     assert_eq!(outside, Ok(true));
     network.run(Duration::from_secs(3));
-    network.cut.clear();
+    network.partitioned_zones.clear();
     let version = RecordVersion { major: 9, minor: 0 };
     network.run_until(Duration::from_secs(11), |network| {
         network.agrees() && network.all_have(&RecordKey::Configuration, version)
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_node_comes_back_at_another_address_as_another_run() {
+fn a_node_restarted_at_another_address_is_found() {
     let mut network = joined(5, 20);
     network.nodes[7].alive = false;
     let again = network.start("n007", 2, "z3");
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_run_numbered_below_the_one_before_is_still_found() {
+fn a_node_restarted_with_a_lower_incarnation_is_found() {
     let mut network = joined(6, 20);
     network.nodes[7].alive = false;
     network.start("n007", 0, "z3");
@@ -98,14 +98,14 @@
 }
 
 #[test]
-fn a_planned_leave_is_known_without_waiting_for_suspicion() {
+fn an_announced_leave_is_known_without_a_suspicion_timeout() {
     let mut network = joined(7, 40);
     network.leave(7);
     network.run_until(Duration::from_secs(2), Network::agrees);
 }
 
 #[test]
-fn an_address_that_left_the_machine_list_is_not_asked_any_more() {
+fn an_address_removed_from_the_machine_list_is_not_contacted() {
     let mut network = Network::with_nodes(9, Faults::default(), 2, 1);
     network.nodes[0].alive = false;
     let gone = network.start("gone", 1, "z0");
@@ -114,7 +114,7 @@
     network.nodes[1].cluster.set_listed_addresses([address]);
     network.run(Duration::from_secs(20));
     let asked = network.sent_to(address);
-    assert!(asked > 0, "the listed address was asked");
+    assert!(asked > 0, "the listed address was contacted");
     network.nodes[1].cluster.set_listed_addresses([]);
     network.run(Duration::from_secs(20));
     assert_eq!(network.sent_to(address), asked);
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -136,7 +136,7 @@
         return;
     }
     let run = run_name(context, engine);
-    if !context.engine_drains(engine) {
+    if !context.drain_engine(engine) {
         return;
     }
     log_event!(context.logger, Event::EngineDrains, "engine" => run.as_deref().unwrap_or_default(),
@@ -177,7 +177,7 @@
     if known == 0 {
         return;
     }
-    context.engine_restarted(engine);
+    context.reset_engine(engine);
     log_event!(context.logger, Event::EngineRestarted, "engine" => run.as_deref().unwrap_or_default(),
         "born" => started_at_ms, "former" => known, "source" => ?source);
     let start = EngineStart {
--- a/crates/forwarding/src/serve/accept.rs
+++ b/crates/forwarding/src/serve/accept.rs
@@ -27,7 +27,7 @@
     let route = Arc::clone(route);
     let caller = table.authenticate(&route, &facts.key);
     let caller = caller.map_err(|_| Failure::Unauthorized)?;
-    if caller.tenant().is_some() && !context.keys_hold() {
+    if caller.tenant().is_some() && !context.keys_are_current() {
         return Err(Failure::NoConfiguration);
     }
     let body = read_body(request, table.callers().max_body_bytes).await;
--- a/crates/forwarding/src/serve/answer_stream.rs
+++ b/crates/forwarding/src/serve/answer_stream.rs
@@ -13,7 +13,7 @@
 use tokio::task::yield_now;
 
 use crate::context::Context;
-use crate::node::counts::InFlightGuard;
+use crate::node::in_flight::InFlightGuard;
 use crate::quarantine::run_watch::UnfinishedReason;
 use crate::serve::answer_stream_error::AnswerStreamError;
 use crate::serve::attempt::EngineAnswer;
