--- a/crates/dissemination/src/engine_notices.rs
+++ b/crates/dissemination/src/engine_notices.rs
@@ -10,7 +10,7 @@
     /// Id of the engine.
     pub engine: u64,
     /// Start time by the engine's own clock, in milliseconds since 1970; 0 if unknown.
-    pub born: u64,
+    pub started_at_ms: u64,
 }
 
 /// Announcements by engines about themselves.
--- a/crates/dissemination/src/loads.rs
+++ b/crates/dissemination/src/loads.rs
@@ -29,7 +29,7 @@
     /// Those among them that have not produced a first token.
     pub starting: u32,
     /// Prompt tokens sent there and not yet prefilled.
-    pub unread_tokens: u64,
+    pub unprefilled_tokens: u64,
 }
 
 /// Loads of the engines whose codes lie in one of several equal ranges. Slices are independent:
--- a/crates/dissemination/tests/golden.rs
+++ b/crates/dissemination/tests/golden.rs
@@ -45,7 +45,7 @@
             engine: EngineCode(70_000),
             requests: 3,
             starting: 1,
-            unread_tokens: 17_000,
+            unprefilled_tokens: 17_000,
         }],
     }
 }
@@ -213,7 +213,7 @@
     let node = NodeNumber(1);
     let start = EngineStart {
         engine: u64::MAX,
-        born: 1_790_000_000_000,
+        started_at_ms: 1_790_000_000_000,
     };
     let limit = EngineLimit {
         start,
--- a/crates/dissemination/tests/load_slices.rs
+++ b/crates/dissemination/tests/load_slices.rs
@@ -11,7 +11,7 @@
         engine: EngineCode(code),
         requests: 12,
         starting: 3,
-        unread_tokens: 17_000,
+        unprefilled_tokens: 17_000,
     }
 }
 
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -405,7 +405,7 @@
 fn retry_budget(settings: &ForwardingSettings) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(settings.retry_limits());
     if settings.retries.former_life {
-        budget.note_restart(MonotonicTime::ZERO);
+        budget.record_restart(MonotonicTime::ZERO);
     }
     budget
 }
--- a/crates/forwarding/src/dissemination/contents.rs
+++ b/crates/forwarding/src/dissemination/contents.rs
@@ -17,12 +17,12 @@
     let fleet = context.fleet();
     let of_prompts = work
         .into_iter()
-        .filter(|(engine, _)| fleet.memory_tokens(*engine) > 0);
+        .filter(|(engine, _)| fleet.kv_cache_tokens(*engine) > 0);
     let loads = of_prompts.map(|(engine, work)| EngineLoad {
         engine: EngineCode::of(engine),
         requests: work.requests,
         starting: work.starting,
-        unread_tokens: work.unread_tokens,
+        unprefilled_tokens: work.unprefilled_tokens,
     });
     let mut loads: Vec<EngineLoad> = loads.collect();
     loads.sort_by_key(|load| load.engine);
--- a/crates/forwarding/src/dissemination/engine_notices.rs
+++ b/crates/forwarding/src/dissemination/engine_notices.rs
@@ -106,7 +106,7 @@
     let signals = &router.signals;
     let start = |engine: EngineKey| EngineStart {
         engine: engine.0,
-        born: signals.started_at_ms(engine),
+        started_at_ms: signals.started_at_ms(engine),
     };
     let draining = fleet.draining().map(start).map(EngineNotice::Drains);
     let limits = signals.limits().iter();
@@ -193,9 +193,19 @@
     };
     // Starts first, because a drain notice applies to a particular start.
     for start in notices.starts.iter().filter(is_known) {
-        apply_start(context, EngineKey(start.engine), start.born, source);
+        apply_start(
+            context,
+            EngineKey(start.engine),
+            start.started_at_ms,
+            source,
+        );
     }
     for start in notices.draining.iter().filter(is_known) {
-        apply_drain(context, EngineKey(start.engine), start.born, source);
+        apply_drain(
+            context,
+            EngineKey(start.engine),
+            start.started_at_ms,
+            source,
+        );
     }
 }
--- a/crates/forwarding/src/dissemination/receive/loads.rs
+++ b/crates/forwarding/src/dissemination/receive/loads.rs
@@ -113,7 +113,7 @@
     EngineWork {
         requests: load.requests,
         starting: load.starting,
-        unread_tokens: load.unread_tokens,
+        unprefilled_tokens: load.unprefilled_tokens,
     }
 }
 
--- a/crates/forwarding/src/dissemination/receive/news.rs
+++ b/crates/forwarding/src/dissemination/receive/news.rs
@@ -54,18 +54,18 @@
     let parts: Vec<PromptPart> = parts.collect();
     let mut router = context.router.borrow_mut();
     for engine in engines {
-        let memory_tokens = fleet.memory_tokens(engine);
+        let kv_cache_tokens = fleet.kv_cache_tokens(engine);
         match placement.state {
             PlacementState::Sent => {
-                router.parts.record_sent(engine, memory_tokens, &parts);
+                router.parts.record_sent(engine, kv_cache_tokens, &parts);
                 let own = PromptPart {
                     id: rand::random(),
                     tokens: placement.own_tokens,
                 };
-                router.parts.record_sent(engine, memory_tokens, &[own]);
+                router.parts.record_sent(engine, kv_cache_tokens, &[own]);
             }
             PlacementState::Prefilled => {
-                router.parts.record_sent(engine, memory_tokens, &parts);
+                router.parts.record_sent(engine, kv_cache_tokens, &parts);
                 router.parts.confirm_cached(engine, &parts);
             }
             PlacementState::NotPrefilled => {
--- a/crates/forwarding/src/dissemination/send.rs
+++ b/crates/forwarding/src/dissemination/send.rs
@@ -104,7 +104,7 @@
 fn send_to_relays(context: &Context, socket: &UdpSocket, last: &mut LastSent) -> Duration {
     let now = context.now();
     let dissemination = &context.dissemination;
-    context.router.borrow_mut().work.sweep(now);
+    context.router.borrow_mut().work.remove_expired(now);
     let own_news = take_own_news(context);
     dissemination
         .exchange_news
--- a/crates/forwarding/src/dissemination/tests.rs
+++ b/crates/forwarding/src/dissemination/tests.rs
@@ -138,7 +138,7 @@
         engine: EngineCode(1),
         requests,
         starting: 0,
-        unread_tokens: 0,
+        unprefilled_tokens: 0,
     };
     let mut reports = OwnReports::default();
     let first = reports.next(vec![load(3)]);
--- a/crates/forwarding/src/fleet/engines.rs
+++ b/crates/forwarding/src/fleet/engines.rs
@@ -27,7 +27,7 @@
     /// Start time by the engine's clock, in milliseconds since 1970, if its entry states it.
     pub started_at_ms: Option<u64>,
     /// Capacity of its prompt memory in tokens; 0 if it has none.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
 }
 
 impl FleetEngine {
@@ -91,7 +91,7 @@
         let staged = staged_engine(key, entry, terms.map(|terms| &**terms));
         let engine = FleetEngine {
             pool: entry.pool.clone(),
-            memory_tokens: staged.memory_tokens,
+            kv_cache_tokens: staged.kv_cache_tokens,
             address: entry.address,
             run: Arc::clone(&entry.run),
             started_at_ms: entry.born,
@@ -176,9 +176,9 @@
     }
 
     /// Capacity of an engine's prompt memory in tokens; 0 if the engine is unknown.
-    pub fn memory_tokens(&self, key: EngineKey) -> u64 {
+    pub fn kv_cache_tokens(&self, key: EngineKey) -> u64 {
         let engine = self.engines.get(&key);
-        engine.map_or(0, |engine| engine.memory_tokens)
+        engine.map_or(0, |engine| engine.kv_cache_tokens)
     }
 
     /// All engines, with their pools.
@@ -214,6 +214,6 @@
         } else {
             prompt.map_or(1, |prompt| prompt.slots)
         },
-        memory_tokens: prompt.map_or(0, |prompt| prompt.memory_tokens),
+        kv_cache_tokens: prompt.map_or(0, |prompt| prompt.memory_tokens),
     }
 }
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -83,7 +83,7 @@
         others.all(|other| weight(node) > weight(other.number.0))
     };
     let engines = fleet.engines();
-    let prompt_engines = engines.filter(|(_, engine)| engine.memory_tokens > 0);
+    let prompt_engines = engines.filter(|(_, engine)| engine.kv_cache_tokens > 0);
     prompt_engines
         .filter(|(_, engine)| is_assigned(engine))
         .map(|(pool, engine)| (pool.clone(), engine.clone()))
@@ -110,7 +110,7 @@
     let mut router = context.router.borrow_mut();
     router
         .parts
-        .record_sent(engine.key, engine.memory_tokens, &parts);
+        .record_sent(engine.key, engine.kv_cache_tokens, &parts);
     router.parts.confirm_cached(engine.key, &parts);
     let mut placements = context.placements.borrow_mut();
     for parts in parts.chunks(MAX_PARTS_PER_PLACEMENT) {
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -72,7 +72,10 @@
     };
     let now = context.now();
     let mut router = context.router.borrow_mut();
-    let (started_at_ms, known_start) = (limit.start.born, router.signals.started_at_ms(engine));
+    let (started_at_ms, known_start) = (
+        limit.start.started_at_ms,
+        router.signals.started_at_ms(engine),
+    );
     if started_at_ms != known_start && started_at_ms != 0 && known_start != 0 {
         return;
     }
@@ -93,7 +96,7 @@
     EngineLimit {
         start: EngineStart {
             engine: engine.0,
-            born: router.signals.started_at_ms(engine),
+            started_at_ms: router.signals.started_at_ms(engine),
         },
         rate: limits.get(engine).map(|(rate, _)| rate),
         age_ms: u32::try_from(limits.age(now, engine).as_millis()).unwrap_or(u32::MAX),
@@ -143,7 +146,7 @@
         "source" => ?source);
     let start = EngineStart {
         engine: engine.0,
-        born: started_at_ms,
+        started_at_ms,
     };
     context
         .dissemination
@@ -182,7 +185,7 @@
         "born" => started_at_ms, "former" => known, "source" => ?source);
     let start = EngineStart {
         engine: engine.0,
-        born: started_at_ms,
+        started_at_ms,
     };
     context
         .dissemination
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -285,6 +285,6 @@
         context.budget.borrow_mut().set_isolated(is_isolated);
         let fleet = context.fleet();
         context.link.sweep(|target| fleet.has_target(target));
-        context.router.borrow_mut().work.sweep(now);
+        context.router.borrow_mut().work.remove_expired(now);
     }
 }
--- a/crates/forwarding/src/quarantine/evidence.rs
+++ b/crates/forwarding/src/quarantine/evidence.rs
@@ -27,7 +27,7 @@
         is_cleared: false,
     };
     let quarantine = &context.quarantine;
-    note_observed(context, fingerprint);
+    record_observed(context, fingerprint);
     let outcome = apply(context, &record);
     if outcome == ApplyOutcome::Known {
         return;
@@ -47,7 +47,7 @@
 
 /// Records that this node saw a crash of the request. At the limit, requests without crashes on
 /// record are dropped, as there is nothing to store for them.
-fn note_observed(context: &Context, fingerprint: RequestFingerprint) {
+fn record_observed(context: &Context, fingerprint: RequestFingerprint) {
     let mut observed = context.quarantine.observed_here.borrow_mut();
     if observed.len() >= MAX_OBSERVED {
         let now = context.now();
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -137,7 +137,7 @@
     let mut candidates: Vec<&StagedEngine> = candidates.collect();
     candidates.sort_by_cached_key(|engine| {
         let work = router.work.total(engine.key);
-        (work.unread_tokens, work.requests, engine.key)
+        (work.unprefilled_tokens, work.requests, engine.key)
     });
     candidates.truncate(shift.engines);
     let first = candidates.first()?;
@@ -188,7 +188,7 @@
         let of_stage = engines.iter().filter(|engine| stage(engine) == wanted);
         let queued: Vec<f64> = of_stage
             .map(|engine| {
-                let unread = router.work.total(engine.key).unread_tokens as f64;
+                let unread = router.work.total(engine.key).unprefilled_tokens as f64;
                 let prefill_s =
                     |tokens| router.prefill_speeds.expected_s(engine.key, wanted, tokens);
                 prefill_s(unread) - prefill_s(0.0)
--- a/crates/forwarding/src/serve/admitted_plan.rs
+++ b/crates/forwarding/src/serve/admitted_plan.rs
@@ -27,7 +27,7 @@
 ) -> Result<Plan, Failure> {
     let plan = next_plan(context, progress)?;
     if progress.share.is_none() {
-        progress.unread_tokens = plan.unread_tokens();
+        progress.unprefilled_tokens = plan.unprefilled_tokens();
         if let Some(failure) = refuse_over_share(context, progress) {
             return Err(failure);
         }
@@ -65,8 +65,12 @@
 fn refuse_over_share(context: &Context, progress: &mut Progress) -> Option<Failure> {
     let tenant = progress.tenant.as_ref()?;
     let shares = &context.tenant_shares;
-    let account =
-        shares.count_request(context.now(), tenant, progress.unread_tokens, &context.sums);
+    let account = shares.count_request(
+        context.now(),
+        tenant,
+        progress.unprefilled_tokens,
+        &context.sums,
+    );
     progress.share = Some(account);
     let is_over = account.standing == ShareStanding::Over && !has_short_queue(progress);
     let share = account.share.filter(|_| is_over && progress.runs == 0)?;
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -108,12 +108,18 @@
     let parts = progress.prompt_parts();
     let work_before = context.router.borrow().work.total(engine.key);
     let slot = BusySlot::occupy(&context.classes, &progress.class);
-    let mut work = WorkGuard::new(context, &engine, call.choice.unread_tokens, &parts, slot);
+    let mut work = WorkGuard::new(
+        context,
+        &engine,
+        call.choice.unprefilled_tokens,
+        &parts,
+        slot,
+    );
     if call.purpose == CallPurpose::Run {
         // From now on the request counts among those at engines, so its reservation ends.
         progress.reservation = None;
     }
-    count_prefill(context, progress, call.choice.unread_tokens);
+    count_prefill(context, progress, call.choice.unprefilled_tokens);
     let mut head = progress.request_head();
     let terms = EngineTerms {
         fetch_from: call
@@ -303,11 +309,13 @@
 }
 
 /// Counts the prompt tokens that an engine has to prefill.
-fn count_prefill(context: &Context, progress: &Progress, unread_tokens: u32) {
-    if unread_tokens > 0 {
+fn count_prefill(context: &Context, progress: &Progress, unprefilled_tokens: u32) {
+    if unprefilled_tokens > 0 {
         let now = context.now();
         context.classes.update(&progress.class, |meter| {
-            meter.prefill_tokens.count(now, f64::from(unread_tokens));
+            meter
+                .prefill_tokens
+                .count(now, f64::from(unprefilled_tokens));
         });
     }
 }
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -116,7 +116,7 @@
     match (&progress.tenant, failure) {
         (Some(tenant), None) => {
             let shares = &context.tenant_shares;
-            shares.count_started(now, tenant, progress.unread_tokens);
+            shares.count_started(now, tenant, progress.unprefilled_tokens);
         }
         (Some(((pool, _), _)), Some(Failure::OverShare(_))) => context.metrics.over_share(pool),
         (Some(_), Some(failure)) if failure.retry_after().is_some() => on_shortage(context, now),
--- a/crates/forwarding/src/serve/plan.rs
+++ b/crates/forwarding/src/serve/plan.rs
@@ -34,9 +34,9 @@
 
 impl Plan {
     /// Prompt tokens that the engine of the first call has to prefill.
-    pub(crate) fn unread_tokens(&self) -> u32 {
+    pub(crate) fn unprefilled_tokens(&self) -> u32 {
         let (Step::Whole(choice) | Step::Prefill(choice)) = &self.step;
-        choice.unread_tokens
+        choice.unprefilled_tokens
     }
 }
 
@@ -107,7 +107,7 @@
 /// this reflects the demand and not the current load.
 fn record_demand(context: &Context, router: &StagedRouter, pool: &PoolName, step: &Step) {
     let (Step::Whole(choice) | Step::Prefill(choice)) = step;
-    let tokens = choice.unread_tokens;
+    let tokens = choice.unprefilled_tokens;
     let key = choice.engine.key;
     let prefill_s = |tokens| router.prefill_speeds.expected_s(key, Stage::Decode, tokens);
     let colocated_s = prefill_s(f64::from(tokens)) - prefill_s(0.0);
--- a/crates/forwarding/src/serve/pool_admissions.rs
+++ b/crates/forwarding/src/serve/pool_admissions.rs
@@ -32,7 +32,7 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.0.admission.borrow_mut().note_sent();
+        self.0.admission.borrow_mut().record_sent();
     }
 }
 
--- a/crates/forwarding/src/serve/prefill.rs
+++ b/crates/forwarding/src/serve/prefill.rs
@@ -104,7 +104,7 @@
     let tokens_ahead = {
         let router = context.router.borrow();
         let work = router.work.total(choice.engine.key);
-        work.unread_tokens as f64 + f64::from(choice.unread_tokens)
+        work.unprefilled_tokens as f64 + f64::from(choice.unprefilled_tokens)
     };
     let call = Call {
         purpose: CallPurpose::Prefill,
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -52,7 +52,7 @@
     /// Estimated seconds until the answer starts, including queues and risk margins.
     expected_s: f64,
     /// Estimated number of prompt tokens that the engine had to prefill.
-    unread_tokens: u32,
+    unprefilled_tokens: u32,
     /// Whether the engine was to fetch cached tokens from another engine.
     fetches: bool,
     /// Signals of the engine.
@@ -125,8 +125,8 @@
             self.chosen_after.as_millis(),
             (self.expected_s * 1_000.0) as u64,
         );
-        if self.unread_tokens > 0 {
-            text.push_str(&format!(", reads {}", self.unread_tokens));
+        if self.unprefilled_tokens > 0 {
+            text.push_str(&format!(", reads {}", self.unprefilled_tokens));
         }
         if self.fetches {
             text.push_str(", fetches");
@@ -165,7 +165,7 @@
     /// Its standing against the tenant's share, once an engine has been chosen.
     pub(crate) share: Option<ShareStatus>,
     /// Prompt tokens that the first chosen engine would have to prefill.
-    pub(crate) unread_tokens: u32,
+    pub(crate) unprefilled_tokens: u32,
     /// The pools that may serve it, in order of preference.
     pub(crate) pools: Vec<PoolName>,
     pub(crate) started: BootInstant,
@@ -217,7 +217,7 @@
             class,
             tenant,
             share: None,
-            unread_tokens: 0,
+            unprefilled_tokens: 0,
             pools,
             fingerprint,
             is_trial: false,
@@ -272,7 +272,7 @@
             took,
             chosen_after: self.started.elapsed().saturating_sub(took),
             expected_s: choice.expected_s,
-            unread_tokens: choice.unread_tokens,
+            unprefilled_tokens: choice.unprefilled_tokens,
             fetches: choice.fetch_from.is_some(),
             signals,
         })
--- a/crates/forwarding/src/serve/work_guard.rs
+++ b/crates/forwarding/src/serve/work_guard.rs
@@ -16,7 +16,7 @@
 pub(crate) struct WorkGuard {
     context: Rc<Context>,
     engine: EngineKey,
-    unread_tokens: u32,
+    unprefilled_tokens: u32,
     parts: Vec<PromptPart>,
     is_prefilled: bool,
     has_started: bool,
@@ -28,21 +28,21 @@
     pub(crate) fn new(
         context: &Rc<Context>,
         engine: &StagedEngine,
-        unread_tokens: u32,
+        unprefilled_tokens: u32,
         parts: &[PromptPart],
         slot: BusySlot,
     ) -> Self {
         {
             let mut router = context.router.borrow_mut();
-            router.work.record_sent(engine.key, unread_tokens);
+            router.work.record_sent(engine.key, unprefilled_tokens);
             let now = context.now();
             router
                 .unreported
-                .record_sent(now, engine.stage, unread_tokens);
+                .record_sent(now, engine.stage, unprefilled_tokens);
             if !parts.is_empty() {
                 router
                     .parts
-                    .record_sent(engine.key, engine.memory_tokens, parts);
+                    .record_sent(engine.key, engine.kv_cache_tokens, parts);
                 let mut placements = context.placements.borrow_mut();
                 placements.push(engine.key, PlacementState::Sent, parts);
             }
@@ -50,7 +50,7 @@
         let guard = Self {
             context: Rc::clone(context),
             engine: engine.key,
-            unread_tokens,
+            unprefilled_tokens,
             parts: parts.to_vec(),
             is_prefilled: false,
             has_started: false,
@@ -89,12 +89,12 @@
                 placements.push(self.engine, PlacementState::Prefilled, &self.parts);
             }
         }
-        self.remove_unread_tokens();
+        self.remove_unprefilled_tokens();
     }
 
     /// Removes the prompt's tokens from the engine's prefill queue.
-    fn remove_unread_tokens(&mut self) {
-        let tokens = std::mem::take(&mut self.unread_tokens);
+    fn remove_unprefilled_tokens(&mut self) {
+        let tokens = std::mem::take(&mut self.unprefilled_tokens);
         if tokens == 0 {
             return;
         }
@@ -107,7 +107,7 @@
     }
 
     fn notify_if_large(&self) {
-        if self.unread_tokens >= NOTIFY_THRESHOLD_TOKENS {
+        if self.unprefilled_tokens >= NOTIFY_THRESHOLD_TOKENS {
             self.context.work_changed.notify_one();
         }
     }
@@ -124,7 +124,7 @@
                 placements.push(self.engine, PlacementState::NotPrefilled, &self.parts);
             }
         }
-        self.remove_unread_tokens();
+        self.remove_unprefilled_tokens();
         self.record_started();
         self.context
             .router
--- a/crates/routing/benches/staged.rs
+++ b/crates/routing/benches/staged.rs
@@ -26,7 +26,7 @@
             Stage::Decode
         },
         slots: 12,
-        memory_tokens: MEMORY_TOKENS,
+        kv_cache_tokens: MEMORY_TOKENS,
     }
 }
 
--- a/crates/routing/src/overload/pool_admission.rs
+++ b/crates/routing/src/overload/pool_admission.rs
@@ -231,7 +231,7 @@
     }
 
     /// Notes that a request with a place was sent (and now counts as taken), or will not be sent.
-    pub fn note_sent(&mut self) {
+    pub fn record_sent(&mut self) {
         self.unsent = self.unsent.saturating_sub(1);
     }
 
--- a/crates/routing/src/shared_retry_budget.rs
+++ b/crates/routing/src/shared_retry_budget.rs
@@ -64,7 +64,7 @@
 
     /// Records that the node restarted at `now`. What the former process used is unknown, so this node gets no slack
     /// for the length of a window.
-    pub fn note_restart(&mut self, now: MonotonicTime) {
+    pub fn record_restart(&mut self, now: MonotonicTime) {
         self.restarted_at = Some(now);
     }
 
--- a/crates/routing/src/staged/cost.rs
+++ b/crates/routing/src/staged/cost.rs
@@ -63,7 +63,7 @@
     /// Increase of the cost by one more request, in seconds.
     pub(super) marginal_s: f64,
     /// Prompt tokens that the engine has to prefill.
-    pub(super) unread_tokens: u32,
+    pub(super) unprefilled_tokens: u32,
     /// The engine from which to fetch cached parts that this engine lacks.
     pub(super) fetch_from: Option<EngineKey>,
 }
@@ -141,18 +141,18 @@
         };
         cached += fetched;
         let fetch_s = transfer_s(request, fetched, false);
-        let unread = request.prompt_tokens.saturating_sub(cached);
+        let unprefilled = request.prompt_tokens.saturating_sub(cached);
         let work = self.work.total(engine.key);
         let slowness = self.prefill_speeds.slowness(engine.key);
         let prefill_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
-        let tokens_with_queue = work.unread_tokens as f64 + f64::from(unread);
+        let tokens_with_queue = work.unprefilled_tokens as f64 + f64::from(unprefilled);
         let start_queue_s = |starting| match engine.stage {
             Stage::Decode => self.decode_start_times.queue_s(starting),
             Stage::Prefill | Stage::Opaque => 0.0,
         };
         let known_start_queue_s = start_queue_s(work.starting);
         let prefill_with_queue_s = prefill_s(tokens_with_queue);
-        let own_prefill_s = prefill_s(f64::from(unread));
+        let own_prefill_s = prefill_s(f64::from(unprefilled));
         let empty_prefill_s = prefill_s(0.0);
         let expected_s = request.send_s + prefill_with_queue_s + known_start_queue_s + fetch_s;
         let eviction_s =
@@ -162,7 +162,7 @@
             Some(_) => context.unreported.draw(work, quantile),
             None => work,
         };
-        let sampled_tokens_with_queue = sampled.unread_tokens as f64 + f64::from(unread);
+        let sampled_tokens_with_queue = sampled.unprefilled_tokens as f64 + f64::from(unprefilled);
         let unreported_request_s = prefill_s(context.unreported.tokens_each) - empty_prefill_s
             + self.decode_start_times.queue_s(1);
         let sampled_fraction = match context.affinity_part {
@@ -192,7 +192,7 @@
             cost_s,
             marginal_s: unreported_request_s + batch_load_s(engine, sampled.requests + 1)
                 - batch_load_s(engine, sampled.requests),
-            unread_tokens: unread,
+            unprefilled_tokens: unprefilled,
             fetch_from: context
                 .best_holder
                 .filter(|_| fetched > 0)
@@ -214,7 +214,7 @@
         let work = self.work.total(engine.key);
         let slowness = self.prefill_speeds.slowness(engine.key);
         let prefill_s = |tokens| self.prefill_speeds.usual_s(engine.stage, tokens) * slowness;
-        let queued_prefill_s = prefill_s(work.unread_tokens as f64);
+        let queued_prefill_s = prefill_s(work.unprefilled_tokens as f64);
         let queue_s = self.decode_start_times.queue_s(work.starting);
         let expected_s = request.send_s
             + self.decode_start_times.expected_s(work.starting)
--- a/crates/routing/src/staged/mod.rs
+++ b/crates/routing/src/staged/mod.rs
@@ -87,7 +87,7 @@
     /// Maximum number of requests it processes concurrently.
     pub slots: u32,
     /// Capacity of its KV cache in tokens; 0 if it has none.
-    pub memory_tokens: u64,
+    pub kv_cache_tokens: u64,
 }
 
 /// The properties of a request that determine the choice of its engines.
--- a/crates/routing/src/staged/part_directory.rs
+++ b/crates/routing/src/staged/part_directory.rs
@@ -56,12 +56,12 @@
 }
 
 impl PartDirectory {
-    /// Records that a prompt was sent to an engine whose KV cache holds `memory_tokens`.
-    pub fn record_sent(&mut self, engine: EngineKey, memory_tokens: u64, parts: &[PromptPart]) {
+    /// Records that a prompt was sent to an engine whose KV cache holds `kv_cache_tokens`.
+    pub fn record_sent(&mut self, engine: EngineKey, kv_cache_tokens: u64, parts: &[PromptPart]) {
         for part in parts {
             self.use_part(engine, *part);
         }
-        let capacity = (memory_tokens as f64 * CACHED_SHARE) as u64;
+        let capacity = (kv_cache_tokens as f64 * CACHED_SHARE) as u64;
         while let Some(evicted) = self.part_to_evict(engine, capacity) {
             self.forget_part(engine, evicted);
         }
--- a/crates/routing/src/staged/staged_router.rs
+++ b/crates/routing/src/staged/staged_router.rs
@@ -28,7 +28,7 @@
     /// requests of other nodes, in seconds. Engines and plans are compared by it.
     pub cost_s: f64,
     /// Prompt tokens that the engine has to prefill.
-    pub unread_tokens: u32,
+    pub unprefilled_tokens: u32,
     /// The engine from which to fetch cached parts that this engine lacks.
     pub fetch_from: Option<EngineKey>,
 }
@@ -40,7 +40,7 @@
             expected_s: cost.expected_s,
             queue_s: cost.queue_s,
             cost_s: cost.cost_s,
-            unread_tokens: cost.unread_tokens,
+            unprefilled_tokens: cost.unprefilled_tokens,
             fetch_from: cost.fetch_from,
         }
     }
--- a/crates/routing/src/staged/unreported_sends.rs
+++ b/crates/routing/src/staged/unreported_sends.rs
@@ -82,11 +82,11 @@
     }
 
     /// Records a request that this node sent.
-    pub fn record_sent(&mut self, now: MonotonicTime, stage: Stage, unread_tokens: u32) {
+    pub fn record_sent(&mut self, now: MonotonicTime, stage: Stage, unprefilled_tokens: u32) {
         let own = self.own.entry(stage).or_default();
         own.decay(now);
         own.count += 1.0;
-        own.tokens += f64::from(unread_tokens);
+        own.tokens += f64::from(unprefilled_tokens);
     }
 
     /// Expected requests of other nodes to each of `engines` engines of `stage` within `age`.
@@ -137,7 +137,8 @@
         EngineWork {
             requests: known.requests + drawn,
             starting: known.starting + drawn,
-            unread_tokens: known.unread_tokens + (f64::from(drawn) * self.tokens_each) as u64,
+            unprefilled_tokens: known.unprefilled_tokens
+                + (f64::from(drawn) * self.tokens_each) as u64,
         }
     }
 
--- a/crates/routing/src/staged/work_table.rs
+++ b/crates/routing/src/staged/work_table.rs
@@ -18,21 +18,23 @@
     /// Requests among them whose response has not started.
     pub starting: u32,
     /// Prompt tokens sent that are not prefilled yet.
-    pub unread_tokens: u64,
+    pub unprefilled_tokens: u64,
 }
 
 impl EngineWork {
     fn add(&mut self, other: &Self) {
         self.requests += other.requests;
         self.starting += other.starting;
-        self.unread_tokens += other.unread_tokens;
+        self.unprefilled_tokens += other.unprefilled_tokens;
     }
 
     /// Subtracts `other`, saturating at zero: the two may stem from reports of different ages.
     pub fn subtract(&mut self, other: &Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.starting = self.starting.saturating_sub(other.starting);
-        self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
+        self.unprefilled_tokens = self
+            .unprefilled_tokens
+            .saturating_sub(other.unprefilled_tokens);
     }
 }
 
@@ -96,17 +98,17 @@
 
 impl WorkTable {
     /// Records that a request was sent.
-    pub fn record_sent(&mut self, engine: EngineKey, unread_tokens: u32) {
+    pub fn record_sent(&mut self, engine: EngineKey, unprefilled_tokens: u32) {
         let work = self.own.entry(engine).or_default();
         work.requests += 1;
         work.starting += 1;
-        work.unread_tokens += u64::from(unread_tokens);
+        work.unprefilled_tokens += u64::from(unprefilled_tokens);
     }
 
     /// Records that `tokens` of a prompt were prefilled.
     pub fn record_prefilled(&mut self, engine: EngineKey, tokens: u32) {
         if let Some(work) = self.own.get_mut(&engine) {
-            work.unread_tokens = work.unread_tokens.saturating_sub(u64::from(tokens));
+            work.unprefilled_tokens = work.unprefilled_tokens.saturating_sub(u64::from(tokens));
         }
     }
 
@@ -239,7 +241,7 @@
     }
 
     /// Drops expired reports.
-    pub fn sweep(&mut self, now: MonotonicTime) {
+    pub fn remove_expired(&mut self, now: MonotonicTime) {
         let expired = self
             .reported
             .iter()
--- a/crates/routing/tests/engine_pool.rs
+++ b/crates/routing/tests/engine_pool.rs
@@ -23,7 +23,7 @@
         zone: zone(zone_number),
         stage: STAGES[usize::from(stage)],
         slots: 4,
-        memory_tokens: 0,
+        kv_cache_tokens: 0,
     }
 }
 
--- a/crates/routing/tests/herds.rs
+++ b/crates/routing/tests/herds.rs
@@ -32,7 +32,7 @@
         zone: zone(number),
         stage,
         slots: 12,
-        memory_tokens: if stage == Stage::Opaque { 0 } else { 417_000 },
+        kv_cache_tokens: if stage == Stage::Opaque { 0 } else { 417_000 },
     }
 }
 
@@ -200,7 +200,7 @@
         let (_, shared) = request.parts.split_last().expect("parts");
         router
             .parts
-            .record_sent(holder.key, holder.memory_tokens, shared);
+            .record_sent(holder.key, holder.kv_cache_tokens, shared);
         router.parts.confirm_cached(holder.key, shared);
         let now = MonotonicTime::from_millis(10);
         let plan = router.plan_prompt(now, &holder.zone, &engines, &request);
@@ -208,6 +208,6 @@
             panic!("expected a disaggregated plan for a long prompt: {plan:?}");
         };
         assert_eq!(prefill.engine.key, holder.key, "seed {seed}");
-        assert_eq!(prefill.unread_tokens, 3_720);
+        assert_eq!(prefill.unprefilled_tokens, 3_720);
     }
 }
--- a/crates/routing/tests/overload.rs
+++ b/crates/routing/tests/overload.rs
@@ -110,7 +110,7 @@
         zone: ZoneName::from("here"),
         stage: Stage::Decode,
         slots: 64,
-        memory_tokens: 400_000,
+        kv_cache_tokens: 400_000,
     }
 }
 
@@ -177,7 +177,7 @@
             .expect("known");
         router
             .work
-            .record_sent(choice.engine.key, choice.unread_tokens);
+            .record_sent(choice.engine.key, choice.unprefilled_tokens);
         let ends_s = free_at_s[index].max(now_s) + service_s;
         free_at_s[index] = ends_s;
         ends.push(Reverse(((ends_s * 1e6) as u64, index)));
--- a/crates/routing/tests/room.rs
+++ b/crates/routing/tests/room.rs
@@ -243,7 +243,7 @@
         None,
         "its place stays taken until it is sent"
     );
-    admission.note_sent();
+    admission.record_sent();
     assert_eq!(admission.release(NOW, OWN_PLACES - 1), Some(less));
 }
 
--- a/crates/routing/tests/shared_retry_budget.rs
+++ b/crates/routing/tests/shared_retry_budget.rs
@@ -147,7 +147,7 @@
     assert!(taken_before > 0);
     let mut budget = SharedRetryBudget::new(LIMITS);
     budget.set_nodes(MonotonicTime::ZERO, 1);
-    budget.note_restart(start);
+    budget.record_restart(start);
     assert_eq!(take_all(&mut budget, start + Duration::from_secs(9)), 0);
     let later = start + Duration::from_secs(10);
     assert_eq!(take_all(&mut budget, later), taken_before);
--- a/crates/routing/tests/staged.rs
+++ b/crates/routing/tests/staged.rs
@@ -25,7 +25,7 @@
         zone: zone(),
         stage,
         slots: 32,
-        memory_tokens: MEMORY_TOKENS,
+        kv_cache_tokens: MEMORY_TOKENS,
     }
 }
 
@@ -124,7 +124,7 @@
             panic!("expected a disaggregated plan for a long prompt");
         };
         assert_eq!(prefill.engine.key, holder.key);
-        assert_eq!(prefill.unread_tokens, 4_000);
+        assert_eq!(prefill.unprefilled_tokens, 4_000);
     }
     drop(router);
 }
@@ -145,7 +145,7 @@
     };
     assert_eq!(prefill.engine.key, fleet[1].key);
     assert_eq!(prefill.fetch_from, Some(fleet[0].key));
-    assert_eq!(prefill.unread_tokens, 4_000);
+    assert_eq!(prefill.unprefilled_tokens, 4_000);
 }
 
 /// A copy evicts other parts, which then have to be prefilled again, so it must save more than a short
@@ -193,11 +193,11 @@
     let reported = EngineWork {
         starting: 0,
         requests: 2,
-        unread_tokens: 9_000,
+        unprefilled_tokens: 9_000,
     };
     work.set_reported(NOW, LoadSource::Member(7), [(key, reported)]);
     assert_eq!(work.total(key), reported);
-    work.sweep(NOW + Duration::from_secs(5));
+    work.remove_expired(NOW + Duration::from_secs(5));
     assert_eq!(work.total(key), EngineWork::default());
 }
 
@@ -260,19 +260,19 @@
     fn cached_parts_stay_within_capacity(
         prompts in proptest::collection::vec((0_u64..40, 1_u32..9_000), 1..200),
     ) {
-        let memory_tokens = 60_000;
+        let kv_cache_tokens = 60_000;
         let key = EngineKey::of("prefill-1");
         let mut directory = PartDirectory::default();
         for (id, tokens) in &prompts {
             let part = PromptPart { id: *id, tokens: *tokens };
-            directory.record_sent(key, memory_tokens, &[part]);
+            directory.record_sent(key, kv_cache_tokens, &[part]);
             prop_assert_eq!(directory.cached_tokens(key, &[part]), *tokens);
         }
         let cached: u64 = (0..40)
             .map(|id| directory.cached_tokens(key, &[PromptPart { id, tokens: 0 }]))
             .map(u64::from)
             .sum();
-        prop_assert!(cached <= memory_tokens, "{} cached", cached);
+        prop_assert!(cached <= kv_cache_tokens, "{} cached", cached);
     }
 
     /// Work that has ended is removed completely, in whatever order it ends.
--- a/crates/routing/tests/stale_loads.rs
+++ b/crates/routing/tests/stale_loads.rs
@@ -58,7 +58,7 @@
             zone: ZoneName::from("here"),
             stage: Stage::Decode,
             slots: SLOTS,
-            memory_tokens: 400_000,
+            kv_cache_tokens: 400_000,
         }
     };
     (0..engines).map(engine).collect()
@@ -87,7 +87,7 @@
             let own = router.work.own(*key);
             sum.requests += own.requests;
             sum.starting += own.starting;
-            sum.unread_tokens += own.unread_tokens;
+            sum.unprefilled_tokens += own.unprefilled_tokens;
         }
     }
     for router in routers {
@@ -141,7 +141,7 @@
         let Some(PromptPlan::Colocated(choice)) = plan else {
             panic!("expected a colocated plan");
         };
-        let (engine, tokens) = (choice.engine.key, choice.unread_tokens);
+        let (engine, tokens) = (choice.engine.key, choice.unprefilled_tokens);
         router.work.record_sent(engine, tokens);
         router.unreported.record_sent(now, Stage::Decode, tokens);
         let fake = engines_state.get_mut(&engine).expect("an engine");
--- a/crates/routing/tests/unreported.rs
+++ b/crates/routing/tests/unreported.rs
@@ -34,7 +34,7 @@
             zone: zone(),
             stage: Stage::Decode,
             slots: 12,
-            memory_tokens: 400_000,
+            kv_cache_tokens: 400_000,
         }
     };
     (0..ENGINES).map(engine).collect()
@@ -103,7 +103,7 @@
     let known = EngineWork {
         requests: 3,
         starting: 1,
-        unread_tokens: 70,
+        unprefilled_tokens: 70,
     };
     assert_eq!(fresh.draw(known, 0.9), known);
 }
@@ -145,7 +145,7 @@
     EngineWork {
         requests,
         starting: requests / 2,
-        unread_tokens: u64::from(requests) * 100,
+        unprefilled_tokens: u64::from(requests) * 100,
     }
 }
 
@@ -170,7 +170,7 @@
             let summed = table.summed(at(0), |_| true).engines;
             prop_assert_eq!(summed.get(&key).map_or(0, |work| work.requests), sum);
         }
-        table.sweep(at(9_000));
+        table.remove_expired(at(9_000));
         prop_assert_eq!(table.total(EngineKey(1)), EngineWork::default());
     }
 }
