--- a/crates/forwarding/src/dissemination/mod.rs
+++ b/crates/forwarding/src/dissemination/mod.rs
@@ -61,8 +61,8 @@
 /// several reports in that time.
 const MEMBER_SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// A node that has heard no relay for this long reads the key-value service itself. Probing other
-/// relays takes one round trip, so this happens only if none is reachable.
+/// A node that has received nothing from a relay for this long reads the key-value service itself.
+/// Probing other relays takes one round trip, so this happens only if none is reachable.
 const STORE_READ_DELAY: Duration = Duration::from_millis(1_200);
 
 /// Range of the random jitter added to [`STORE_READ_DELAY`] in small fleets, so that nodes that lost their
@@ -76,12 +76,12 @@
 /// How long a node acts as a relay after another relay sent it an exchange, whether elected or not.
 const EXCHANGE_PEER_TTL: Duration = Duration::from_secs(3);
 
-/// A node that has heard no other for this long considers itself isolated: well before its entry
-/// expires and the others remove it.
+/// A node that has received nothing from other nodes for this long considers itself isolated: well
+/// before its entry expires and the others remove it.
 const ISOLATION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A relay that another has not heard for this long is passed over as permit issuer: three of its
-/// messages, which are at most 0.3 s apart.
+/// A relay from which another has received nothing for this long is skipped as permit issuer: three
+/// of its messages, which are at most 0.3 s apart.
 const PEER_RELAY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// This node's role in dissemination.
@@ -251,7 +251,7 @@
         heard_at.is_some_and(|heard_at| now.since(*heard_at) < PEER_RELAY_TIMEOUT)
     }
 
-    /// Whether this node knows of others but has heard none for [`ISOLATION_TIMEOUT`].
+    /// Whether this node knows of others but received nothing from them for [`ISOLATION_TIMEOUT`].
     pub(crate) fn is_isolated(&self, now: MonotonicTime) -> bool {
         let peers = self.exchange_peers.borrow();
         let relays_heard = peers.values().copied().max();
--- a/crates/forwarding/src/dissemination/news_queue.rs
+++ b/crates/forwarding/src/dissemination/news_queue.rs
@@ -1,4 +1,4 @@
-//! News that are to be sent with the next message.
+//! News to send with the next message.
 
 use std::collections::VecDeque;
 
--- a/crates/forwarding/src/fleet/engines.rs
+++ b/crates/forwarding/src/fleet/engines.rs
@@ -26,7 +26,7 @@
     pub run: Arc<str>,
     /// Start time by the engine's clock, in milliseconds since 1970, if its entry states it.
     pub started_at_ms: Option<u64>,
-    /// Capacity of its prompt memory in tokens; 0 if it has none.
+    /// Capacity of its KV cache in tokens; 0 if it has none.
     pub kv_cache_tokens: u64,
 }
 
@@ -56,7 +56,7 @@
 }
 
 impl Fleet {
-    /// The engines of `entries` that accept new work, under the terms of `table`, except those for
+    /// The engines of `entries` that accept new work, configured by `table`, except those for
     /// which `is_draining` holds.
     pub fn new<'e>(
         entries: impl Iterator<Item = &'e EngineEntry>,
@@ -175,7 +175,7 @@
         engine.is_some_and(|engine| engine.target() == *target)
     }
 
-    /// Capacity of an engine's prompt memory in tokens; 0 if the engine is unknown.
+    /// Capacity of an engine's KV cache in tokens; 0 if the engine is unknown.
     pub fn kv_cache_tokens(&self, key: EngineKey) -> u64 {
         let engine = self.engines.get(&key);
         engine.map_or(0, |engine| engine.kv_cache_tokens)
--- a/crates/forwarding/src/fleet/registration.rs
+++ b/crates/forwarding/src/fleet/registration.rs
@@ -258,7 +258,7 @@
     })?;
     let lease = store.grant_lease(ENTRY_TTL).await?;
     let mut expectation = WriteExpectation::Absent;
-    // Replaces the entry of this node's previous life.
+    // Replaces the entry of this node's previous incarnation.
     loop {
         let written = store
             .compare_and_swap(&key, expectation, Some(&text), Some(lease))
--- a/crates/forwarding/src/permits/grants.rs
+++ b/crates/forwarding/src/permits/grants.rs
@@ -27,7 +27,7 @@
     request: &PermitRequest,
 ) {
     let engine = EngineKey(request.limit.start.engine);
-    // The requesting node may have learnt of the limit, or of a new value, before this one.
+    // The requesting node may have learned of the limit, or of a new value, before this one.
     apply_reported_limit(context, &request.limit, NoticeSource::Member);
     let is_issuer = issuer_of(context, engine) == IssuerLocation::Local;
     let rate = known_rate(context, engine).or(request.limit.rate);
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -1,4 +1,4 @@
-//! Admission to pools that are short of capacity: requests wait for a slot or are refused.
+//! Admission to pools that are short of capacity: requests wait for a place or are refused.
 //!
 //! `dalestand_routing::overload::PoolAdmission` decides; this module supplies the load of the pool
 //! and carries out the decisions.
@@ -31,19 +31,20 @@
 /// a processor.
 const REFRESH_INTERVAL_PER_ENGINE: Duration = Duration::from_micros(100);
 
-/// Maximum delay until a slot freed by another node is given to a request that waits here.
+/// Maximum delay until a place freed by another node is given to a request that waits here.
 const RELEASE_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a request was admitted.
 pub(crate) enum Admission {
     /// The pool has enough capacity, or its load is not known.
     Unrestricted,
-    /// The request has reserved a slot, for which it waited this long.
+    /// The request has reserved a place, for which it waited this long.
     Reserved(Reservation, Duration),
 }
 
-/// Reserves a slot for a request at a decode (or opaque) engine of `pool`, or refuses the request.
-pub(crate) async fn reserve_slot(
+/// Reserves a place for a request at the decode (or opaque) engines of `pool`, or refuses the
+/// request.
+pub(crate) async fn reserve_place(
     context: &Rc<Context>,
     progress: &mut Progress,
     pool: &PoolName,
@@ -74,7 +75,7 @@
         }
         AdmissionOutcome::Refused(slot) => {
             record_decision(context, progress, &decision, "refused", Duration::ZERO);
-            Err(no_room_failure(slot))
+            Err(no_capacity_failure(slot))
         }
         AdmissionOutcome::Queued(id, max_wait) => {
             let waiter = Waiter::new(context, &state, id, &progress.class);
@@ -91,12 +92,12 @@
                 .admission
                 .borrow_mut()
                 .retry_slot(context.now(), &request);
-            Err(no_room_failure(slot))
+            Err(no_capacity_failure(slot))
         }
     }
 }
 
-fn no_room_failure(slot: RetryAfterSlot) -> Failure {
+fn no_capacity_failure(slot: RetryAfterSlot) -> Failure {
     Failure::NoRoom(slot.delay())
 }
 
@@ -201,7 +202,7 @@
     here.map(|(_, work)| work.requests).sum()
 }
 
-/// Starts a task that admits queued requests as slots become free, unless one is running. The task
+/// Starts a task that admits queued requests as places become free, unless one is running. The task
 /// ends when none is queued.
 fn spawn_release_loop(context: &Rc<Context>, state: &Rc<PoolState>, pool: &PoolName, stage: Stage) {
     if state.is_releasing.replace(true) {
@@ -235,7 +236,7 @@
         };
         let reservation = Reservation(Rc::clone(state));
         let sender = state.waiters.borrow_mut().remove(&number);
-        // If the request no longer waits, dropping the reservation returns the slot.
+        // If the request no longer waits, dropping the reservation frees the place.
         if let Some(Err(unused)) = sender.map(|sender| sender.send(reservation)) {
             drop(unused);
         }
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Waits for a slot; `None` if none became free in time.
+    /// Waits for a place; `None` if none became free in time.
     async fn wait(mut self, max_wait: Duration) -> Option<Reservation> {
         timeout(max_wait, &mut self.receiver).await.ok()?.ok()
     }
--- a/crates/forwarding/src/serve/admitted_plan.rs
+++ b/crates/forwarding/src/serve/admitted_plan.rs
@@ -1,4 +1,4 @@
-//! Plans a request that may start: within its tenant's share, with a slot if its pool is short of
+//! Plans a request that may start: within its tenant's share, with a place if its pool is short of
 //! capacity, and in time.
 
 use std::rc::Rc;
@@ -8,7 +8,7 @@
 use dalestand_routing::staged::{TimeBounds, rejection_retry_after};
 
 use crate::context::Context;
-use crate::serve::admission::{Admission, reserve_slot};
+use crate::serve::admission::{Admission, reserve_place};
 use crate::serve::answer::Failure;
 use crate::serve::final_failure::final_failure;
 use crate::serve::plan::{Plan, choose};
@@ -20,7 +20,7 @@
 const OVER_SHARE_QUEUE_FRACTION: f64 = 0.5;
 
 /// Returns the next plan of a request that may start. A request that has not run may wait for a
-/// slot first; after a wait it is planned again.
+/// place first; after a wait it is planned again.
 pub(super) async fn admitted_plan(
     context: &Rc<Context>,
     progress: &mut Progress,
@@ -35,7 +35,7 @@
     let plan = if progress.runs > 0 || progress.reservation.is_some() {
         plan
     } else {
-        match reserve_slot(context, progress, &plan.pool).await? {
+        match reserve_place(context, progress, &plan.pool).await? {
             Admission::Unrestricted => plan,
             Admission::Reserved(reservation, waited) => {
                 progress.reservation = Some(reservation);
@@ -60,26 +60,26 @@
     Ok(plan)
 }
 
-/// Counts a request for its tenant, and refuses it if it is beyond the tenant's share and the queue
-/// is not short.
+/// Counts a request for its tenant, and refuses it if it is beyond the tenant's share, unless the
+/// queue is short.
 fn refuse_over_share(context: &Context, progress: &mut Progress) -> Option<Failure> {
     let tenant = progress.tenant.as_ref()?;
     let shares = &context.tenant_shares;
-    let account = shares.count_request(
+    let status = shares.count_request(
         context.now(),
         tenant,
         progress.unprefilled_tokens,
         &context.sums,
     );
-    progress.share = Some(account);
-    let is_over = account.standing == ShareStanding::Over && !has_short_queue(progress);
-    let share = account.share.filter(|_| is_over && progress.runs == 0)?;
+    progress.share = Some(status);
+    let is_over = status.standing == ShareStanding::Over && !has_short_queue(progress);
+    let share = status.share.filter(|_| is_over && progress.runs == 0)?;
     let wait = share.retry_after(progress.time_left(), rand::random());
     Some(Failure::OverShare(wait))
 }
 
-/// Whether the queue of the chosen engine is known and so short that the request takes no other
-/// tenant's slot.
+/// Whether the queue of the chosen engine is known and so short that the request takes no
+/// capacity from other tenants.
 fn has_short_queue(progress: &Progress) -> bool {
     let objective = Duration::from_millis(progress.route.objective_ms);
     let queue_s = progress.expected.map(|expected| expected.queue_s);
--- a/crates/forwarding/src/serve/answer.rs
+++ b/crates/forwarding/src/serve/answer.rs
@@ -39,7 +39,7 @@
     /// The pool is short of capacity and the tenant is over its share; the request did not run, and
     /// the caller may retry after this time.
     OverShare(Duration),
-    /// The pool is short of capacity and no slot would become free in time; the request did not
+    /// The pool is short of capacity and no place would become free in time; the request did not
     /// run, and the caller may retry after this time.
     NoRoom(Duration),
     /// The request is stopped because engines crashed while running it, and it did not run; it may
--- a/crates/forwarding/src/serve/answer_stream_error.rs
+++ b/crates/forwarding/src/serve/answer_stream_error.rs
@@ -8,6 +8,6 @@
     #[error("the engine's answer broke off")]
     BrokenOff,
     /// The time limit of the request was reached.
-    #[error("the time of the request is over")]
+    #[error("the time limit of the request was reached")]
     TimeOver,
 }
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -37,7 +37,7 @@
 pub(crate) enum CallContent {
     /// A caller's request, with its id. Not sent to draining engines.
     Request(Option<Arc<str>>),
-    /// An internal call, for example to read an engine's state or to free its memory.
+    /// An internal call, for example to read an engine's state or to free a KV cache.
     Internal,
 }
 
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -29,7 +29,7 @@
 use crate::serve::request_log::{log_failed, log_rejected, log_served};
 use crate::serve::response_timeout::run_timeout;
 use crate::serve::retries::{
-    CALLS_BEFORE_PAUSE, may_retry, pause_before_retry, should_wait_for_slot,
+    CALLS_BEFORE_PAUSE, may_retry, pause_before_retry, should_wait_for_place,
 };
 
 /// Number of refusals after which the prefilled KV cache is assumed to be gone. An engine refuses
@@ -149,13 +149,13 @@
                 let was_refused = progress.calls.len() >= CALLS_BEFORE_PAUSE;
                 if was_refused
                     && progress.expected.is_none()
-                    && should_wait_for_slot(context, progress)
+                    && should_wait_for_place(context, progress)
                 {
                     pause_before_retry(progress).await;
                 }
             }
             Ok(None) => return fallback.ok_or(final_failure(context, progress)),
-            Err(Failure::NoEngine) if should_wait_for_slot(context, progress) => {
+            Err(Failure::NoEngine) if should_wait_for_place(context, progress) => {
                 pause_before_retry(progress).await;
                 progress.tried.clear();
             }
--- a/crates/forwarding/src/serve/pool_admissions.rs
+++ b/crates/forwarding/src/serve/pool_admissions.rs
@@ -26,8 +26,8 @@
     pub(super) is_releasing: Cell<bool>,
 }
 
-/// A slot reserved for a request that has not been sent yet. Dropping it ends the reservation; once
-/// sent, the request counts among those at engines.
+/// A place reserved for a request that has not been sent yet. Dropping it ends the reservation;
+/// once sent, the request counts among those at engines.
 pub(crate) struct Reservation(pub(super) Rc<PoolState>);
 
 impl Drop for Reservation {
@@ -66,7 +66,7 @@
 }
 
 impl PoolAdmissions {
-    /// For each pool: the number of waiting requests, and the slots available to this node.
+    /// For each pool: the number of waiting requests, and the places of this node.
     pub(crate) fn summaries(&self) -> Vec<(PoolName, usize, f64)> {
         let pools = self.pools.borrow();
         let summaries = pools.iter().map(|(pool, state)| {
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -162,7 +162,7 @@
     pub(crate) class: ClassKey,
     /// Its class and tenant code, where tenants are declared.
     pub(crate) tenant: Option<TenantKey>,
-    /// Its standing against the tenant's share, once an engine has been chosen.
+    /// Whether it is within the tenant's share, once an engine has been chosen.
     pub(crate) share: Option<ShareStatus>,
     /// Prompt tokens that the first chosen engine would have to prefill.
     pub(crate) unprefilled_tokens: u32,
@@ -186,7 +186,7 @@
     pub(crate) calls: Vec<CallRecord>,
     /// Latest latency estimate, where there is one.
     pub(crate) expected: Option<LatencyEstimate>,
-    /// Its reserved slot in a pool that is short of capacity, until it is sent.
+    /// Its reserved place in a pool that is short of capacity, until it is sent.
     pub(crate) reservation: Option<Reservation>,
     /// The admission decision, if the pool was short of capacity.
     pub(crate) admission: Option<AdmissionRecord>,
--- a/crates/forwarding/src/serve/request_log.rs
+++ b/crates/forwarding/src/serve/request_log.rs
@@ -21,9 +21,9 @@
 
 /// Logs a request for which no engine gave an answer.
 pub(crate) fn log_failed(context: &Context, progress: &Progress, failure: Failure) {
-    let account = progress.share;
-    let share = account.and_then(|account| account.share);
-    let age = account.and_then(|account| account.age);
+    let share_status = progress.share;
+    let share = share_status.and_then(|status| status.share);
+    let age = share_status.and_then(|status| status.age);
     log_event!(context.logger, Event::RequestFailed,
         "request" => progress.facts.id.as_deref().unwrap_or_default(),
         "route" => &progress.route.name, "reason" => ?failure,
--- a/crates/forwarding/src/serve/retries.rs
+++ b/crates/forwarding/src/serve/retries.rs
@@ -24,8 +24,8 @@
 }
 
 /// Whether a refused request waits before its next call. Only tenants within their share wait, as
-/// slots become free for them.
-pub(super) fn should_wait_for_slot(context: &Context, progress: &Progress) -> bool {
+/// capacity becomes free for them.
+pub(super) fn should_wait_for_place(context: &Context, progress: &Progress) -> bool {
     if progress.tenant.is_none() || progress.tried.is_empty() {
         return false;
     }
--- a/crates/forwarding/src/serve/tenant_shares.rs
+++ b/crates/forwarding/src/serve/tenant_shares.rs
@@ -42,7 +42,7 @@
     refreshed_at: Cell<MonotonicTime>,
 }
 
-/// A request's standing against its tenant's share.
+/// Whether a request is within its tenant's share, and the figures used.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ShareStatus {
     pub(crate) standing: ShareStanding,
@@ -62,8 +62,8 @@
 }
 
 impl TenantShares {
-    /// Counts a request with the prompt tokens that an engine would have to prefill, and returns
-    /// its standing.
+    /// Counts a request with the prompt tokens that an engine would have to prefill, and classifies
+    /// it against the tenant's share.
     pub(crate) fn count_request(
         &self,
         now: MonotonicTime,
