--- a/cmd/src/forward.rs
+++ b/cmd/src/forward.rs
@@ -88,7 +88,7 @@
         settings,
         read_settings: Box::new(move || read_settings(&path)),
         dialect: Rc::new(PlatformDialect),
-        form: Rc::new(PlatformForm),
+        store_format: Rc::new(PlatformForm),
         store: Rc::new(store),
         duty_calls,
         logger: logger(LogOutput::JsonOutput),
--- a/crates/edge/src/duty_calls.rs
+++ b/crates/edge/src/duty_calls.rs
@@ -18,7 +18,7 @@
 
 /// On what terms engines are had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum EngineTenure {
+pub enum ProvisioningModel {
     /// At the full price, for as long as they are wanted.
     OnDemand,
     /// Cheaper; the platform may take them away at short notice, all those of a zone at once.
@@ -33,7 +33,7 @@
     /// The zone.
     pub zone: ZoneName,
     /// The terms; engines on other terms are not counted.
-    pub tenure: EngineTenure,
+    pub provisioning: ProvisioningModel,
     /// The number.
     pub count: u32,
 }
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyOutcome {
     /// It was taken.
-    Taken,
+    Accepted,
     /// It was refused: a higher token was seen, or such engines cannot be had there now.
     Refused,
 }
--- a/crates/edge/src/routed.rs
+++ b/crates/edge/src/routed.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::duty_calls::EngineTenure;
+use crate::duty_calls::ProvisioningModel;
 use actix_http::header::HeaderMap;
 use actix_http::{Method, RequestHead, StatusCode};
 use bytes::Bytes;
@@ -16,7 +16,7 @@
 
 /// What a caller's request says of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Its id, exactly as sent.
     pub id: Option<Arc<str>>,
     /// For how long the caller will wait.
@@ -35,7 +35,7 @@
 
 /// What an engine is told beside the caller's request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct EngineTerms<'a> {
+pub struct EngineRequestOptions<'a> {
     /// Time left.
     pub deadline: Option<Duration>,
     /// The run that is meant; every other refuses.
@@ -43,7 +43,7 @@
     /// Only read the prompt and keep the memory of it.
     pub prefill_only: bool,
     /// Go on from the memory that another engine holds under this name.
-    pub memory: Option<(SocketAddr, &'a str)>,
+    pub kv_cache: Option<(SocketAddr, &'a str)>,
     /// Take what is kept of the prompt from the engine at this address first.
     pub fetch_from: Option<SocketAddr>,
     /// Go on after this event.
@@ -56,7 +56,7 @@
 
 /// What the head of an engine's answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// The request it answers.
     pub id: Option<Arc<str>>,
     /// The engine promises that the request did not run there.
@@ -69,14 +69,14 @@
 
 /// Memory of a prompt that an engine holds for another.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldMemory {
+pub struct HeldKvCache {
     /// Its name at that engine.
     pub name: Arc<str>,
 }
 
 /// An order that changes an engine's role.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct StageOrder<'a> {
+pub struct RoleChangeOrder<'a> {
     /// The node that orders.
     pub holder: &'a str,
     /// Its fencing token.
@@ -91,9 +91,9 @@
 
 /// What an engine made of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StageOrderOutcome {
+pub enum RoleChangeOutcome {
     /// It is being carried out, or held already.
-    Taken,
+    Accepted,
     /// It was refused, with this status.
     Refused(u16),
 }
@@ -101,25 +101,25 @@
 /// The words of callers and engines.
 pub trait Dialect {
     /// Reads a caller's request.
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts;
+    fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Takes off what only the system may say, and sets what the engine is told.
-    fn write_request(&self, headers: &mut HeaderMap, terms: &EngineTerms<'_>);
+    fn write_request(&self, headers: &mut HeaderMap, terms: &EngineRequestOptions<'_>);
 
     /// Reads the head of an engine's answer.
-    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerFacts;
+    fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Reads the answer to a request that only read the prompt.
-    fn read_held_memory(&self, body: &[u8]) -> Option<HeldMemory>;
+    fn read_held_kv_cache(&self, body: &[u8]) -> Option<HeldKvCache>;
 
     /// The call that frees held memory: method and path.
-    fn free_memory(&self, memory: &HeldMemory) -> (Method, String);
+    fn free_kv_cache(&self, cache: &HeldKvCache) -> (Method, String);
 
     /// An order to an engine.
-    fn stage_order(&self, order: &StageOrder<'_>) -> (RequestHead, Bytes);
+    fn role_change_order(&self, order: &RoleChangeOrder<'_>) -> (RequestHead, Bytes);
 
     /// Reads the answer to an order.
-    fn read_stage_order(&self, status: StatusCode) -> StageOrderOutcome;
+    fn read_role_change_outcome(&self, status: StatusCode) -> RoleChangeOutcome;
 
     /// Asks an engine about itself.
     fn report_request(&self) -> RequestHead;
@@ -128,10 +128,10 @@
     fn read_report_sequence(&self, body: &[u8]) -> Option<u64>;
 
     /// Asks an engine which parts of prompts it keeps.
-    fn kept_parts_request(&self) -> RequestHead;
+    fn cached_parts_request(&self) -> RequestHead;
 
     /// The parts that an engine keeps, with their tokens.
-    fn read_kept_parts(&self, body: &[u8]) -> Vec<(u64, u32)>;
+    fn read_cached_parts(&self, body: &[u8]) -> Vec<(u64, u32)>;
 
     /// Whether a header, its name in lower case, is of the platform's kind and none that is known here.
     fn is_unknown_header(&self, name: &str) -> bool;
@@ -147,7 +147,7 @@
     pub run: Arc<str>,
     /// When it started, in milliseconds since 1970 by its own clock, where it says so: another time is another
     /// start, of which nothing holds that was known of the former one.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// The pool it belongs to.
     pub pool: PoolName,
     /// Where it listens.
@@ -161,11 +161,11 @@
     /// Its role, if it runs a language model.
     pub role: Option<Role>,
     /// On what terms it is had.
-    pub tenure: EngineTenure,
+    pub provisioning: ProvisioningModel,
 }
 
 /// The form of what stands in the key-value service.
-pub trait FleetForm {
+pub trait StoreFormat {
     /// Key of the declaration in force.
     fn configuration_key(&self) -> &'static str;
 
--- a/crates/edge/src/unknown_headers.rs
+++ b/crates/edge/src/unknown_headers.rs
@@ -44,7 +44,7 @@
 
 impl UnknownHeaders {
     /// Notes a header.
-    pub fn note(&self, sender: UnknownSender, name: &str) {
+    pub fn record(&self, sender: UnknownSender, name: &str) {
         let noted = &mut *self.0.borrow_mut();
         noted.seen[sender as usize] += 1;
         if noted.names.len() >= MOST_NAMES {
@@ -63,7 +63,7 @@
     }
 
     /// How often unknown headers of a sender were seen.
-    pub fn seen(&self, sender: UnknownSender) -> u64 {
+    pub fn count(&self, sender: UnknownSender) -> u64 {
         self.0.borrow().seen[sender as usize]
     }
 }
--- a/crates/edge/tests/unknown_headers.rs
+++ b/crates/edge/tests/unknown_headers.rs
@@ -6,31 +6,31 @@
 fn each_name_is_told_once() {
     let headers = UnknownHeaders::default();
     for _ in 0..3 {
-        headers.note(UnknownSender::Engine, "server-mood");
-        headers.note(UnknownSender::KeyValue, "server-mood");
+        headers.record(UnknownSender::Engine, "server-mood");
+        headers.record(UnknownSender::KeyValue, "server-mood");
     }
     assert_eq!(headers.take_new().len(), 2, "one for each sender");
-    headers.note(UnknownSender::Engine, "server-mood");
+    headers.record(UnknownSender::Engine, "server-mood");
     assert!(headers.take_new().is_empty());
-    assert_eq!(headers.seen(UnknownSender::Engine), 4);
-    assert_eq!(headers.seen(UnknownSender::KeyValue), 3);
+    assert_eq!(headers.count(UnknownSender::Engine), 4);
+    assert_eq!(headers.count(UnknownSender::KeyValue), 3);
 }
 
 #[test]
 fn ten_thousand_names_are_counted_and_few_are_told() {
     let headers = UnknownHeaders::default();
     for number in 0..10_000 {
-        headers.note(UnknownSender::Engine, &format!("server-{number}"));
+        headers.record(UnknownSender::Engine, &format!("server-{number}"));
     }
     assert_eq!(headers.take_new().len(), 64);
     assert!(headers.take_new().is_empty());
-    assert_eq!(headers.seen(UnknownSender::Engine), 10_000);
+    assert_eq!(headers.count(UnknownSender::Engine), 10_000);
 }
 
 #[test]
 fn a_long_name_is_cut() {
     let headers = UnknownHeaders::default();
-    headers.note(
+    headers.record(
         UnknownSender::Engine,
         &format!("server-{}", "\u{e9}".repeat(8_000)),
     );
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -7,8 +7,8 @@
 
 use dalestand_clock::BootInstant;
 use dalestand_dissemination::NodeNumber;
-use dalestand_edge::duty_calls::EngineTenure;
-use dalestand_edge::routed::{Dialect, EngineEntry, FleetForm};
+use dalestand_edge::duty_calls::ProvisioningModel;
+use dalestand_edge::routed::{Dialect, EngineEntry, StoreFormat};
 use dalestand_edge::unknown_headers::UnknownHeaders;
 use dalestand_engine_link::{EngineLink, LinkLimits};
 use dalestand_planner::{ScalingDecision, ZoneEngines};
@@ -43,7 +43,7 @@
 /// What a node is made of beside its settings.
 pub(crate) struct ContextParts {
     pub(crate) dialect: Rc<dyn Dialect>,
-    pub(crate) form: Rc<dyn FleetForm>,
+    pub(crate) store_format: Rc<dyn StoreFormat>,
     pub(crate) unknown_headers: UnknownHeaders,
     pub(crate) logger: Logger,
     pub(crate) metrics: ForwardingMetrics,
@@ -53,7 +53,7 @@
 pub(crate) struct Context {
     pub(crate) settings: ForwardingSettings,
     pub(crate) dialect: Rc<dyn Dialect>,
-    pub(crate) form: Rc<dyn FleetForm>,
+    pub(crate) store_format: Rc<dyn StoreFormat>,
     /// Headers that nothing here knows.
     pub(crate) unknown_headers: UnknownHeaders,
     pub(crate) link: EngineLink,
@@ -112,7 +112,7 @@
     pub(crate) fn new(settings: ForwardingSettings, parts: ContextParts) -> Self {
         let ContextParts {
             dialect,
-            form,
+            store_format,
             unknown_headers,
             logger,
             metrics,
@@ -120,7 +120,7 @@
         Self {
             metrics,
             dialect,
-            form,
+            store_format,
             unknown_headers,
             link: EngineLink::new(LinkLimits::default()),
             logger,
@@ -218,9 +218,9 @@
     }
 
     /// When the engine started, as its entry or another node told.
-    fn born(&self, engine: EngineKey) -> Option<u64> {
-        let born = self.router.borrow().signals.started_at_ms(engine);
-        Some(born).filter(|born| *born > 0)
+    fn started_at_ms(&self, engine: EngineKey) -> Option<u64> {
+        let started_at_ms = self.router.borrow().signals.started_at_ms(engine);
+        Some(started_at_ms).filter(|time| *time > 0)
     }
 
     /// Takes an engine out that has said that it drains; whether that is news here.
@@ -232,8 +232,10 @@
     /// Forgets all that was known of an engine but where it is: it has started again.
     pub(crate) fn engine_restarted(&self, engine: EngineKey) {
         self.router.borrow_mut().forget_engine(engine);
-        let born = self.born(engine);
-        self.fleet.borrow_mut().set_started_at_ms(engine, born);
+        let started_at_ms = self.started_at_ms(engine);
+        self.fleet
+            .borrow_mut()
+            .set_started_at_ms(engine, started_at_ms);
         if !self.fleet().draining().any(|draining| draining == engine) {
             return;
         }
@@ -242,7 +244,7 @@
         if let Some(entry) = known.find(|entry| EngineKey::of(&entry.run) == engine) {
             let table = self.table();
             let entry = EngineEntry {
-                born,
+                started_at_ms,
                 ..entry.clone()
             };
             let mut fleet = self.fleet.borrow_mut();
@@ -269,7 +271,7 @@
                 gone.insert(EngineKey::of(&former.run));
             }
             if let Some(mut entry) = entry {
-                entry.born = self.born(EngineKey::of(&entry.run));
+                entry.started_at_ms = self.started_at_ms(EngineKey::of(&entry.run));
                 fleet.set(&entry, table.as_deref(), |engine| self.drains(engine));
                 gone.remove(&EngineKey::of(&entry.run));
                 entries.insert(key, entry);
@@ -290,9 +292,9 @@
         });
         for entry in accepting {
             let engines = zones.entry(entry.zone.clone()).or_default();
-            match entry.tenure {
-                EngineTenure::OnDemand => engines.on_demand += 1,
-                EngineTenure::Spot => engines.spot += 1,
+            match entry.provisioning {
+                ProvisioningModel::OnDemand => engines.on_demand += 1,
+                ProvisioningModel::Spot => engines.spot += 1,
             }
         }
         zones
@@ -303,7 +305,7 @@
         let mut zones: BTreeMap<ZoneName, u32> = BTreeMap::new();
         let entries = self.entries.borrow();
         let leaving = entries.values().filter(|entry| {
-            let is_spot = entry.tenure == EngineTenure::Spot;
+            let is_spot = entry.provisioning == ProvisioningModel::Spot;
             let leaves = !entry.accepting || self.drains(EngineKey::of(&entry.run));
             entry.pool == *pool && is_spot && leaves
         });
--- a/crates/forwarding/src/duties/mod.rs
+++ b/crates/forwarding/src/duties/mod.rs
@@ -16,7 +16,7 @@
 /// How a call came out, for the metrics.
 fn outcome_label(answered: &Result<DutyOutcome, Report<PlatformError>>) -> &'static str {
     match answered {
-        Ok(DutyOutcome::Taken) => "taken",
+        Ok(DutyOutcome::Accepted) => "taken",
         Ok(DutyOutcome::Refused) => "refused",
         Err(_) => "failed",
     }
--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dalestand_edge::duty_calls::{
-    DutyAuthority, DutyCalls, DutyOutcome, EngineCountOrder, EngineTenure,
+    DutyAuthority, DutyCalls, DutyOutcome, EngineCountOrder, ProvisioningModel,
 };
 use dalestand_edge::{KeyValue, PlatformError};
 use dalestand_planner::{
@@ -164,7 +164,7 @@
 
 fn order_outcome(answered: &Result<DutyOutcome, Report<PlatformError>>) -> OrderOutcome {
     match answered {
-        Ok(DutyOutcome::Taken) => OrderOutcome::Taken,
+        Ok(DutyOutcome::Accepted) => OrderOutcome::Taken,
         Ok(DutyOutcome::Refused) => OrderOutcome::Refused,
         Err(error) if error.current_context().is_in_doubt() => OrderOutcome::InDoubt,
         Err(_) => OrderOutcome::NotSent,
@@ -289,7 +289,7 @@
             let spot = ZoneSpotEngines {
                 serving: standing.get(zone).map_or(0, |engines| engines.spot),
                 leaving: leaving.get(zone).copied().unwrap_or_default(),
-                ordered: held.orders.ordered(zone, EngineTenure::Spot),
+                ordered: held.orders.ordered(zone, ProvisioningModel::Spot),
             };
             (zone.clone(), spot)
         });
@@ -377,7 +377,7 @@
         let call = EngineCountOrder {
             pool: pool.clone(),
             zone: order.key.zone.clone(),
-            tenure: order.key.tenure,
+            provisioning: order.key.provisioning,
             count: order.count,
         };
         let sent = self.calls.set_engine_count(authority, &call);
@@ -410,16 +410,16 @@
         match answered {
             Ok(outcome) => {
                 let event = match outcome {
-                    DutyOutcome::Taken => Event::EngineCountOrdered,
+                    DutyOutcome::Accepted => Event::EngineCountOrdered,
                     DutyOutcome::Refused => Event::DutyRefused,
                 };
                 log_event!(logger, event, "duty" => "scaling", "pool" => %order.pool,
-                    "zone" => %order.zone, "tenure" => ?order.tenure, "count" => order.count,
+                    "zone" => %order.zone, "tenure" => ?order.provisioning, "count" => order.count,
                     "token" => token, "weighed" => %account);
             }
             Err(error) => {
                 log_event!(logger, Event::EngineCountFailed, "pool" => %order.pool,
-                    "zone" => %order.zone, "tenure" => ?order.tenure, "count" => order.count,
+                    "zone" => %order.zone, "tenure" => ?order.provisioning, "count" => order.count,
                     "step" => "send", "error" => %error.current_context(), "weighed" => %account);
             }
         }
--- a/crates/forwarding/src/duties/scaling/orders.rs
+++ b/crates/forwarding/src/duties/scaling/orders.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_planner::{EngineTargets, ZoneEngines};
 use dalestand_types::{MonotonicTime, ZoneName};
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(in crate::duties) struct OrderKey {
     pub(in crate::duties) zone: ZoneName,
-    pub(in crate::duties) tenure: EngineTenure,
+    pub(in crate::duties) provisioning: ProvisioningModel,
 }
 
 /// An order that is due.
@@ -87,12 +87,16 @@
         for (zone, target) in targets {
             let standing = standing.get(zone).copied().unwrap_or_default();
             let kinds = [
-                (EngineTenure::Spot, target.spot, standing.spot),
-                (EngineTenure::OnDemand, target.on_demand, standing.on_demand),
+                (ProvisioningModel::Spot, target.spot, standing.spot),
+                (
+                    ProvisioningModel::OnDemand,
+                    target.on_demand,
+                    standing.on_demand,
+                ),
             ];
-            for (tenure, count, standing) in kinds {
+            for (provisioning, count, standing) in kinds {
                 let zone = zone.clone();
-                let key = OrderKey { zone, tenure };
+                let key = OrderKey { zone, provisioning };
                 let given = self.given.get(&key);
                 if is_due(now, given, count, standing) {
                     let from = given.map_or(standing, |given| given.count);
@@ -126,7 +130,7 @@
         let given = self.given.iter();
         let refused = given.filter(|(key, given)| {
             let is_refused = given.outcome == OrderOutcome::Refused && !given.pause_is_over(now);
-            key.tenure == EngineTenure::Spot && is_refused
+            key.provisioning == ProvisioningModel::Spot && is_refused
         });
         refused.map(|(key, _)| key.zone.clone()).collect()
     }
@@ -139,7 +143,7 @@
     ) -> BTreeMap<ZoneName, u32> {
         let zones = own.keys().chain(standing.keys());
         let counts = zones.map(|zone| {
-            let ordered = self.ordered(zone, EngineTenure::OnDemand);
+            let ordered = self.ordered(zone, ProvisioningModel::OnDemand);
             let standing = standing.get(zone).map_or(0, |engines| engines.on_demand);
             (zone.clone(), standing.max(ordered.unwrap_or_default()))
         });
@@ -147,9 +151,13 @@
     }
 
     /// The number that was last ordered, if that order was taken.
-    pub(in crate::duties) fn ordered(&self, zone: &ZoneName, tenure: EngineTenure) -> Option<u32> {
+    pub(in crate::duties) fn ordered(
+        &self,
+        zone: &ZoneName,
+        provisioning: ProvisioningModel,
+    ) -> Option<u32> {
         let zone = zone.clone();
-        let given = self.given.get(&OrderKey { zone, tenure })?;
+        let given = self.given.get(&OrderKey { zone, provisioning })?;
         (given.outcome == OrderOutcome::Taken).then_some(given.count)
     }
 }
--- a/crates/forwarding/src/duties/tests.rs
+++ b/crates/forwarding/src/duties/tests.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use dalestand_duties::{ScheduleTerms, TenantCounts, UsageWindows, WindowIndex, WindowReport};
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_edge::{
     CasOutcome, Entry, KeyValue, LeaseId, Listing, PlatformError, WatchBatch, WriteExpectation,
 };
@@ -236,9 +236,9 @@
 
 impl Platform {
     fn carry_out(&mut self, order: &DueOrder) {
-        match order.key.tenure {
-            EngineTenure::Spot => self.counts.spot = order.count,
-            EngineTenure::OnDemand => self.counts.on_demand = order.count,
+        match order.key.provisioning {
+            ProvisioningModel::Spot => self.counts.spot = order.count,
+            ProvisioningModel::OnDemand => self.counts.on_demand = order.count,
         }
     }
 
@@ -343,10 +343,10 @@
 fn on_demand_engines_that_boot_count_where_none_stand() {
     let zone = ZoneName::from("zone");
     let mut orders = EngineOrders::default();
-    let tenure = EngineTenure::OnDemand;
+    let provisioning = ProvisioningModel::OnDemand;
     let key = OrderKey {
         zone: zone.clone(),
-        tenure,
+        provisioning,
     };
     orders.answered(MonotonicTime::ZERO, key, 9, OrderOutcome::Taken, BOOT);
     let own = BTreeMap::from([(zone.clone(), 15)]);
--- a/crates/forwarding/src/duties/usage_report.rs
+++ b/crates/forwarding/src/duties/usage_report.rs
@@ -133,7 +133,7 @@
         let metrics = &self.context.metrics;
         metrics.duty_call("usage", outcome_label(&answered));
         match answered {
-            Ok(DutyOutcome::Taken) => {
+            Ok(DutyOutcome::Accepted) => {
                 self.schedule.done(window);
                 log_event!(self.context.logger, Event::UsageReported, "window" => window.0,
                     "token" => mandate.token, "tenants" => report.counts.len(),
--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -14,7 +14,7 @@
 
 /// Applies a declaration unless it is unusable or not newer than the active one.
 pub(crate) fn apply(context: &Context, text: &str) {
-    let read = context.form.read_configuration(text);
+    let read = context.store_format.read_configuration(text);
     let table = read.and_then(|file| {
         RouteTable::new(file).map_err(|faults| {
             let faults = faults.iter().map(ToString::to_string);
@@ -49,7 +49,7 @@
     }
 
     fn apply_listing(&self, listing: Listing, _after_outage: bool) {
-        let key = self.0.form.configuration_key();
+        let key = self.0.store_format.configuration_key();
         let entries = listing.entries.iter();
         for entry in entries.filter(|entry| entry.key == key) {
             apply(&self.0, &entry.value);
@@ -57,7 +57,7 @@
     }
 
     fn apply_events(&self, events: Vec<WatchEvent>) {
-        let key = self.0.form.configuration_key();
+        let key = self.0.store_format.configuration_key();
         for event in events.iter().filter(|event| event.key == key) {
             if let Some(value) = &event.value {
                 apply(&self.0, value);
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -133,13 +133,15 @@
     revision: u64,
     source: ChangeSource,
 ) -> EntryRecord {
-    let read = value.and_then(|value| match context.form.read_engine(&key, value) {
-        Ok(entry) => Some(entry),
-        Err(error) => {
-            report_unreadable(context, &key, &error);
-            None
-        }
-    });
+    let read = value.and_then(
+        |value| match context.store_format.read_engine(&key, value) {
+            Ok(entry) => Some(entry),
+            Err(error) => {
+                report_unreadable(context, &key, &error);
+                None
+            }
+        },
+    );
     if let Some(entry) = &read {
         apply_entry_start(context, entry, source);
     }
@@ -153,7 +155,10 @@
 /// Applies the start time of an engine's entry. A watch delivers recent writes, but a listing may come
 /// from a restored service and show a previous start.
 fn apply_entry_start(context: &Context, entry: &EngineEntry, source: ChangeSource) {
-    let (engine, started_at_ms) = (EngineKey::of(&entry.run), entry.born.unwrap_or_default());
+    let (engine, started_at_ms) = (
+        EngineKey::of(&entry.run),
+        entry.started_at_ms.unwrap_or_default(),
+    );
     let known = context.router.borrow().signals.started_at_ms(engine);
     if source == ChangeSource::Store || started_at_ms > known {
         apply_start(context, engine, started_at_ms, NoticeSource::Entry);
--- a/crates/forwarding/src/fleet/engines.rs
+++ b/crates/forwarding/src/fleet/engines.rs
@@ -94,7 +94,7 @@
             memory_tokens: staged.memory_tokens,
             address: entry.address,
             run: Arc::clone(&entry.run),
-            started_at_ms: entry.born,
+            started_at_ms: entry.started_at_ms,
         };
         let pool = self.pools.entry(entry.pool.clone()).or_default();
         pool.insert(staged);
--- a/crates/forwarding/src/fleet/entry_text.rs
+++ b/crates/forwarding/src/fleet/entry_text.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_edge::routed::EngineEntry;
 use dalestand_types::{PoolName, Role, ZoneName};
 use serde::{Deserialize, Serialize};
@@ -50,9 +50,9 @@
         Role::Decode => RoleCode::Decode,
         Role::Mixed => RoleCode::Mixed,
     });
-    let tenure = match entry.tenure {
-        EngineTenure::OnDemand => TenureCode::OnDemand,
-        EngineTenure::Spot => TenureCode::Spot,
+    let provisioning = match entry.provisioning {
+        ProvisioningModel::OnDemand => TenureCode::OnDemand,
+        ProvisioningModel::Spot => TenureCode::Spot,
     };
     let text = EntryText(
         Arc::clone(&entry.run),
@@ -62,7 +62,7 @@
         entry.slots,
         entry.accepting,
         role,
-        tenure,
+        provisioning,
     );
     // Cannot fail: the fields are strings, numbers and an address.
     serde_json::to_string(&text).unwrap_or_default()
@@ -70,12 +70,12 @@
 
 /// Parses the text of [`write`].
 pub(crate) fn read(text: &str) -> Result<EngineEntry, serde_json::Error> {
-    let EntryText(run, pool, address, zone, slots, accepting, role, tenure) =
+    let EntryText(run, pool, address, zone, slots, accepting, role, provisioning) =
         serde_json::from_str(text)?;
     Ok(EngineEntry {
         run,
         // Sent separately, so that builds without start times can read this text.
-        born: None,
+        started_at_ms: None,
         pool,
         address,
         zone,
@@ -86,9 +86,9 @@
             RoleCode::Decode => Role::Decode,
             RoleCode::Mixed => Role::Mixed,
         }),
-        tenure: match tenure {
-            TenureCode::OnDemand => EngineTenure::OnDemand,
-            TenureCode::Spot => EngineTenure::Spot,
+        provisioning: match provisioning {
+            TenureCode::OnDemand => ProvisioningModel::OnDemand,
+            TenureCode::Spot => ProvisioningModel::Spot,
         },
     })
 }
--- a/crates/forwarding/src/fleet/entry_text/tests.rs
+++ b/crates/forwarding/src/fleet/entry_text/tests.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_edge::routed::EngineEntry;
 use dalestand_types::{PoolName, Role, ZoneName};
 use proptest::prelude::*;
@@ -13,14 +13,14 @@
 fn entry(role: Option<Role>) -> EngineEntry {
     EngineEntry {
         run: Arc::from("i-7f3a91c2"),
-        born: None,
+        started_at_ms: None,
         pool: PoolName::from("caption-llm"),
         address: ([10, 1, 64, 9], 8080).into(),
         zone: ZoneName::from("duluth-vault"),
         slots: 12,
         accepting: true,
         role,
-        tenure: EngineTenure::OnDemand,
+        provisioning: ProvisioningModel::OnDemand,
     }
 }
 
@@ -40,11 +40,11 @@
     ) {
         let entry = EngineEntry {
             run: Arc::from(run),
-            born: None,
+            started_at_ms: None,
             pool: PoolName::from(pool),
             slots,
             accepting,
-            tenure: if is_spot { EngineTenure::Spot } else { EngineTenure::OnDemand },
+            provisioning: if is_spot { ProvisioningModel::Spot } else { ProvisioningModel::OnDemand },
             ..entry(role)
         };
         prop_assert_eq!(read(&write(&entry)).expect("an entry"), entry);
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -91,7 +91,7 @@
 }
 
 async fn recover_from_engine(context: Rc<Context>, pool: PoolName, engine: StagedEngine) {
-    let head = context.dialect.kept_parts_request();
+    let head = context.dialect.cached_parts_request();
     let answered = call_engine(&context, &pool, &engine, head, Bytes::new()).await;
     let Some((status, body)) = answered else {
         log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run);
@@ -100,7 +100,7 @@
     if !status.is_success() {
         return;
     }
-    let cached = context.dialect.read_kept_parts(&body);
+    let cached = context.dialect.read_cached_parts(&body);
     let long = cached
         .into_iter()
         .filter(|(_, tokens)| *tokens >= MIN_PART_TOKENS);
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -47,7 +47,7 @@
         self.report_age_ms.set(report_age.as_millis() as i64);
         self.signals.set(&standing_signals(context));
         for sender in UNKNOWN_SENDERS {
-            let seen = context.unknown_headers.seen(sender);
+            let seen = context.unknown_headers.count(sender);
             self.signals.count_unknown_headers(sender, seen);
         }
         self.requests_stopped.set(stopped_count(context) as i64);
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -7,7 +7,7 @@
 use dalestand_clock::BootInstant;
 use dalestand_edge::KeyValue;
 use dalestand_edge::duty_calls::DutyCalls;
-use dalestand_edge::routed::{Dialect, FleetForm};
+use dalestand_edge::routed::{Dialect, StoreFormat};
 use dalestand_edge::unknown_headers::UnknownHeaders;
 use dalestand_http_server::{Connections, ServerLimits, serve};
 use dalestand_telemetry::{Event, log_event};
@@ -73,7 +73,7 @@
     /// The words of callers and engines.
     pub dialect: Rc<dyn Dialect>,
     /// The form of what stands in the key-value service.
-    pub form: Rc<dyn FleetForm>,
+    pub store_format: Rc<dyn StoreFormat>,
     /// The key-value service.
     pub store: Rc<dyn KeyValue>,
     /// Calls that one node makes for all; `None` where the platform asks for none.
@@ -104,7 +104,7 @@
     let metrics = ForwardingMetrics::new().change_context(ForwardingError::Metrics)?;
     let parts = ContextParts {
         dialect: node.dialect,
-        form: node.form,
+        store_format: node.store_format,
         unknown_headers: node.unknown_headers,
         logger,
         metrics,
@@ -194,7 +194,7 @@
         logger: context.logger.clone(),
     };
     let declaration = DeclarationFollower(Rc::clone(context));
-    let mut task = start(context.form.configuration_key());
+    let mut task = start(context.store_format.configuration_key());
     if let Some(holds) = context.settings.declaration_holds() {
         // Confirmed three times before it no longer holds: a call may be lost.
         task.watch_wait = holds / 3;
@@ -204,7 +204,7 @@
     let always = watch::channel(true).1;
     actix_rt::spawn(follow(task, declaration, always));
     let engines = EngineFollower::new(Rc::clone(context));
-    let task = start(context.form.engine_prefix());
+    let task = start(context.store_format.engine_prefix());
     actix_rt::spawn(follow(
         task,
         engines,
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dalestand_edge::routed::{StageOrder, StageOrderOutcome};
+use dalestand_edge::routed::{RoleChangeOrder, RoleChangeOutcome};
 use dalestand_planner::{
     PendingChanges, StageBalancer, StageBalancerConfig, StageChange, StageCounts, StageDemand,
     StageQueueTimes, StageUtilization,
@@ -217,7 +217,7 @@
     let Some(mandate) = authority.mandate(context.now()) else {
         return false;
     };
-    let order = StageOrder {
+    let order = RoleChangeOrder {
         holder: context.settings.node.as_str(),
         token: mandate.token,
         sequence,
@@ -227,20 +227,20 @@
             StageChange::ToDecode => Role::Decode,
         },
     };
-    let (head, body) = context.dialect.stage_order(&order);
+    let (head, body) = context.dialect.role_change_order(&order);
     let sent = call_engine(context, pool, engine, head, body);
     let answered = while_held(authority, mandate.token, || context.now(), sent).await;
     let answered = answered.flatten();
     // An order without an answer may come true at any later time, or never.
     let mut avoided = UNANSWERED;
-    let outcome = answered.map(|(status, _)| context.dialect.read_stage_order(status));
+    let outcome = answered.map(|(status, _)| context.dialect.read_role_change_outcome(status));
     match outcome {
-        Some(StageOrderOutcome::Refused(status)) => {
+        Some(RoleChangeOutcome::Refused(status)) => {
             log_event!(context.logger, Event::OrderRefused, "engine" => &*engine.run,
                 "token" => mandate.token, "sequence" => sequence, "status" => status);
             return false;
         }
-        Some(StageOrderOutcome::Taken) => {
+        Some(RoleChangeOutcome::Accepted) => {
             avoided = IN_DOUBT;
             log_event!(context.logger, Event::OrderGiven, "engine" => &*engine.run,
                 "token" => mandate.token, "sequence" => sequence, "role" => %order.role);
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -7,7 +7,7 @@
 use actix_http::StatusCode;
 use actix_http::header::CONTENT_ENCODING;
 use dalestand_clock::{BootInstant, timeout};
-use dalestand_edge::routed::EngineTerms;
+use dalestand_edge::routed::EngineRequestOptions;
 use dalestand_engine_link::{AnswerBody, Exchange, LinkTarget, ResponseHead, SendError};
 use dalestand_quarantine::STOP_AFTER_CRASHES;
 use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
@@ -55,7 +55,7 @@
     pub(crate) purpose: CallPurpose,
     pub(crate) pool: &'a PoolName,
     pub(crate) choice: EngineChoice,
-    pub(crate) terms: EngineTerms<'a>,
+    pub(crate) terms: EngineRequestOptions<'a>,
     /// Time in which a head must come.
     pub(crate) patience: Duration,
 }
@@ -113,7 +113,7 @@
     }
     count_prefill(context, progress, call.choice.unread_tokens);
     let mut head = progress.head();
-    let terms = EngineTerms {
+    let terms = EngineRequestOptions {
         fetch_from: call.choice.fetch_from.and_then(|key| address(context, key)),
         deadline: progress.deadline_left(),
         run: &engine.run,
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -9,7 +9,7 @@
 use actix_http::RequestHead;
 use actix_http::header::HeaderName;
 use bytes::Bytes;
-use dalestand_edge::routed::AnswerFacts;
+use dalestand_edge::routed::ResponseMetadata;
 use dalestand_edge::unknown_headers::UnknownSender;
 use dalestand_engine_link::{Exchange, LinkTarget, SendError};
 use dalestand_routing::staged::{ClosedReason, EngineKey, ProbeCall, ProbeOutcome, StagedEngine};
@@ -58,7 +58,7 @@
 /// An answer's head that has come.
 pub(crate) struct EngineReply {
     pub(crate) exchange: Exchange,
-    pub(crate) facts: AnswerFacts,
+    pub(crate) facts: ResponseMetadata,
     /// Whether it answers this call. A surplus answer to another one says nothing of its engine now.
     pub(crate) is_own: bool,
 }
@@ -139,7 +139,7 @@
     let answer = &exchange.head;
     let names = answer.headers.keys().map(HeaderName::as_str);
     for name in names.filter(|name| context.dialect.is_unknown_header(name)) {
-        context.unknown_headers.note(UnknownSender::Engine, name);
+        context.unknown_headers.record(UnknownSender::Engine, name);
     }
     let facts = context.dialect.read_answer(answer.status, &answer.headers);
     let reply = EngineReply {
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dalestand_clock::timeout_at;
-use dalestand_edge::routed::EngineTerms;
+use dalestand_edge::routed::EngineRequestOptions;
 use dalestand_engine_link::ResponseHead;
 use dalestand_http_server::{Answer, ConnectionType, Request};
 use dalestand_routing::CallPurpose;
@@ -283,10 +283,10 @@
         purpose: CallPurpose::Run,
         pool,
         choice,
-        terms: EngineTerms {
-            memory: held.map(|held| (held.address(), &*held.memory.name)),
+        terms: EngineRequestOptions {
+            kv_cache: held.map(|held| (held.address(), &*held.kv_cache.name)),
             last_event,
-            ..EngineTerms::default()
+            ..EngineRequestOptions::default()
         },
         patience,
     };
--- a/crates/forwarding/src/serve/prefill.rs
+++ b/crates/forwarding/src/serve/prefill.rs
@@ -6,7 +6,7 @@
 
 use actix_http::RequestHead;
 use bytes::Bytes;
-use dalestand_edge::routed::{EngineTerms, HeldMemory};
+use dalestand_edge::routed::{EngineRequestOptions, HeldKvCache};
 use dalestand_engine_link::LinkTarget;
 use dalestand_routing::CallPurpose;
 use dalestand_routing::staged::{AttemptResult, EngineChoice, StagedEngine};
@@ -37,7 +37,7 @@
     pool: PoolName,
     target: LinkTarget,
     pub(crate) engine: StagedEngine,
-    pub(crate) memory: HeldMemory,
+    pub(crate) kv_cache: HeldKvCache,
     taken: bool,
 }
 
@@ -60,7 +60,7 @@
         }
         let context = Rc::clone(&self.context);
         let (pool, engine, target) = (self.pool.clone(), self.engine.clone(), self.target.clone());
-        let (method, path) = context.dialect.free_memory(&self.memory);
+        let (method, path) = context.dialect.free_kv_cache(&self.kv_cache);
         actix_rt::spawn(async move {
             let mut head = RequestHead::default();
             head.method = method;
@@ -109,9 +109,9 @@
         pool,
         patience: patience(&choice).min(progress.time_left()),
         choice,
-        terms: EngineTerms {
+        terms: EngineRequestOptions {
             prefill_only: true,
-            ..EngineTerms::default()
+            ..EngineRequestOptions::default()
         },
     };
     match attempt(context, progress, call).await {
@@ -137,14 +137,14 @@
         Ok(_) => answer.watch.over(),
         Err(_) => answer.watch.unfinished(Unfinished::BrokenOff),
     }
-    let memory = match body {
-        Ok(body) if answer.head.status.is_success() => context.dialect.read_held_memory(&body),
+    let kv_cache = match body {
+        Ok(body) if answer.head.status.is_success() => context.dialect.read_held_kv_cache(&body),
         Ok(_) | Err(_) => None,
     };
     answer.work.prompt_read();
     let now = context.now();
     let mut router = context.router.borrow_mut();
-    let Some(memory) = memory else {
+    let Some(kv_cache) = kv_cache else {
         router.health.record(now, engine.key, AttemptResult::Failed);
         return PrefillEnd::Failed;
     };
@@ -157,7 +157,7 @@
         pool: pool.clone(),
         target: answer.target,
         engine,
-        memory,
+        kv_cache,
         taken: false,
     }))
 }
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -8,7 +8,7 @@
 use actix_http::{Method, RequestHead, Uri};
 use bytes::Bytes;
 use dalestand_clock::BootInstant;
-use dalestand_edge::routed::RequestFacts;
+use dalestand_edge::routed::RequestMetadata;
 use dalestand_quarantine::RequestFingerprint;
 use dalestand_routes::{Caller, RouteTable, RouteTerms};
 use dalestand_routing::staged::{
@@ -139,7 +139,7 @@
 
 /// A request that is to be served.
 pub(crate) struct Admitted {
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestMetadata,
     pub(crate) caller: Caller,
     pub(crate) passed: PassedRequest,
     pub(crate) table: Rc<RouteTable>,
@@ -152,7 +152,7 @@
 
 /// One request under way.
 pub(crate) struct Progress {
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestMetadata,
     /// Whose request it is.
     pub(crate) caller: Caller,
     pub(crate) passed: PassedRequest,
--- a/crates/forwarding/tests/fleet.rs
+++ b/crates/forwarding/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use dalestand_dissemination::EngineCode;
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_edge::routed::EngineEntry;
 use dalestand_forwarding::Fleet;
 use dalestand_routing::staged::{EngineKey, rendezvous_weight};
@@ -14,14 +14,14 @@
 fn entry(number: u16, pool: u8, accepting: bool, prefill: bool) -> EngineEntry {
     EngineEntry {
         run: Arc::from(format!("i-{number}")),
-        born: None,
+        started_at_ms: None,
         pool: PoolName::from(format!("pool-{pool}")),
         address: ([127, 0, 0, 1], 1_000 + number).into(),
         zone: ZoneName::from("here"),
         slots: 4,
         accepting,
         role: Some(if prefill { Role::Prefill } else { Role::Decode }),
-        tenure: EngineTenure::OnDemand,
+        provisioning: ProvisioningModel::OnDemand,
     }
 }
 
@@ -69,7 +69,7 @@
 fn named(run: &str) -> EngineEntry {
     EngineEntry {
         run: Arc::from(run),
-        born: None,
+        started_at_ms: None,
         ..entry(1, 0, true, false)
     }
 }
--- a/crates/forwarding/tests/support/dialect.rs
+++ b/crates/forwarding/tests/support/dialect.rs
@@ -6,10 +6,10 @@
 use actix_http::header::{HeaderMap, HeaderName, HeaderValue};
 use actix_http::{Method, RequestHead, StatusCode};
 use bytes::Bytes;
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_edge::routed::{
-    AnswerFacts, Dialect, EngineEntry, EngineTerms, FleetForm, HeldMemory, RequestFacts,
-    StageOrder, StageOrderOutcome,
+    Dialect, EngineEntry, EngineRequestOptions, HeldKvCache, RequestMetadata, ResponseMetadata,
+    RoleChangeOrder, RoleChangeOutcome, StoreFormat,
 };
 use dalestand_routes::{ApiKey, PresentedKey, RouteFile};
 use dalestand_types::{EngineSignals, LimitSignal, PoolName, RequestRate, Role, ZoneName};
@@ -31,11 +31,11 @@
 pub struct PlainDialect;
 
 impl Dialect for PlainDialect {
-    fn read_request(&self, headers: &HeaderMap) -> RequestFacts {
+    fn read_request(&self, headers: &HeaderMap) -> RequestMetadata {
         let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
         let deadline: Option<u64> = text(&DEADLINE).and_then(|text| text.parse().ok());
         let prompt: Option<u32> = text(&PROMPT).and_then(|text| text.parse().ok());
-        RequestFacts {
+        RequestMetadata {
             id: text(&ID).map(Arc::from),
             deadline: deadline.map(Duration::from_millis),
             prompt_tokens: prompt.unwrap_or_default(),
@@ -44,11 +44,11 @@
                 Some(key) => PresentedKey::Key(ApiKey::new(key)),
                 None => PresentedKey::Absent,
             },
-            ..RequestFacts::default()
+            ..RequestMetadata::default()
         }
     }
 
-    fn write_request(&self, headers: &mut HeaderMap, terms: &EngineTerms<'_>) {
+    fn write_request(&self, headers: &mut HeaderMap, terms: &EngineRequestOptions<'_>) {
         if let Some(tenant) = terms.caller.tenant() {
             headers.remove(KEY);
             let name = HeaderValue::from_str(tenant.name.as_str());
@@ -57,7 +57,7 @@
         if terms.prefill_only {
             headers.insert(PREFILL, HeaderValue::from_static("1"));
         }
-        if let Some((address, _)) = terms.memory {
+        if let Some((address, _)) = terms.kv_cache {
             let address = HeaderValue::from_str(&address.to_string());
             headers.insert(MEMORY, address.expect("an address"));
         }
@@ -66,11 +66,11 @@
         }
     }
 
-    fn read_answer(&self, _status: StatusCode, headers: &HeaderMap) -> AnswerFacts {
+    fn read_answer(&self, _status: StatusCode, headers: &HeaderMap) -> ResponseMetadata {
         let text = |name: &HeaderName| headers.get(name).and_then(|value| value.to_str().ok());
         let id = text(&ID);
         let backoff_ms: Option<u64> = text(&BACKOFF_MS).and_then(|text| text.parse().ok());
-        AnswerFacts {
+        ResponseMetadata {
             id: id.map(Arc::from),
             refused: headers.contains_key(REFUSED),
             marked: true,
@@ -88,21 +88,21 @@
         }
     }
 
-    fn read_held_memory(&self, _body: &[u8]) -> Option<HeldMemory> {
+    fn read_held_kv_cache(&self, _body: &[u8]) -> Option<HeldKvCache> {
         let name = Arc::from("memory");
-        Some(HeldMemory { name })
+        Some(HeldKvCache { name })
     }
 
-    fn free_memory(&self, _memory: &HeldMemory) -> (Method, String) {
+    fn free_kv_cache(&self, _cache: &HeldKvCache) -> (Method, String) {
         (Method::DELETE, "/memory".to_owned())
     }
 
-    fn stage_order(&self, _order: &StageOrder<'_>) -> (RequestHead, Bytes) {
+    fn role_change_order(&self, _order: &RoleChangeOrder<'_>) -> (RequestHead, Bytes) {
         (RequestHead::default(), Bytes::new())
     }
 
-    fn read_stage_order(&self, status: StatusCode) -> StageOrderOutcome {
-        StageOrderOutcome::Refused(status.as_u16())
+    fn read_role_change_outcome(&self, status: StatusCode) -> RoleChangeOutcome {
+        RoleChangeOutcome::Refused(status.as_u16())
     }
 
     fn report_request(&self) -> RequestHead {
@@ -113,11 +113,11 @@
         None
     }
 
-    fn kept_parts_request(&self) -> RequestHead {
+    fn cached_parts_request(&self) -> RequestHead {
         RequestHead::default()
     }
 
-    fn read_kept_parts(&self, _body: &[u8]) -> Vec<(u64, u32)> {
+    fn read_cached_parts(&self, _body: &[u8]) -> Vec<(u64, u32)> {
         Vec::new()
     }
 
@@ -134,7 +134,7 @@
 /// declarations are TOML.
 pub struct PlainForm;
 
-impl FleetForm for PlainForm {
+impl StoreFormat for PlainForm {
     fn configuration_key(&self) -> &'static str {
         "declaration"
     }
@@ -149,14 +149,14 @@
 
     fn read_engine(&self, key: &str, value: &str) -> Result<EngineEntry, String> {
         let (address, state) = value.split_once(' ').ok_or("no state")?;
-        let (state, born) = match state.split_once(" born ") {
-            Some((state, born)) => (state, Some(born.parse().map_err(|_| "no time")?)),
+        let (state, started_at_ms) = match state.split_once(" born ") {
+            Some((state, time)) => (state, Some(time.parse().map_err(|_| "no time")?)),
             None => (state, None),
         };
         let (state, role) = state.split_once(' ').unwrap_or((state, ""));
         Ok(EngineEntry {
             run: Arc::from(key),
-            born,
+            started_at_ms,
             pool: PoolName::from("pool"),
             address: address.parse().map_err(|_| "no address")?,
             zone: ZoneName::from("here"),
@@ -167,7 +167,7 @@
                 "decode" => Some(Role::Decode),
                 _ => None,
             },
-            tenure: EngineTenure::OnDemand,
+            provisioning: ProvisioningModel::OnDemand,
         })
     }
 }
--- a/crates/forwarding/tests/support/node.rs
+++ b/crates/forwarding/tests/support/node.rs
@@ -157,7 +157,7 @@
             settings,
             read_settings: Box::new(move || Ok(known.clone())),
             dialect: Rc::new(PlainDialect),
-            form: Rc::new(PlainForm),
+            store_format: Rc::new(PlainForm),
             store: Rc::clone(&store) as Rc<dyn KeyValue>,
             duty_calls: None,
             logger: discard_logger(),
--- a/crates/gateway/src/attempt/guard.rs
+++ b/crates/gateway/src/attempt/guard.rs
@@ -5,11 +5,11 @@
 use dalestand_routing::{Completion, EngineView, RouteRequest, Ticket};
 use dalestand_types::{Placement, Usage};
 
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// Counts a request at an engine until dropped.
 pub(crate) struct InFlightGuard {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     ticket: Ticket,
     completion: Completion,
 }
@@ -17,7 +17,7 @@
 impl InFlightGuard {
     /// Counts a request that is about to be sent.
     pub(super) fn new(
-        shared: &Arc<Shared>,
+        shared: &Arc<SharedState>,
         engine: &EngineView,
         route: &RouteRequest,
         placement: Placement,
--- a/crates/gateway/src/claim_hold.rs
+++ b/crates/gateway/src/claim_hold.rs
@@ -6,11 +6,11 @@
 
 use crate::claim::{ClaimEnd, ClaimOutcome, ClaimRequest, KeptAnswer};
 use crate::error::CallerError;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// A claim that was granted. Dropped without an end, it is reported as unknown.
 pub(crate) struct ClaimHold {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     claim: ClaimRequest,
     reported: bool,
 }
@@ -50,7 +50,7 @@
 
 /// Claims a key; `None` if nothing grants claims on this node.
 pub(crate) async fn claim(
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     claim: ClaimRequest,
 ) -> Result<Option<Claimed>, CallerError> {
     let Some(gate) = shared.claims() else {
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -7,12 +7,12 @@
 
 use crate::engines::EngineClients;
 use crate::identity::TenantIndex;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// State of one arbiter that serves callers.
 pub(crate) struct Context {
     /// State of the node.
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedState>,
     /// Source of identifiers and of sampling.
     pub(crate) random: RefCell<StdRng>,
     /// Clients of engines.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
 //! Callers' HTTP surface: the OpenAI-compatible paths, streaming, cancel.
 //!
 //! It routes each request by itself on the node's picture of the fleet and never waits for the
-//! control half of the node: the two share only [`Shared`].
+//! control half of the node: the two share only [`SharedState`].
 
 pub mod assembler;
 mod attempt;
@@ -27,4 +27,4 @@
 };
 pub use error::CallerError;
 pub use server::{CallerLimits, serve_callers};
-pub use shared::{ActiveConfiguration, Clock, RequestGuard, Shared};
+pub use shared::{ActiveConfiguration, Clock, RequestGuard, SharedState};
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -6,10 +6,10 @@
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::{RequestId, RunState};
 
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// Notes what came of the request's last attempt.
-pub(crate) fn set_outcome(shared: &Shared, request: RequestId, outcome: AttemptOutcome) {
+pub(crate) fn set_outcome(shared: &SharedState, request: RequestId, outcome: AttemptOutcome) {
     shared.decisions().update_request(request, |kept| {
         if let Some(last) = kept.attempts.last_mut() {
             last.outcome = outcome;
@@ -20,14 +20,14 @@
 /// A request's record until its end, or its relay, is there. Dropped before, the caller has gone
 /// while engines were asked, and whether one ran it is not known.
 pub(crate) struct OpenRecord {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     request: RequestId,
     open: bool,
 }
 
 impl OpenRecord {
     /// The record of `request`.
-    pub(crate) fn new(shared: &Arc<Shared>, request: RequestId) -> Self {
+    pub(crate) fn new(shared: &Arc<SharedState>, request: RequestId) -> Self {
         Self {
             shared: Arc::clone(shared),
             request,
@@ -52,7 +52,7 @@
 
 /// Notes the end of a request.
 pub(crate) fn finish(
-    shared: &Shared,
+    shared: &SharedState,
     request: RequestId,
     state: RunState,
     refusal: Option<String>,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -19,7 +19,7 @@
 use crate::identity::TenantIndex;
 use crate::openai::{ModelBody, ModelsBody, Surface};
 use crate::order::ADAPTER_SEPARATOR;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// Most requests a node has in flight where nothing else is said.
 const DEFAULT_MAX_REQUESTS: usize = 8_192;
@@ -45,7 +45,7 @@
 /// Serves callers on `listener` until dropped.
 pub async fn serve_callers(
     listener: TcpListener,
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     limits: CallerLimits,
     connections: Connections,
 ) {
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -57,7 +57,7 @@
 }
 
 /// State shared by the halves of a node.
-pub struct Shared {
+pub struct SharedState {
     /// The clock of the node.
     pub clock: Clock,
     /// The node.
@@ -82,7 +82,7 @@
 }
 
 /// Counts a request in flight until dropped.
-pub struct RequestGuard(Arc<Shared>);
+pub struct RequestGuard(Arc<SharedState>);
 
 impl Drop for RequestGuard {
     fn drop(&mut self) {
@@ -91,7 +91,7 @@
     }
 }
 
-impl Shared {
+impl SharedState {
     /// State of a node that has just started.
     pub fn new(node: NodeId, zone: ZoneName, logger: Logger, metrics: Metrics) -> Self {
         Self {
--- a/crates/gateway/src/tenant_share.rs
+++ b/crates/gateway/src/tenant_share.rs
@@ -9,11 +9,11 @@
 use dalestand_types::TenantName;
 
 use crate::error::CallerError;
-use crate::shared::Shared;
+use crate::shared::SharedState;
 
 /// Tokens that a request took; what it did not use goes back when this is dropped.
 pub(crate) struct TenantGrant {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     tenant: TenantName,
     taken: u64,
     used: u64,
@@ -23,7 +23,7 @@
     /// Takes `tokens` of a tenant's share, or says when to come back. A caller without a tenant is
     /// not limited here.
     pub(crate) fn take(
-        shared: &Arc<Shared>,
+        shared: &Arc<SharedState>,
         tenant: Option<&Tenant>,
         tokens: u64,
     ) -> Result<Option<Self>, CallerError> {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -10,7 +10,7 @@
 
 use dalestand_config::Deployment;
 use dalestand_edge::{Engine as _, HttpEngine};
-use dalestand_gateway::{ActiveConfiguration, CallerLimits, Shared, serve_callers};
+use dalestand_gateway::{ActiveConfiguration, CallerLimits, SharedState, serve_callers};
 use dalestand_http_server::Connections;
 use dalestand_routing::{EngineView, FleetView};
 use dalestand_standin::engine::{
@@ -110,7 +110,7 @@
 pub struct Stage {
     pub engines: Vec<SocketAddr>,
     pub callers: SocketAddr,
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     pub connections: Connections,
 }
 
@@ -149,7 +149,7 @@
         }
         let metrics = Metrics::new().expect("metrics");
         let node = NodeId::from("n");
-        let shared = Shared::new(node, ZoneName::from("z"), discard_logger(), metrics);
+        let shared = SharedState::new(node, ZoneName::from("z"), discard_logger(), metrics);
         let shared = Arc::new(shared);
         let text = DEPLOYMENT
             .replace("REQUIRE_KEY", &options.require_key.to_string())
@@ -229,7 +229,10 @@
 }
 
 /// Serves `shared` at another address.
-pub async fn start_node(shared: &Arc<Shared>, limits: CallerLimits) -> (SocketAddr, Connections) {
+pub async fn start_node(
+    shared: &Arc<SharedState>,
+    limits: CallerLimits,
+) -> (SocketAddr, Connections) {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let connections = Connections::default();
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -11,7 +11,7 @@
 use dalestand_cluster::Cluster;
 use dalestand_decision::{request_explanation, role_change_explanation};
 use dalestand_edge::KeyValue;
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_http_server::{
     Answer, Connections, HttpServerError, Method, Request, ServerLimits, StatusCode, json_answer,
     read_json, serve, text_answer,
@@ -37,7 +37,7 @@
 /// What the operators' surface answers from.
 pub(crate) struct Admin {
     /// State shared with the callers' half.
-    pub(crate) shared: Arc<Shared>,
+    pub(crate) shared: Arc<SharedState>,
     /// The control half.
     pub(crate) control: Rc<ControlDriver>,
     /// Drain marks.
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -8,7 +8,7 @@
 
 use actix_rt::Arbiter;
 use actix_rt::time::timeout;
-use dalestand_gateway::{CallerLimits, Shared, serve_callers};
+use dalestand_gateway::{CallerLimits, SharedState, serve_callers};
 use dalestand_http_server::Connections;
 use dalestand_telemetry::{Event, log_event};
 use error_stack::{Report, ResultExt as _};
@@ -38,7 +38,7 @@
 impl CallerHalf {
     /// Starts to serve callers on `listener`.
     pub(crate) fn start(
-        shared: &Arc<Shared>,
+        shared: &Arc<SharedState>,
         listener: std::net::TcpListener,
     ) -> Result<Self, Report<NodeError>> {
         let connections = Connections::default();
@@ -63,7 +63,7 @@
     /// Stops to accept, answers what was taken in, and waits until the last byte of every answer
     /// has been written: an answer whose last part was taken from its request may still lie in its
     /// connection's buffer.
-    pub(crate) async fn drain(&self, shared: &Shared) {
+    pub(crate) async fn drain(&self, shared: &SharedState) {
         self.connections.stop_accepting().await;
         actix_rt::time::sleep(LAST_REQUESTS).await;
         if timeout(FLUSH_LIMIT, self.connections.drain())
@@ -84,7 +84,7 @@
 }
 
 fn start_arbiter(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     listener: std::net::TcpListener,
     connections: Connections,
 ) -> Arbiter {
--- a/crates/node/src/claims/driver.rs
+++ b/crates/node/src/claims/driver.rs
@@ -11,7 +11,7 @@
     Action, Claim, ClaimHash, ClaimState, Reply, Shard, ShardId, Ticket, shard_leader,
 };
 use dalestand_cluster::Cluster;
-use dalestand_gateway::{ClaimEnd, ClaimOutcome, ClaimRequest, KeptAnswer, Shared};
+use dalestand_gateway::{ClaimEnd, ClaimOutcome, ClaimRequest, KeptAnswer, SharedState};
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::{NodeId, RequestId, RunState};
 use tokio::sync::oneshot;
@@ -31,7 +31,7 @@
 
 /// The claims of one node.
 pub(crate) struct ClaimsDriver {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     cluster: Rc<RefCell<Cluster>>,
     store: ClaimStore,
     peers: PeerClient,
@@ -47,7 +47,7 @@
 impl ClaimsDriver {
     /// A driver that leads nothing yet.
     pub(crate) fn new(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         cluster: Rc<RefCell<Cluster>>,
         store: ClaimStore,
         peers: PeerClient,
--- a/crates/node/src/cluster_driver.rs
+++ b/crates/node/src/cluster_driver.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use dalestand_cluster::{Cluster, Output, RecordKey};
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_peer_seal::PeerSeal;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::Revision;
@@ -55,7 +55,7 @@
         filter.is_none_or(|filter| filter.passes(self.address, to))
     }
 
-    async fn send(&self, shared: &Shared, to: SocketAddr, datagram: Bytes) {
+    async fn send(&self, shared: &SharedState, to: SocketAddr, datagram: Bytes) {
         let mut sealed = Vec::from(datagram);
         self.seal.seal(&mut sealed);
         let bytes = sealed.len() as u64;
@@ -70,7 +70,7 @@
 
 /// Runs the cluster core until dropped.
 pub(crate) async fn drive(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     link: Rc<PeerLink>,
     cluster: Rc<RefCell<Cluster>>,
     machines: Rc<RefCell<Machines>>,
@@ -109,7 +109,7 @@
 }
 
 /// Tells others that this node leaves as planned.
-pub(crate) async fn leave(shared: &Shared, link: &PeerLink, cluster: &RefCell<Cluster>) {
+pub(crate) async fn leave(shared: &SharedState, link: &PeerLink, cluster: &RefCell<Cluster>) {
     let outputs = cluster.borrow_mut().leave(&mut rand::rng());
     for output in outputs {
         if let Output::Send { to, datagram } = output {
@@ -119,7 +119,7 @@
 }
 
 fn receive(
-    shared: &Shared,
+    shared: &SharedState,
     link: &PeerLink,
     cluster: &RefCell<Cluster>,
     from: SocketAddr,
@@ -147,7 +147,7 @@
 }
 
 async fn carry_out(
-    shared: &Shared,
+    shared: &SharedState,
     link: &PeerLink,
     cluster: &RefCell<Cluster>,
     machines: &RefCell<Machines>,
@@ -180,7 +180,7 @@
     }
 }
 
-fn count_members(shared: &Shared, cluster: &RefCell<Cluster>) {
+fn count_members(shared: &SharedState, cluster: &RefCell<Cluster>) {
     let members = cluster.borrow().member_count();
     shared.metrics.members.set(members as i64);
 }
--- a/crates/node/src/configuration/peers.rs
+++ b/crates/node/src/configuration/peers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::Revision;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -53,7 +53,7 @@
 
 /// Fetches what peers offer, until dropped.
 pub(crate) async fn follow(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     link: Rc<PeerLink>,
     peers: PeerClient,
     store: Rc<ConfigurationStore>,
--- a/crates/node/src/configuration/store.rs
+++ b/crates/node/src/configuration/store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use dalestand_cluster::{Cluster, Record, RecordKey, RecordVersion};
 use dalestand_config::Deployment;
-use dalestand_gateway::{ActiveConfiguration, Shared};
+use dalestand_gateway::{ActiveConfiguration, SharedState};
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::Revision;
 use tokio::sync::Notify;
@@ -23,7 +23,7 @@
 
 /// Holds the newest configuration seen; a revision never goes back.
 pub(crate) struct ConfigurationStore {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     cluster: Rc<RefCell<Cluster>>,
     /// Notified when there is news that should not wait for the cluster's next tick.
     news: Rc<Notify>,
@@ -33,7 +33,7 @@
 impl ConfigurationStore {
     /// A store without a configuration.
     pub(crate) fn new(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         cluster: Rc<RefCell<Cluster>>,
         news: Rc<Notify>,
     ) -> Self {
--- a/crates/node/src/configuration/tests.rs
+++ b/crates/node/src/configuration/tests.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 
 use dalestand_cluster::{Cluster, ClusterConfig, Member, RecordKey};
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_telemetry::{Metrics, discard_logger};
 use dalestand_types::{Incarnation, NodeId, Revision, ZoneName};
 
@@ -90,7 +90,7 @@
     let cluster = Cluster::new(me, Vec::new(), ClusterConfig::default());
     let cluster = Rc::new(RefCell::new(cluster));
     let metrics = Metrics::new().expect("metrics");
-    let shared = Arc::new(Shared::new(node, zone, discard_logger(), metrics));
+    let shared = Arc::new(SharedState::new(node, zone, discard_logger(), metrics));
     let store = ConfigurationStore::new(Arc::clone(&shared), Rc::clone(&cluster), Rc::default());
     let in_force = || {
         let active = shared.configuration.load_full().expect("a configuration");
--- a/crates/node/src/configuration/watch.rs
+++ b/crates/node/src/configuration/watch.rs
@@ -11,7 +11,7 @@
 
 use dalestand_cluster::{Cluster, Member};
 use dalestand_edge::{KeyValue, PlatformError, WatchBatch};
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::{NodeId, Revision};
 use error_stack::Report;
@@ -47,7 +47,7 @@
 
 /// Watches, or looks seldom, until dropped.
 pub(crate) async fn watch(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     key_value: Rc<dyn KeyValue>,
     cluster: Rc<RefCell<Cluster>>,
     store: Rc<ConfigurationStore>,
--- a/crates/node/src/control_driver/mod.rs
+++ b/crates/node/src/control_driver/mod.rs
@@ -15,7 +15,7 @@
 use dalestand_config::Group;
 use dalestand_control::{Action, EngineStatus, GroupController};
 use dalestand_edge::Engine;
-use dalestand_gateway::{ActiveConfiguration, Shared};
+use dalestand_gateway::{ActiveConfiguration, SharedState};
 use dalestand_types::{EngineId, EngineLoad, Epoch, GroupId, MonotonicTime, NodeId, Sequence};
 
 use crate::desired::desired_engines;
@@ -57,7 +57,7 @@
 
 /// The control half of a node.
 pub(crate) struct ControlDriver {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     leases: LeaseService,
     peers: PeerClient,
     cluster: Rc<RefCell<Cluster>>,
@@ -70,7 +70,7 @@
 impl ControlDriver {
     /// A driver that controls nothing yet.
     pub(crate) fn new(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         leases: LeaseService,
         peers: PeerClient,
         cluster: Rc<RefCell<Cluster>>,
--- a/crates/node/src/control_half.rs
+++ b/crates/node/src/control_half.rs
@@ -9,7 +9,7 @@
 use dalestand_cluster::{Cluster, ClusterConfig, Member};
 use dalestand_config::NodeSettings;
 use dalestand_edge::KeyValue;
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_peer_seal::PeerSeal;
 use dalestand_types::Incarnation;
 use tokio::net::{TcpListener, UdpSocket};
@@ -33,7 +33,7 @@
     /// Settings of the node.
     pub settings: NodeSettings,
     /// State shared with the callers' half.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     /// Where the node listens.
     pub addresses: NodeAddresses,
     /// Socket for operators.
@@ -52,7 +52,7 @@
 
 /// A running control half.
 pub struct ControlHalf {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     link: Rc<PeerLink>,
     cluster: Rc<RefCell<Cluster>>,
     control: Rc<ControlDriver>,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! One node: the callers' half and the control half, on arbiters of their own.
 //!
-//! The two halves share [`dalestand_gateway::Shared`] only, so that a stall of the control half
+//! The two halves share [`dalestand_gateway::SharedState`] only, so that a stall of the control half
 //! holds no caller's stream.
 
 mod admin;
--- a/crates/node/src/machines.rs
+++ b/crates/node/src/machines.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use dalestand_cluster::{Cluster, Record, RecordKey, RecordVersion};
 use dalestand_edge::{HttpMachineList, MachineList as _};
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::{EngineId, Machine, MachineKind, MachineState, MonotonicTime};
 use rand::RngExt as _;
@@ -130,7 +130,7 @@
 
 /// Reads the machine list again and again. A failed read keeps what is known.
 pub(crate) async fn poll_machines(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     address: SocketAddr,
     interval: Duration,
     machines: Rc<RefCell<Machines>>,
@@ -162,7 +162,7 @@
     }
 }
 
-fn publish(shared: &Shared, cluster: &mut Cluster, news: &[Machine]) {
+fn publish(shared: &SharedState, cluster: &mut Cluster, news: &[Machine]) {
     for machine in news {
         let published = rmp_serde::to_vec(machine).map(|payload| {
             cluster.publish(Record {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,7 +7,7 @@
 
 use dalestand_config::NodeSettings;
 use dalestand_edge::{HttpKeyValue, KeyValue};
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_telemetry::{Event, Metrics, log_event};
 use error_stack::{Report, ResultExt as _};
 use slog::Logger;
@@ -87,7 +87,7 @@
     logger: Logger,
 ) -> Result<(), Report<NodeError>> {
     let metrics = Metrics::new().change_context(NodeError::Metrics)?;
-    let shared = Arc::new(Shared::new(
+    let shared = Arc::new(SharedState::new(
         settings.node.clone(),
         settings.zone.clone(),
         logger,
@@ -140,7 +140,7 @@
 }
 
 /// Logs readiness once a configuration is in force.
-fn log_readiness(shared: Arc<Shared>) {
+fn log_readiness(shared: Arc<SharedState>) {
     actix_rt::spawn(async move {
         while shared.configuration.load().is_none() {
             actix_rt::time::sleep(STOP_POLL).await;
--- a/crates/node/src/tenant_shares.rs
+++ b/crates/node/src/tenant_shares.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use dalestand_cluster::Cluster;
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_routing::{TenantDemand, TenantTotals, summing_node};
 use dalestand_types::NodeId;
 
@@ -29,7 +29,7 @@
 
 /// The exchange of one node.
 pub(crate) struct TenantShares {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     cluster: Rc<RefCell<Cluster>>,
     peers: PeerClient,
     totals: RefCell<TenantTotals>,
@@ -38,7 +38,7 @@
 impl TenantShares {
     /// An exchange that has heard of no demand.
     pub(crate) fn new(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         cluster: Rc<RefCell<Cluster>>,
         peers: PeerClient,
     ) -> Rc<Self> {
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -8,7 +8,7 @@
 use dalestand_config::NodeSettings;
 use dalestand_edge::HttpKeyValue;
 use dalestand_gateway::{
-    ClaimEnd, ClaimKey, ClaimOutcome, ClaimRequest, KeptAnswer, RequestFingerprint, Shared,
+    ClaimEnd, ClaimKey, ClaimOutcome, ClaimRequest, KeptAnswer, RequestFingerprint, SharedState,
 };
 use dalestand_node::{ControlHalf, ControlParts, NodeAddresses, start_control};
 use dalestand_standin::key_value::{KeyValueFaults, serve_key_value};
@@ -29,7 +29,7 @@
 }
 
 struct TestNode {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     control: ControlHalf,
 }
 
@@ -68,7 +68,7 @@
         self.seeds.push(address);
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let metrics = Metrics::new().expect("metrics");
-        let shared = Shared::new(NodeId::from(name), ZoneName::from("z"), logger, metrics);
+        let shared = SharedState::new(NodeId::from(name), ZoneName::from("z"), logger, metrics);
         let shared = Arc::new(shared);
         let addresses = NodeAddresses {
             callers: address,
