--- a/crates/edge/src/cache_event.rs
+++ b/crates/edge/src/cache_event.rs
@@ -1,41 +1,39 @@
-//! What an engine tells of its prefix cache. Events come late and some are lost.
+//! Events of an engine's prefix cache. Events may arrive late or be lost.
 
 use dalestand_types::Sequence;
 use serde::{Deserialize, Serialize};
 
-/// Hash of a prompt's leading tokens, as the engine computes it.
+/// Hash of the leading tokens of a prompt, as computed by the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct PrefixHash(pub u64);
 
-/// What happened to a prefix.
+/// Change of a prefix in the cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
-    /// Its KV cache is held.
+    /// The KV cache of the prefix was stored.
     Stored,
-    /// Its KV cache is not held any more.
+    /// The KV cache of the prefix was evicted.
     Evicted,
 }
 
-/// One event. Sequences rise by one; a missing one is an event that was lost.
+/// A cache event. Sequence numbers increase by one; a gap means that events were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Its place among the engine's events, from 1.
+    /// Sequence number among the engine's events, starting at 1.
     pub sequence: Sequence,
-    /// The prefix.
     pub prefix: PrefixHash,
-    /// Tokens of the prefix.
+    /// Length of the prefix in tokens.
     pub tokens: u32,
-    /// What happened to it.
     pub change: CacheChange,
 }
 
-/// Events after the one a reader knew last.
+/// Events after the last one known to the reader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
     /// The events, oldest first.
     pub events: Vec<CacheEvent>,
-    /// Whether events after the known one are not kept any more.
+    /// Whether the engine has already discarded some of the events after the known one.
     pub missed: bool,
 }
--- a/crates/edge/src/duty_calls.rs
+++ b/crates/edge/src/duty_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform that only one node makes at a time, under a lease.
+//! Platform calls of fleet-wide duties, which one node at a time performs while it holds a lease.
 
 use async_trait::async_trait;
 use dalestand_duties::WindowReport;
@@ -7,7 +7,7 @@
 
 use crate::error::PlatformError;
 
-/// Under which authority a call is made.
+/// The lease under which a call is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DutyAuthority<'a> {
     /// The node that holds the lease.
@@ -16,48 +16,48 @@
     pub token: u64,
 }
 
-/// On what terms engines are had.
+/// How the platform provides engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ProvisioningModel {
-    /// At the full price, for as long as they are wanted.
+    /// At full price, until released.
     OnDemand,
-    /// Cheaper; the platform may take them away at short notice, all those of a zone at once.
+    /// At a reduced price; the platform may reclaim them at short notice, all of a zone at once.
     Spot,
 }
 
-/// How many engines of a pool a zone is to have on some terms.
+/// Target number of engines of a pool in a zone under one provisioning model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineCountOrder {
-    /// The pool.
     pub pool: PoolName,
-    /// The zone.
     pub zone: ZoneName,
-    /// The terms; engines on other terms are not counted.
+    /// Engines under the other model are not counted.
     pub provisioning: ProvisioningModel,
-    /// The number.
+    /// Target number of engines.
     pub count: u32,
 }
 
-/// What the platform made of a call.
+/// Outcome of a call that the platform answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DutyOutcome {
-    /// It was taken.
+    /// The platform accepted the call.
     Accepted,
-    /// It was refused: a higher token was seen, or such engines cannot be had there now.
+    /// The platform refused the call: it has seen a higher fencing token, or such engines are not
+    /// available there now.
     Refused,
 }
 
-/// The platform's calls for duties of a single node.
+/// Calls that the holder of a duty's lease makes to the platform.
 #[async_trait(?Send)]
 pub trait DutyCalls {
-    /// Reports the usage of a window. Repeating the same report changes nothing.
+    /// Reports the usage of a window. The call is idempotent.
     async fn report_usage(
         &self,
         authority: DutyAuthority<'_>,
         report: &WindowReport,
     ) -> Result<DutyOutcome, Report<PlatformError>>;
 
-    /// Sets the number of engines. A call in doubt may be carried out seconds later.
+    /// Sets the number of engines. After an error whose effect is unknown, the platform may still
+    /// carry out the call seconds later.
     async fn set_engine_count(
         &self,
         authority: DutyAuthority<'_>,
--- a/crates/edge/src/engine.rs
+++ b/crates/edge/src/engine.rs
@@ -1,4 +1,4 @@
-//! What an engine does.
+//! Interface of an engine.
 
 use std::pin::Pin;
 
@@ -12,28 +12,28 @@
 
 use crate::{CacheEvents, PlatformError};
 
-/// Why an attempt ended early, by what is known of whether it ran.
+/// Why an attempt failed. The variants differ in what is known about whether the request ran.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptError {
-    /// No byte of the request was sent: it did not run.
+    /// No byte of the request was sent, so it did not run.
     #[error("the engine could not be reached: {0}")]
     NotSent(String),
-    /// The engine refused it.
+    /// The engine refused the request; it did not run, unless the reason says that it ran before.
     #[error("the engine refused the request: {0:?}")]
     Refused(Refusal),
-    /// The engine called the request wrong: it did not run.
+    /// The engine rejected the request as invalid; it did not run.
     #[error("the engine rejected the request: {0}")]
     Rejected(String),
-    /// The request was sent and its answer broke off: it may have run.
+    /// The request was sent and no usable answer came: it may have run.
     #[error("the engine's answer broke off: {0}")]
     BrokenOff(String),
-    /// A frame could not be understood.
+    /// A frame could not be parsed; the request may have run.
     #[error("the engine sent a malformed frame: {0}")]
     MalformedFrame(String),
 }
 
 impl AttemptError {
-    /// Whether the request certainly did not run.
+    /// Whether the request is known not to have run.
     pub fn proves_not_run(&self) -> bool {
         match self {
             Self::NotSent(_) | Self::Rejected(_) => true,
@@ -43,23 +43,23 @@
     }
 }
 
-/// Frames of one attempt, as the engine sends them. Dropping it closes the connection, which
+/// Frames of one attempt, as the engine sends them. Dropping the stream closes the connection, which
 /// cancels the attempt.
 pub type FrameStream = Pin<Box<dyn Stream<Item = Result<GenerationFrame, AttemptError>>>>;
 
-/// What an engine does.
+/// Operations of an engine.
 #[async_trait(?Send)]
 pub trait Engine {
-    /// Runs a request. The stream is yielded once the engine has accepted it.
+    /// Runs a request. Returns the stream of frames once the engine has accepted the request.
     async fn generate(&self, request: &GenerationRequest) -> Result<FrameStream, AttemptError>;
 
-    /// Stops an attempt; stopping one that is unknown or over is no error.
+    /// Cancels an attempt. Cancelling an unknown or finished attempt is not an error.
     async fn cancel(&self, attempt: AttemptId) -> Result<(), Report<PlatformError>>;
 
-    /// Raises the highest epoch the engine has seen and reads its order state.
+    /// Raises the highest epoch that the engine has seen and reads its order state.
     async fn raise_epoch(&self, epoch: Epoch) -> Result<OrderOutcome, Report<PlatformError>>;
 
-    /// Gives an order. Giving the same order again is safe: it is run once.
+    /// Sends an order. The call is idempotent: an order that is sent again runs once.
     async fn order(&self, order: &Order) -> Result<OrderOutcome, Report<PlatformError>>;
 
     /// Reads the order state.
@@ -68,6 +68,6 @@
     /// Reads the last load report.
     async fn load(&self) -> Result<EngineLoad, Report<PlatformError>>;
 
-    /// Reads the events of the prefix cache after the one numbered `after`.
+    /// Reads the events of the prefix cache with sequence numbers above `after`.
     async fn cache_events(&self, after: Sequence) -> Result<CacheEvents, Report<PlatformError>>;
 }
--- a/crates/edge/src/engine_client.rs
+++ b/crates/edge/src/engine_client.rs
@@ -23,30 +23,30 @@
 };
 use crate::{AttemptError, CacheEvents, Engine, FrameStream, PlatformError};
 
-/// Time limit of an order, a load report or a cancel.
+/// Time limit of each call other than `generate`.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Largest frame taken from an engine, in bytes.
+/// Largest frame accepted from an engine, in bytes.
 const MAX_FRAME_BYTES: usize = 64 << 10;
 
-/// Largest refusal taken from an engine, in bytes.
+/// Largest body of an error answer accepted from an engine, in bytes.
 const MAX_REFUSAL_BYTES: usize = 16 << 10;
 
-/// Longest time an unused connection is kept, well below what engines allow, so that a request
-/// seldom meets a connection that the engine is closing.
-const IDLE_LIMIT: Duration = Duration::from_secs(5);
+/// How long an idle connection is kept; well below the engines' own limit, so that a request is
+/// rarely sent on a connection that the engine is closing.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Longest time a connection is used.
+/// Age at which a connection is no longer reused.
 const CONNECTION_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Time limit of opening a connection.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Client of one engine over HTTP.
+/// HTTP client of one engine.
 ///
-/// Connections are used again, except for requests that may run once: a connection that the
-/// engine closes just as the request is written leaves it in doubt, which a connection of its own
-/// rules out.
+/// Connections are reused, except for at-most-once requests, each of which gets a new connection: if
+/// the engine closes a reused connection while the request is being written, it is unknown whether
+/// the request ran.
 pub struct HttpEngine {
     caller: JsonCaller,
     pooled: Client,
@@ -55,23 +55,23 @@
 }
 
 impl HttpEngine {
-    /// A client of the engine at `address`.
+    /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             caller: JsonCaller::new("engine", address, CALL_TIMEOUT),
-            pooled: client(IDLE_LIMIT),
+            pooled: client(IDLE_TIMEOUT),
             fresh: client(Duration::ZERO),
             address,
         }
     }
 }
 
-fn client(idle_limit: Duration) -> Client {
+fn client(idle_timeout: Duration) -> Client {
     let connector = Connector::new()
         .timeout(CONNECT_TIMEOUT)
-        .conn_keep_alive(idle_limit)
+        .conn_keep_alive(idle_timeout)
         .conn_lifetime(CONNECTION_LIFETIME)
-        // Streams are bounded by the node's own limits.
+        // No limit here: the node limits its requests in flight.
         .limit(0);
     Client::builder()
         .connector(connector)
@@ -104,7 +104,7 @@
             .limit(MAX_REFUSAL_BYTES)
             .await
             .map_err(|error| AttemptError::BrokenOff(error.to_string()))?;
-        Err(refusal(status, &body))
+        Err(response_error(status, &body))
     }
 
     async fn cancel(&self, attempt: AttemptId) -> Result<(), Report<PlatformError>> {
@@ -134,7 +134,7 @@
     }
 }
 
-fn refusal(status: StatusCode, body: &[u8]) -> AttemptError {
+fn response_error(status: StatusCode, body: &[u8]) -> AttemptError {
     let text = String::from_utf8_lossy(body);
     if matches!(status, StatusCode::CONFLICT | StatusCode::TOO_MANY_REQUESTS) {
         return match serde_json::from_slice::<Refusal>(body) {
@@ -148,12 +148,12 @@
     AttemptError::BrokenOff(format!("{status}: {text}"))
 }
 
-/// Cuts an answer's bytes into lines and each line into a frame.
+/// Splits the body of an answer into lines and parses each line into a frame.
 fn frames<S>(body: S) -> FrameStream
 where
     S: Stream<Item = Result<Bytes, awc::error::PayloadError>> + Unpin + 'static,
 {
-    // Boxed, since it is moved for each frame.
+    // Boxed, because `unfold` moves the state for each frame.
     let reader = Box::new(FrameReader {
         body,
         buffer: BytesMut::new(),
@@ -186,7 +186,7 @@
                 return Some(parse_frame(&line[..end]));
             }
             if self.buffer.len() > MAX_FRAME_BYTES {
-                let message = format!("longer than {MAX_FRAME_BYTES} bytes");
+                let message = format!("the frame is longer than {MAX_FRAME_BYTES} bytes");
                 return Some(Err(AttemptError::MalformedFrame(message)));
             }
             match self.body.next().await {
@@ -194,7 +194,7 @@
                 Some(Err(error)) => return Some(Err(AttemptError::BrokenOff(error.to_string()))),
                 None if self.buffer.is_empty() => return None,
                 None => {
-                    let message = "ended within a frame".to_owned();
+                    let message = "the connection closed within a frame".to_owned();
                     return Some(Err(AttemptError::BrokenOff(message)));
                 }
             }
--- a/crates/edge/src/error.rs
+++ b/crates/edge/src/error.rs
@@ -1,43 +1,43 @@
-//! Errors of calls to the outside systems.
+//! Errors of calls to external systems.
 
 use std::time::Duration;
 
-/// Why a call failed, by what is known of its effect.
+/// Why a call failed. The variants differ in what is known about the effect of the call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PlatformError {
-    /// Nothing was sent: the call had no effect.
+    /// Nothing was sent, so the call had no effect.
     #[error("{system} could not be reached: {message}")]
     Unreachable {
         system: &'static str,
         message: String,
     },
-    /// The system refused the call for now: it had no effect.
+    /// The system rate-limited the call, which had no effect.
     #[error("{system} refused the call; retry after {retry_after:?}")]
     RateLimited {
         system: &'static str,
         retry_after: Duration,
     },
-    /// The system is out of service and said so: the call had no effect.
+    /// The system reported that it is out of service; the call had no effect.
     #[error("{system} is out of service")]
     OutOfService {
         system: &'static str,
-        /// When it may be called again, where it says so.
+        /// Time to wait before the next call, if the system gave one.
         retry_after: Option<Duration>,
     },
-    /// The system rejected the call as wrong: it had no effect.
+    /// The system rejected the call as invalid; it had no effect.
     #[error("{system} rejected the call: {message}")]
     Rejected {
         system: &'static str,
         message: String,
     },
-    /// The call was sent and no answer came: a write may or may not have taken effect.
-    #[error("{system} gave no answer; the effect of the call is in doubt: {message}")]
+    /// The call was sent and no usable answer came: a write may or may not have taken effect.
+    #[error("the effect of the call to {system} is not known: {message}")]
     InDoubt {
         system: &'static str,
         message: String,
     },
-    /// The answer could not be understood: a write may have taken effect.
-    #[error("{system} gave an answer that cannot be understood: {message}")]
+    /// The answer could not be parsed: a write may have taken effect.
+    #[error("{system} sent a malformed answer: {message}")]
     Malformed {
         system: &'static str,
         message: String,
@@ -45,7 +45,7 @@
 }
 
 impl PlatformError {
-    /// Whether a write under this error may have taken effect.
+    /// Whether a write that failed with this error may have taken effect.
     pub fn is_in_doubt(&self) -> bool {
         matches!(self, Self::InDoubt { .. } | Self::Malformed { .. })
     }
--- a/crates/edge/src/frame_line.rs
+++ b/crates/edge/src/frame_line.rs
@@ -1,7 +1,8 @@
-//! Reads one line of an engine's answer into a frame.
+//! Parses one line of an engine's answer into a frame.
 //!
-//! The derived reader of the tagged enum keeps every field in memory until it knows the tag, which
-//! costs several allocations a token; this one reads the fields of all kinds in one pass.
+//! The deserializer that serde derives for the tagged enum buffers every field until it has read the
+//! tag, which costs several allocations per token. [`parse_frame`] reads the fields of all kinds into
+//! one struct instead.
 
 use dalestand_types::{AttemptId, FinishReason, GenerationFrame, Usage};
 use serde::Deserialize;
@@ -29,7 +30,6 @@
     message: Option<String>,
 }
 
-/// Reads a line.
 pub(crate) fn parse_frame(line: &[u8]) -> Result<GenerationFrame, AttemptError> {
     let fields: FrameFields = serde_json::from_slice(line)
         .map_err(|error| AttemptError::MalformedFrame(error.to_string()))?;
@@ -37,27 +37,27 @@
     let frame = match fields.frame {
         FrameKind::Token => GenerationFrame::Token {
             attempt,
-            position: present(fields.position, "position")?,
-            text: present(fields.text, "text")?,
+            position: required(fields.position, "position")?,
+            text: required(fields.text, "text")?,
         },
         FrameKind::Prefilled => GenerationFrame::Prefilled {
             attempt,
-            usage: present(fields.usage, "usage")?,
+            usage: required(fields.usage, "usage")?,
         },
         FrameKind::Finished => GenerationFrame::Finished {
             attempt,
-            tokens: present(fields.tokens, "tokens")?,
-            reason: present(fields.reason, "reason")?,
-            usage: present(fields.usage, "usage")?,
+            tokens: required(fields.tokens, "tokens")?,
+            reason: required(fields.reason, "reason")?,
+            usage: required(fields.usage, "usage")?,
         },
         FrameKind::Failed => GenerationFrame::Failed {
             attempt,
-            message: present(fields.message, "message")?,
+            message: required(fields.message, "message")?,
         },
     };
     Ok(frame)
 }
 
-fn present<T>(field: Option<T>, name: &str) -> Result<T, AttemptError> {
+fn required<T>(field: Option<T>, name: &str) -> Result<T, AttemptError> {
     field.ok_or_else(|| AttemptError::MalformedFrame(format!("field {name} is missing")))
 }
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -1,4 +1,4 @@
-//! One JSON call over HTTP, with its errors turned into [`PlatformError`].
+//! JSON calls over HTTP, with errors mapped to [`PlatformError`].
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::PlatformError;
 use crate::wire::RetryAfter;
 
-/// Largest answer read from an outside system, in bytes.
+/// Largest answer accepted from an external system, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Wait that a refusal without a time of its own stands for.
+/// Retry delay for a 429 answer whose body names none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Calls one system at one address.
+/// Makes JSON calls to one system at one address.
 #[derive(Clone)]
 pub(crate) struct JsonCaller {
     client: Client,
@@ -28,7 +28,7 @@
 }
 
 impl JsonCaller {
-    /// A caller of `system` at `address`; calls end after `timeout`.
+    /// Creates a caller of `system` at `address`; calls time out after `timeout`.
     pub(crate) fn new(system: &'static str, address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::builder()
             .timeout(timeout)
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Posts `body` and reads the answer.
+    /// Posts `body` and parses the answer.
     pub(crate) async fn post<B, A>(&self, path: &str, body: &B) -> Result<A, Report<PlatformError>>
     where
         B: Serialize,
@@ -49,10 +49,10 @@
     {
         let url = format!("http://{}{path}", self.address);
         let response = self.client.post(url).send_json(body).await;
-        self.read(response).await
+        self.parse(response).await
     }
 
-    /// Posts `body` with a time limit of its own and reads the answer.
+    /// Posts `body` with `timeout` in place of the default time limit and parses the answer.
     pub(crate) async fn post_within<B, A>(
         &self,
         path: &str,
@@ -65,20 +65,20 @@
     {
         let url = format!("http://{}{path}", self.address);
         let response = self.client.post(url).timeout(timeout).send_json(body).await;
-        self.read(response).await
+        self.parse(response).await
     }
 
-    /// Gets `path` and reads the answer.
+    /// Gets `path` and parses the answer.
     pub(crate) async fn get<A: DeserializeOwned>(
         &self,
         path: &str,
     ) -> Result<A, Report<PlatformError>> {
         let url = format!("http://{}{path}", self.address);
         let response = self.client.get(url).send().await;
-        self.read(response).await
+        self.parse(response).await
     }
 
-    async fn read<A, S>(
+    async fn parse<A, S>(
         &self,
         response: Result<awc::ClientResponse<S>, SendRequestError>,
     ) -> Result<A, Report<PlatformError>>
@@ -107,7 +107,7 @@
 
     fn status_error(&self, status: StatusCode, body: &[u8]) -> Option<PlatformError> {
         let system = self.system;
-        // Answers of 409 carry a typed outcome, which the caller reads.
+        // The body of a 409 answer is a typed outcome, which is parsed like that of a success.
         if status.is_success() || status == StatusCode::CONFLICT {
             return None;
         }
@@ -155,8 +155,8 @@
 
 /// Whether a failed send proves that no byte of the request left this process.
 ///
-/// `Disconnected` proves nothing: the library gives it when a connection ends after the request
-/// was written and before the answer's head.
+/// `Disconnected` does not: the client library also returns it when a connection closes after the
+/// request was written and before the head of the answer arrived.
 pub(crate) fn proves_nothing_sent(error: &SendRequestError) -> bool {
     match error {
         SendRequestError::Url(_) => true,
--- a/crates/edge/src/key_value.rs
+++ b/crates/edge/src/key_value.rs
@@ -1,4 +1,4 @@
-//! The platform's key-value service.
+//! Interface of the platform's key-value service.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::PlatformError;
 
-/// Identifies a lease of the service.
+/// Identifier of a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LeaseId(pub u64);
@@ -17,75 +17,72 @@
 /// A key with its value and the revision that wrote it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The key.
     pub key: String,
-    /// The value.
     pub value: String,
     /// Revision of the last write.
     pub revision: Revision,
 }
 
-/// Keys under a prefix, as they stood at one revision.
+/// All entries under a prefix at one revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Revision of the whole service at the read.
+    /// Revision of the store at the time of the read.
     pub revision: Revision,
-    /// The entries, by key.
+    /// The entries, sorted by key.
     pub entries: Vec<Entry>,
 }
 
-/// Some keys under a prefix, in order.
+/// One page of the entries under a prefix, sorted by key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListingPage {
-    /// The keys.
+    /// The entries of this page.
     pub listing: Listing,
-    /// Whether there are more after the last of them.
+    /// Whether more entries follow the last one.
     pub has_more: bool,
 }
 
-/// What a compare-and-swap demands of the key.
+/// Precondition of a compare-and-swap.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WriteExpectation {
-    /// The key is absent.
+    /// The key does not exist.
     Absent,
-    /// The key was last written by this revision.
+    /// The last write of the key has this revision.
     At(Revision),
 }
 
-/// Outcome of a compare-and-swap that was answered.
+/// Outcome of an answered compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum CasOutcome {
     /// The write took effect at this revision.
     Written { revision: Revision },
-    /// The expectation did not hold; here is what stands there.
+    /// The precondition did not hold; `current` is the entry found, if any.
     Conflict { current: Option<Entry> },
 }
 
 /// One change of a watched key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchEvent {
-    /// The key.
     pub key: String,
-    /// Its value; `None` if it was deleted.
+    /// The new value; `None` if the key was deleted.
     pub value: Option<String>,
     /// Revision of the change.
     pub revision: Revision,
 }
 
-/// Changes since a revision.
+/// Changes after a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchBatch {
-    /// Watch on from here.
+    /// Revision from which to continue the watch.
     pub revision: Revision,
     /// The changes, oldest first.
     pub events: Vec<WatchEvent>,
-    /// Whether changes were missed: read the prefix again.
+    /// Whether changes were lost to compaction, so that the prefix must be read again.
     pub compacted: bool,
 }
 
-/// What the key-value service does.
+/// Operations of the key-value service.
 #[async_trait(?Send)]
 pub trait KeyValue {
     /// Reads one key.
@@ -94,8 +91,8 @@
     /// Reads all keys that start with `prefix`.
     async fn range(&self, prefix: &str) -> Result<Listing, Report<PlatformError>>;
 
-    /// Reads keys that start with `prefix`, those after the key `after`: as many as the service gives at
-    /// a time. Pages are no snapshot.
+    /// Reads one page of the keys that start with `prefix` and sort after `after`. The service chooses
+    /// the page size. Successive pages are not a consistent snapshot.
     async fn page(
         &self,
         prefix: &str,
@@ -111,8 +108,8 @@
         })
     }
 
-    /// Writes `key` if the expectation holds; `None` as value deletes it. With a lease, the key
-    /// goes when the lease does.
+    /// Writes `key` if the precondition holds; a value of `None` deletes it. With a lease, the key
+    /// is deleted when the lease ends.
     async fn compare_and_swap(
         &self,
         key: &str,
@@ -121,7 +118,7 @@
         lease: Option<LeaseId>,
     ) -> Result<CasOutcome, Report<PlatformError>>;
 
-    /// Waits up to `wait` for changes under `prefix` after a revision.
+    /// Waits up to `wait` for changes under `prefix` after the revision `after`.
     async fn watch(
         &self,
         prefix: &str,
@@ -129,12 +126,12 @@
         wait: Duration,
     ) -> Result<WatchBatch, Report<PlatformError>>;
 
-    /// Grants a lease.
+    /// Creates a lease.
     async fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, Report<PlatformError>>;
 
-    /// Renews a lease; `false` if it is gone.
+    /// Renews a lease; `false` if it no longer exists.
     async fn renew_lease(&self, lease: LeaseId) -> Result<bool, Report<PlatformError>>;
 
-    /// Gives a lease up.
+    /// Revokes a lease.
     async fn revoke_lease(&self, lease: LeaseId) -> Result<(), Report<PlatformError>>;
 }
--- a/crates/edge/src/key_value_client.rs
+++ b/crates/edge/src/key_value_client.rs
@@ -18,16 +18,16 @@
     CasOutcome, Entry, KeyValue, LeaseId, Listing, PlatformError, WatchBatch, WriteExpectation,
 };
 
-/// Time limit of a call.
+/// Time limit of a call; a watch adds its wait.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Client of the key-value service over HTTP.
+/// HTTP client of the key-value service.
 pub struct HttpKeyValue {
     caller: JsonCaller,
 }
 
 impl HttpKeyValue {
-    /// A client of the service at `address`.
+    /// Creates a client of the service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             caller: JsonCaller::new("key-value service", address, CALL_TIMEOUT),
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,7 +1,8 @@
-//! The outside systems: traits for what they do and one HTTP client for each.
+//! External systems (engines, the key-value service, the machine list): a trait and an HTTP client
+//! for each.
 //!
-//! The wire format of each system lives in one module under [`wire`]; another format is a change
-//! to that module and the client beside it.
+//! The wire format of each system is defined in one module under [`wire`]. Supporting another
+//! format means changing that module and the corresponding client.
 
 mod cache_event;
 pub mod duty_calls;
--- a/crates/edge/src/machine_list.rs
+++ b/crates/edge/src/machine_list.rs
@@ -14,20 +14,20 @@
 /// Time limit of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the machine list does.
+/// Operations of the machine list.
 #[async_trait(?Send)]
 pub trait MachineList {
-    /// Reads the whole list; it lags behind the truth.
+    /// Reads the whole list, which may be out of date.
     async fn machines(&self) -> Result<Vec<Machine>, Report<PlatformError>>;
 }
 
-/// Client of the machine list over HTTP.
+/// HTTP client of the machine list.
 pub struct HttpMachineList {
     caller: JsonCaller,
 }
 
 impl HttpMachineList {
-    /// A client of the list at `address`.
+    /// Creates a client of the list at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             caller: JsonCaller::new("machine list", address, CALL_TIMEOUT),
--- a/crates/edge/src/routed.rs
+++ b/crates/edge/src/routed.rs
@@ -1,7 +1,7 @@
-//! What the serving of opaque requests needs of a platform: the words of callers and engines, and
-//! the form of what stands in the key-value service.
+//! Interface between the forwarding of opaque requests and a platform: the protocol of callers and
+//! engines, and the format of the records in the key-value service.
 //!
-//! An implementation only translates. It decides nothing and keeps nothing between calls.
+//! Implementations only translate. They make no decisions and keep no state between calls.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,139 +14,139 @@
 use dalestand_routes::{Caller, PresentedKey};
 use dalestand_types::{EngineSignals, PoolName, Role, ZoneName};
 
-/// What a caller's request says of itself.
+/// Metadata of a caller's request, read from its headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestMetadata {
-    /// Its id, exactly as sent.
+    /// The request id, exactly as sent.
     pub id: Option<Arc<str>>,
-    /// For how long the caller will wait.
+    /// How long the caller will wait.
     pub deadline: Option<Duration>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u32,
-    /// Most tokens to be generated.
+    /// Maximum number of tokens to generate.
     pub output_tokens: u32,
-    /// Parts of the prompt, in order, with their tokens.
+    /// Parts of the prompt, in order: id and number of tokens.
     pub parts: Vec<(u64, u32)>,
-    /// The last event of a stream that the caller has.
+    /// Number of the last stream event that the caller received, when it resumes a stream.
     pub last_event: Option<u64>,
-    /// The key that came with it.
+    /// The API key that came with the request.
     pub key: PresentedKey,
 }
 
-/// What an engine is told beside the caller's request.
+/// Options that a node adds to a caller's request when it sends it to an engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineRequestOptions<'a> {
-    /// Time left.
+    /// Time left to answer.
     pub deadline: Option<Duration>,
-    /// The run that is meant; every other refuses.
+    /// Id of the engine run that the request is for; any other run refuses it.
     pub run: &'a str,
-    /// Only read the prompt and keep the memory of it.
+    /// Whether the engine only prefills the prompt and holds its KV cache.
     pub prefill_only: bool,
-    /// Go on from the memory that another engine holds under this name.
+    /// Decode from the KV cache that the engine at this address holds under this name.
     pub kv_cache: Option<(SocketAddr, &'a str)>,
-    /// Take what is kept of the prompt from the engine at this address first.
+    /// First fetch the cached parts of the prompt from the engine at this address.
     pub fetch_from: Option<SocketAddr>,
-    /// Go on after this event.
+    /// Resume the stream after this event.
     pub last_event: Option<u64>,
-    /// Importance; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: Option<u8>,
-    /// Whose request it is. Where tenants are declared, no key reaches an engine.
+    /// Whose request it is. If tenants are declared, the API key is not passed to engines.
     pub caller: Caller,
 }
 
-/// What the head of an engine's answer says.
+/// Metadata of an engine's answer, read from its status and headers.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ResponseMetadata {
-    /// The request it answers.
+    /// Id of the request that it answers.
     pub id: Option<Arc<str>>,
-    /// The engine promises that the request did not run there.
+    /// Whether the engine guarantees that the request did not run there.
     pub refused: bool,
-    /// The answer carries the engine's mark of a run.
+    /// Whether the answer carries the header by which engines mark answers of requests that ran.
     pub marked: bool,
-    /// What it says of the engine itself.
+    /// What the answer reports about the engine itself.
     pub signals: EngineSignals,
 }
 
-/// Memory of a prompt that an engine holds for another.
+/// KV cache of a prompt that one engine holds for another.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldKvCache {
-    /// Its name at that engine.
+    /// Its name at the engine that holds it.
     pub name: Arc<str>,
 }
 
 /// An order that changes an engine's role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoleChangeOrder<'a> {
-    /// The node that orders.
+    /// The node that sends the order.
     pub holder: &'a str,
     /// Its fencing token.
     pub token: u64,
-    /// Orders that the engine must have taken before, no more and no fewer.
+    /// Number of orders that the engine must have accepted before, exactly.
     pub sequence: u64,
-    /// The run that is meant.
+    /// Id of the engine run that the order is for.
     pub run: &'a str,
-    /// The role it is to have.
+    /// The new role.
     pub role: Role,
 }
 
-/// What an engine made of an order.
+/// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleChangeOutcome {
-    /// It is being carried out, or held already.
+    /// The role change is in progress, or the engine already has the role.
     Accepted,
-    /// It was refused, with this status.
+    /// The engine refused with this HTTP status.
     Refused(u16),
 }
 
-/// The words of callers and engines.
+/// The HTTP protocol of callers and engines.
 pub trait Dialect {
-    /// Reads a caller's request.
+    /// Reads the metadata of a caller's request.
     fn read_request(&self, headers: &HeaderMap) -> RequestMetadata;
 
-    /// Takes off what only the system may say, and sets what the engine is told.
-    fn write_request(&self, headers: &mut HeaderMap, terms: &EngineRequestOptions<'_>);
+    /// Removes the headers that callers may not set and adds those for `options`.
+    fn write_request(&self, headers: &mut HeaderMap, options: &EngineRequestOptions<'_>);
 
-    /// Reads the head of an engine's answer.
+    /// Reads the metadata of an engine's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
-    /// Reads the answer to a request that only read the prompt.
+    /// Reads the answer to a prefill-only request.
     fn read_held_kv_cache(&self, body: &[u8]) -> Option<HeldKvCache>;
 
-    /// The call that frees held memory: method and path.
+    /// Method and path of the call that frees a held KV cache.
     fn free_kv_cache(&self, cache: &HeldKvCache) -> (Method, String);
 
-    /// An order to an engine.
+    /// Head and body of the request that sends an order to an engine.
     fn role_change_order(&self, order: &RoleChangeOrder<'_>) -> (RequestHead, Bytes);
 
-    /// Reads the answer to an order.
+    /// Reads the outcome of an order from the status of the answer.
     fn read_role_change_outcome(&self, status: StatusCode) -> RoleChangeOutcome;
 
-    /// Asks an engine about itself.
+    /// Head of the request for an engine's own report.
     fn report_request(&self) -> RequestHead;
 
-    /// Number of orders an engine has taken, from what it says about itself.
+    /// Reads the number of orders that an engine has accepted from its report.
     fn read_report_sequence(&self, body: &[u8]) -> Option<u64>;
 
-    /// Asks an engine which parts of prompts it keeps.
+    /// Head of the request for the prompt parts that an engine has cached.
     fn cached_parts_request(&self) -> RequestHead;
 
-    /// The parts that an engine keeps, with their tokens.
+    /// Reads the cached prompt parts from the answer: id and number of tokens.
     fn read_cached_parts(&self, body: &[u8]) -> Vec<(u64, u32)>;
 
-    /// Whether a header, its name in lower case, is of the platform's kind and none that is known here.
+    /// Whether a header is a platform header that this version does not know. `name` is lower-case.
     fn is_unknown_header(&self, name: &str) -> bool;
 
-    /// The path at which the platform asks whether a node is ready.
+    /// Path of the readiness check that the platform makes.
     fn ready_path(&self) -> &'static str;
 }
 
-/// What an engine's own entry says.
+/// An engine's entry in the key-value service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEntry {
-    /// Names the run; an engine may start again under the name that it had.
+    /// Id of the run; an engine may restart under the same id.
     pub run: Arc<str>,
-    /// When it started, in milliseconds since 1970 by its own clock, where it says so: another time is another
-    /// start, of which nothing holds that was known of the former one.
+    /// Start time by the engine's clock, in milliseconds since the Unix epoch, if reported. A changed
+    /// time means that the engine restarted and that what was known about it no longer holds.
     pub started_at_ms: Option<u64>,
     /// The pool it belongs to.
     pub pool: PoolName,
@@ -154,27 +154,27 @@
     pub address: SocketAddr,
     /// Its zone.
     pub zone: ZoneName,
-    /// Requests it works on at once.
+    /// Maximum number of requests it runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub accepting: bool,
     /// Its role, if it runs a language model.
     pub role: Option<Role>,
-    /// On what terms it is had.
+    /// How the platform provides it.
     pub provisioning: ProvisioningModel,
 }
 
-/// The form of what stands in the key-value service.
+/// The format of the records in the key-value service.
 pub trait StoreFormat {
-    /// Key of the declaration in force.
+    /// Key of the current declaration.
     fn configuration_key(&self) -> &'static str;
 
-    /// Leading part of the keys of engines' own entries.
+    /// Key prefix of the engines' entries.
     fn engine_prefix(&self) -> &'static str;
 
-    /// Reads a declaration; the text of an error is for people.
+    /// Parses a declaration. The error text is meant for operators.
     fn read_configuration(&self, value: &str) -> Result<dalestand_routes::RouteFile, String>;
 
-    /// Reads an engine's entry, written under `key`.
+    /// Parses an engine's entry that is stored under `key`.
     fn read_engine(&self, key: &str, value: &str) -> Result<EngineEntry, String>;
 }
--- a/crates/edge/src/unknown_headers.rs
+++ b/crates/edge/src/unknown_headers.rs
@@ -1,14 +1,16 @@
-//! Headers of the platform's kind that nothing here knows: it has begun to say something new.
+//! Records platform headers that this version does not know, so that operators notice an extension
+//! of the protocol.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-/// Names that are told, each once: a sender that makes names up must not fill the log. Further ones are counted.
-const MOST_NAMES: usize = 64;
+/// Number of distinct names that are reported, each once. Further ones are only counted, so that a
+/// sender that generates names cannot fill the log.
+const MAX_NAMES: usize = 64;
 
-/// Longest part of a name that is told, in bytes.
-const LONGEST_NAME: usize = 64;
+/// Characters of a name that are kept; longer names are truncated.
+const MAX_NAME_LENGTH: usize = 64;
 
 /// Who sent a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,51 +21,51 @@
     KeyValue,
 }
 
-/// Senders.
+/// All senders.
 pub const UNKNOWN_SENDERS: [UnknownSender; 2] = [UnknownSender::Engine, UnknownSender::KeyValue];
 
-/// A header that was seen for the first time. Values are never kept.
+/// An unknown header. Its value is not kept.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnknownHeader {
     /// Who sent it.
     pub sender: UnknownSender,
-    /// Its name, cut where it is long.
+    /// Its name, truncated if long.
     pub name: String,
 }
 
 #[derive(Debug, Default)]
-struct Noted {
+struct Recorded {
     names: BTreeSet<UnknownHeader>,
-    untold: Vec<UnknownHeader>,
-    seen: [u64; UNKNOWN_SENDERS.len()],
+    unreported: Vec<UnknownHeader>,
+    counts: [u64; UNKNOWN_SENDERS.len()],
 }
 
-/// Unknown headers of one process; clones share them.
+/// The unknown headers that one process has received; clones share the record.
 #[derive(Clone, Debug, Default)]
-pub struct UnknownHeaders(Rc<RefCell<Noted>>);
+pub struct UnknownHeaders(Rc<RefCell<Recorded>>);
 
 impl UnknownHeaders {
-    /// Notes a header.
+    /// Counts a header, and queues its name for [`Self::take_new`] if it is new.
     pub fn record(&self, sender: UnknownSender, name: &str) {
-        let noted = &mut *self.0.borrow_mut();
-        noted.seen[sender as usize] += 1;
-        if noted.names.len() >= MOST_NAMES {
+        let recorded = &mut *self.0.borrow_mut();
+        recorded.counts[sender as usize] += 1;
+        if recorded.names.len() >= MAX_NAMES {
             return;
         }
-        let name: String = name.chars().take(LONGEST_NAME).collect();
+        let name: String = name.chars().take(MAX_NAME_LENGTH).collect();
         let header = UnknownHeader { sender, name };
-        if noted.names.insert(header.clone()) {
-            noted.untold.push(header);
+        if recorded.names.insert(header.clone()) {
+            recorded.unreported.push(header);
         }
     }
 
-    /// Those that were noted for the first time since this was last asked.
+    /// Takes the headers recorded for the first time since the last call.
     pub fn take_new(&self) -> Vec<UnknownHeader> {
-        std::mem::take(&mut self.0.borrow_mut().untold)
+        std::mem::take(&mut self.0.borrow_mut().unreported)
     }
 
-    /// How often unknown headers of a sender were seen.
+    /// Number of unknown headers received from `sender`.
     pub fn count(&self, sender: UnknownSender) -> u64 {
-        self.0.borrow().seen[sender as usize]
+        self.0.borrow().counts[sender as usize]
     }
 }
--- a/crates/edge/src/wire.rs
+++ b/crates/edge/src/wire.rs
@@ -1,15 +1,15 @@
-//! Wire formats shared by the HTTP clients here and by the stand-ins.
+//! Wire formats shared by the HTTP clients in this crate and the simulated services (`standin`).
 
 use serde::{Deserialize, Serialize};
 
 /// Body of a 429 answer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RetryAfter {
-    /// When to come back, in milliseconds.
+    /// Time to wait before a retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// An empty answer.
+/// An empty JSON object.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Empty {}
 
@@ -32,7 +32,7 @@
     pub const LEASE_GRANT: &str = "/v1/lease/grant";
     /// Renews a lease.
     pub const LEASE_RENEW: &str = "/v1/lease/renew";
-    /// Gives a lease up; its keys go.
+    /// Revokes a lease, which deletes its keys.
     pub const LEASE_REVOKE: &str = "/v1/lease/revoke";
 
     /// Body of [`GET`].
@@ -53,7 +53,7 @@
         pub prefix: String,
     }
 
-    /// Body of [`PUT`]; no value deletes the key.
+    /// Body of [`PUT`]; a `value` of `None` deletes the key.
     #[derive(Clone, Debug, Serialize, Deserialize)]
     pub struct PutRequest {
         pub key: String,
@@ -62,7 +62,7 @@
         pub lease: Option<LeaseId>,
     }
 
-    /// Body of [`WATCH`]; answered at the first change, or empty after the wait.
+    /// Body of [`WATCH`]. The answer comes at the first change, or after `wait_ms` without events.
     #[derive(Clone, Debug, Serialize, Deserialize)]
     pub struct WatchRequest {
         pub prefix: String,
@@ -91,7 +91,7 @@
     /// Answer to [`LEASE_RENEW`].
     #[derive(Clone, Debug, Serialize, Deserialize)]
     pub struct LeaseRenewResponse {
-        /// Whether the lease was still there.
+        /// Whether the lease still exists.
         pub alive: bool,
     }
 }
@@ -101,22 +101,22 @@
     use dalestand_types::{AttemptId, Epoch};
     use serde::{Deserialize, Serialize};
 
-    /// Runs a request; answered by a frame a line.
+    /// Runs a request; the answer is a stream of frames, one JSON object per line.
     pub const GENERATE: &str = "/v1/generate";
     /// Stops an attempt.
     pub const CANCEL: &str = "/v1/cancel";
-    /// Gives an order (POST) or reads the order state (GET).
+    /// Sends an order (POST) or reads the order state (GET).
     pub const ORDERS: &str = "/v1/orders";
-    /// Raises the epoch.
+    /// Raises the highest epoch that the engine has seen.
     pub const EPOCH: &str = "/v1/epoch";
-    /// Sends the KV cache of a prompt to the engine that asks; answered when it has been sent.
+    /// Sends the KV cache of a prompt to the calling engine; answered after the transfer.
     pub const CACHE_EXPORT: &str = "/v1/cache/export";
     /// Reads the last load report.
     pub const LOAD: &str = "/v1/load";
 
-    /// Reads events of the prefix cache; `?after=N` leaves out those up to the one numbered N.
+    /// Reads events of the prefix cache; `?after=N` omits those with sequence numbers up to N.
     pub const CACHE_EVENTS: &str = "/v1/cache-events";
-    /// Name of the number in a query of [`CACHE_EVENTS`].
+    /// Query parameter of [`CACHE_EVENTS`] with the last known sequence number.
     pub const CACHE_EVENTS_AFTER: &str = "after";
 
     /// Body of [`CANCEL`].
@@ -125,7 +125,8 @@
         pub attempt: AttemptId,
     }
 
-    /// Body of [`CACHE_EXPORT`]; the answer is [`CacheExportResponse`], or 404 if it is not held.
+    /// Body of [`CACHE_EXPORT`]. The answer is [`CacheExportResponse`], or 404 if the engine no
+    /// longer holds the KV cache.
     #[derive(Clone, Debug, Serialize, Deserialize)]
     pub struct CacheExportRequest {
         pub attempt: AttemptId,
@@ -153,7 +154,7 @@
     /// Reads the list (GET) or registers a machine (POST).
     pub const MACHINES: &str = "/v1/machines";
 
-    /// Answer to a read.
+    /// Answer to a read of [`MACHINES`].
     #[derive(Clone, Debug, Serialize, Deserialize)]
     pub struct MachinesResponse {
         pub machines: Vec<Machine>,
--- a/crates/edge/tests/proof_of_not_run.rs
+++ b/crates/edge/tests/proof_of_not_run.rs
@@ -1,4 +1,4 @@
-//! "Not run" is proved only if no byte of a request was sent, or the engine said so.
+//! A request counts as "not run" only if no byte of it was sent or the engine says so.
 
 use dalestand_edge::{AttemptError, Engine as _, HttpEngine};
 use dalestand_types::{AttemptId, GenerationRequest, ModelName, Priority, RequestId, Revision};
@@ -26,7 +26,7 @@
     }
 }
 
-/// Generates at an engine that reads the request, answers with these bytes and closes.
+/// The error of a request to an engine that reads it, answers with these bytes and closes.
 async fn error_after(answer: &'static [u8], once: bool) -> Option<AttemptError> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -46,11 +46,11 @@
 #[rstest]
 #[case::closed_before_the_answer(b"")]
 #[case::closed_within_the_head(b"HTTP/1.1 200 OK\r\ncontent-")]
-#[case::no_http(b"hello\r\n\r\n")]
+#[case::not_http(b"hello\r\n\r\n")]
 #[case::server_error(b"HTTP/1.1 500 Oops\r\ncontent-length: 0\r\n\r\n")]
-#[case::refusal_cut(b"HTTP/1.1 429 Full\r\ncontent-length: 90\r\n\r\n{\"reason\":\"full\"")]
+#[case::truncated_refusal(b"HTTP/1.1 429 Full\r\ncontent-length: 90\r\n\r\n{\"reason\":\"full\"")]
 #[actix_rt::test]
-async fn a_connection_cut_after_the_request_proves_nothing(
+async fn a_connection_closed_after_the_request_does_not_prove_not_run(
     #[case] answer: &'static [u8],
     #[values(false, true)] once: bool,
 ) {
@@ -59,7 +59,7 @@
 }
 
 #[actix_rt::test]
-async fn a_refused_connection_proves_that_nothing_ran() {
+async fn a_refused_connection_proves_not_run() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
--- a/crates/edge/tests/unknown_headers.rs
+++ b/crates/edge/tests/unknown_headers.rs
@@ -1,15 +1,15 @@
-//! Unknown headers are told once, few of them, and cut where they are long.
+//! Unknown headers are reported once each, up to a maximum, and long names are truncated.
 
 use dalestand_edge::unknown_headers::{UnknownHeaders, UnknownSender};
 
 #[test]
-fn each_name_is_told_once() {
+fn each_name_is_reported_once() {
     let headers = UnknownHeaders::default();
     for _ in 0..3 {
         headers.record(UnknownSender::Engine, "server-mood");
         headers.record(UnknownSender::KeyValue, "server-mood");
     }
-    assert_eq!(headers.take_new().len(), 2, "one for each sender");
+    assert_eq!(headers.take_new().len(), 2, "one per sender");
     headers.record(UnknownSender::Engine, "server-mood");
     assert!(headers.take_new().is_empty());
     assert_eq!(headers.count(UnknownSender::Engine), 4);
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn ten_thousand_names_are_counted_and_few_are_told() {
+fn all_names_are_counted_and_at_most_64_are_reported() {
     let headers = UnknownHeaders::default();
     for number in 0..10_000 {
         headers.record(UnknownSender::Engine, &format!("server-{number}"));
@@ -28,12 +28,16 @@
 }
 
 #[test]
-fn a_long_name_is_cut() {
+fn a_long_name_is_truncated() {
     let headers = UnknownHeaders::default();
     headers.record(
         UnknownSender::Engine,
         &format!("server-{}", "\u{e9}".repeat(8_000)),
     );
-    let told = headers.take_new();
-    assert!(told[0].name.chars().count() == 64, "{}", told[0].name.len());
+    let reported = headers.take_new();
+    assert!(
+        reported[0].name.chars().count() == 64,
+        "{}",
+        reported[0].name.len()
+    );
 }
