--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/answer_stream.rs
@@ -1,5 +1,5 @@
-//! Relays an engine's frames to the caller, and goes on at another engine if the first one fails
-//! in mid answer and the request may be repeated.
+//! The stream of an answer from engine to caller. If an engine fails during the answer and the
+//! request may be repeated, another engine resumes it.
 
 use std::rc::Rc;
 
@@ -11,29 +11,29 @@
 use crate::assembler::{AnswerEnd, AnswerPart, FrameAssembler, FrameOutcome};
 use crate::attempt::{AcceptedAttempt, Attempts};
 use crate::claim::KeptAnswer;
-use crate::claim_hold::ClaimHold;
+use crate::claim_guard::ClaimGuard;
 use crate::context::Context;
 use crate::error::CallerError;
 use crate::record;
 use crate::resume::ResumePoint;
 use crate::shared::RequestGuard;
 use crate::stop_sequence::{Released, StopSequences};
-use crate::tenant_share::TenantGrant;
+use crate::token_reservation::TokenReservation;
 
-/// What the caller is to see next.
-pub(crate) enum Piece {
+/// The next item of an answer for the caller.
+pub(crate) enum AnswerItem {
     /// Text of the answer, after which the stream can be resumed.
     Text(String),
-    /// The last text before a stop sequence.
+    /// The last text before a stop sequence; the stream cannot be resumed after it.
     LastText(String),
-    /// The end of a whole answer.
+    /// The answer is complete.
     End(FinishReason, Usage),
-    /// The answer broke off.
-    Broken(CallerError),
+    /// The answer failed and is incomplete.
+    Error(CallerError),
 }
 
-/// Relays one request's answer.
-pub(crate) struct Relay {
+/// The answer to one request.
+pub(crate) struct AnswerStream {
     context: Rc<Context>,
     _in_flight: RequestGuard,
     request: RequestId,
@@ -41,22 +41,22 @@
     accepted: AcceptedAttempt,
     assembler: FrameAssembler,
     stops: StopSequences,
-    claim: Option<ClaimHold>,
-    grant: Option<TenantGrant>,
-    kept: String,
+    claim: Option<ClaimGuard>,
+    reservation: Option<TokenReservation>,
+    answer_text: String,
     ended: bool,
 }
 
-impl Relay {
-    /// Relays the frames of `accepted`.
+impl AnswerStream {
+    /// Creates the stream of the answer that `accepted` generates.
     pub(crate) fn new(
         context: Rc<Context>,
         in_flight: RequestGuard,
         attempts: Attempts,
         accepted: AcceptedAttempt,
         stop: Vec<String>,
-        claim: Option<ClaimHold>,
-        grant: Option<TenantGrant>,
+        claim: Option<ClaimGuard>,
+        reservation: Option<TokenReservation>,
     ) -> Self {
         let assembler = FrameAssembler::new(accepted.attempt, attempts.resume_from());
         Self {
@@ -68,13 +68,13 @@
             assembler,
             stops: StopSequences::new(stop),
             claim,
-            grant,
-            kept: String::new(),
+            reservation,
+            answer_text: String::new(),
             ended: false,
         }
     }
 
-    /// Where the stream stands after the last piece.
+    /// The point from which a caller that has the last item can resume.
     pub(crate) fn resume_point(&self) -> ResumePoint {
         ResumePoint {
             request: self.request,
@@ -84,21 +84,21 @@
         }
     }
 
-    /// The next piece; `None` after the end.
-    pub(crate) async fn next(&mut self) -> Option<Piece> {
+    /// The next item; `None` after the end.
+    pub(crate) async fn next(&mut self) -> Option<AnswerItem> {
         if self.ended {
             return None;
         }
         loop {
             match self.stops.next_released() {
                 Some(Released::Token(text)) => {
-                    self.keep(&text);
-                    return Some(Piece::Text(text));
+                    self.record_text(&text);
+                    return Some(AnswerItem::Text(text));
                 }
                 Some(Released::Stopped(text)) => {
-                    self.keep(&text);
-                    self.stop();
-                    return Some(Piece::LastText(text));
+                    self.record_text(&text);
+                    self.end_at_stop_sequence();
+                    return Some(AnswerItem::LastText(text));
                 }
                 None => {}
             }
@@ -113,35 +113,35 @@
                 Some(AnswerPart::End(_)) => self.stops.finish(),
                 None => {
                     if let Err(reason) = self.read().await
-                        && let Err(error) = self.go_on_elsewhere(reason).await
+                        && let Err(error) = self.resume_attempt(reason).await
                     {
-                        return Some(self.broken(error));
+                        return Some(self.fail(error));
                     }
                 }
             }
         }
     }
 
-    /// Tokens of the answer that were generated for this call.
+    /// Number of tokens generated in this call.
     fn generated(&self) -> u32 {
         self.assembler.position() - self.attempts.first_position()
     }
 
-    /// Tokens whose text the caller has.
+    /// Number of tokens whose text was returned.
     fn delivered(&self) -> u32 {
         self.assembler.position() - self.stops.held_tokens()
     }
 
-    /// Reads one frame; the error says why the attempt is over.
+    /// Reads one frame; the error is the reason why the attempt failed.
     async fn read(&mut self) -> Result<(), String> {
         let frame = match self.accepted.frames.next().await {
             Some(Ok(frame)) => frame,
             Some(Err(error)) => return Err(error.to_string()),
-            None => return Err("the engine's answer broke off".to_owned()),
+            None => return Err("the engine's answer ended early".to_owned()),
         };
-        match self.assembler.take(frame) {
-            Ok(FrameOutcome::Taken) => {
-                self.accepted.note_token();
+        match self.assembler.push(frame) {
+            Ok(FrameOutcome::Accepted) => {
+                self.accepted.record_token();
                 Ok(())
             }
             Ok(FrameOutcome::Foreign) => {
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Resumes after the last token delivered, where the request may be repeated.
-    async fn go_on_elsewhere(&mut self, reason: String) -> Result<(), CallerError> {
+    /// Resumes after the last delivered token, if the request may be repeated.
+    async fn resume_attempt(&mut self, reason: String) -> Result<(), CallerError> {
         let delivered = self.delivered();
         self.stops.clear();
         self.accepted = self.attempts.resume(delivered, reason).await?;
@@ -163,22 +163,22 @@
         Ok(())
     }
 
-    /// Keeps text for whoever repeats a request that runs once.
-    fn keep(&mut self, text: &str) {
+    /// Records text for callers that repeat an at-most-once request.
+    fn record_text(&mut self, text: &str) {
         if self.claim.is_some() {
-            self.kept.push_str(text);
+            self.answer_text.push_str(text);
         }
     }
 
-    /// Ends the answer at a stop sequence. Dropping the attempt's frames cancels it.
-    fn stop(&mut self) {
+    /// Ends the answer at a stop sequence. Dropping the frame stream cancels the attempt.
+    fn end_at_stop_sequence(&mut self) {
         let tokens = self.assembler.position();
         let usage = Usage {
             prompt_tokens: self.attempts.prompt_tokens(),
             cached_tokens: 0,
             completion_tokens: tokens,
         };
-        self.assembler = FrameAssembler::ended(
+        self.assembler = FrameAssembler::completed(
             self.accepted.attempt,
             AnswerEnd {
                 tokens,
@@ -189,10 +189,10 @@
         self.accepted.frames = Box::pin(futures_util::stream::empty());
     }
 
-    fn complete(&mut self, reason: FinishReason, usage: Usage, tokens: u32) -> Piece {
+    fn complete(&mut self, reason: FinishReason, usage: Usage, tokens: u32) -> AnswerItem {
         self.accepted.guard.complete(tokens, usage);
         if let Some(claim) = self.claim.take() {
-            let text = std::mem::take(&mut self.kept);
+            let text = std::mem::take(&mut self.answer_text);
             claim.finish(
                 RunState::Complete,
                 Some(KeptAnswer {
@@ -207,10 +207,10 @@
             RunState::Complete,
             None,
         );
-        Piece::End(reason, usage)
+        AnswerItem::End(reason, usage)
     }
 
-    fn broken(&mut self, error: CallerError) -> Piece {
+    fn fail(&mut self, error: CallerError) -> AnswerItem {
         let reason = error.to_string();
         if let Some(claim) = self.claim.take() {
             claim.finish(RunState::Unknown, None);
@@ -219,27 +219,27 @@
             reason: reason.clone(),
         };
         self.finish(outcome, RunState::Unknown, Some(reason));
-        Piece::Broken(error)
+        AnswerItem::Error(error)
     }
 
     fn finish(&mut self, outcome: AttemptOutcome, state: RunState, reason: Option<String>) {
         self.ended = true;
         let used = u64::from(self.attempts.prompt_tokens()) + u64::from(self.generated());
-        if let Some(grant) = &mut self.grant {
-            grant.used(used);
+        if let Some(reservation) = &mut self.reservation {
+            reservation.set_used(used);
         }
         record::set_outcome(&self.context.shared, self.request, outcome);
         record::finish(&self.context.shared, self.request, state, reason);
     }
 }
 
-impl Drop for Relay {
+impl Drop for AnswerStream {
     fn drop(&mut self) {
         if !self.ended {
             let outcome = AttemptOutcome::Cancelled {
                 tokens: self.delivered(),
             };
-            let reason = Some("the caller went away".to_owned());
+            let reason = Some("the caller disconnected".to_owned());
             self.finish(outcome, RunState::Unknown, reason);
         }
     }
--- a/crates/gateway/src/attempt/guard.rs
+++ b/crates/gateway/src/attempt/guard.rs
@@ -1,4 +1,4 @@
-//! Tells the router what this node has at an engine and how it came out.
+//! Reports this node's requests at engines, and their completion, to the router.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::shared::SharedState;
 
-/// Counts a request at an engine until dropped.
+/// Counts a request as in flight at an engine until dropped.
 pub(crate) struct InFlightGuard {
     shared: Arc<SharedState>,
     ticket: Ticket,
@@ -15,7 +15,7 @@
 }
 
 impl InFlightGuard {
-    /// Counts a request that is about to be sent.
+    /// Records a request that is about to be sent.
     pub(super) fn new(
         shared: &Arc<SharedState>,
         engine: &EngineView,
@@ -31,15 +31,15 @@
         }
     }
 
-    /// Notes that the first token came in.
-    pub(crate) fn first_token(&mut self) {
+    /// Records the arrival of the first token.
+    pub(crate) fn record_first_token(&mut self) {
         let now = self.shared.clock.now();
         self.shared
             .router()
             .record_first_token(now, &mut self.ticket);
     }
 
-    /// Notes that the attempt ran to its end.
+    /// Records that the attempt completed.
     pub(crate) fn complete(&mut self, output_tokens: u32, usage: Usage) {
         self.completion = Completion {
             output_tokens: Some(output_tokens),
--- a/crates/gateway/src/attempt/mod.rs
+++ b/crates/gateway/src/attempt/mod.rs
@@ -1,8 +1,8 @@
-//! Attempts of one request: choose an engine, send, and go on to another engine only when the
-//! first is proved not to have run it, or the request may be repeated.
+//! Attempts of one request: chooses an engine, sends the request and, if that fails, tries another
+//! engine only if the first provably did not run the request, or the request may be repeated.
 //!
-//! Where routing says so, the prompt runs on one engine and the output on another. Once a prompt
-//! has run, the request is never called "not run".
+//! The router may split a request: one engine prefills and another decodes. After a prefill, the
+//! request is never reported as "not run".
 
 mod guard;
 mod prefill;
@@ -26,42 +26,41 @@
 use crate::error::CallerError;
 use crate::record;
 
-/// Most times an answer that broke off is resumed.
+/// Maximum number of times that an interrupted answer is resumed.
 const MAX_RESUMES: u32 = 4;
 
-/// Most rounds in which an engine is looked for that can resume an answer.
+/// Maximum number of tries to find an engine for one resume.
 const MAX_RESUME_ROUNDS: u32 = 20;
 
-/// Pause between two such rounds.
-const RESUME_PAUSE: Duration = Duration::from_millis(250);
+/// Pause between two such tries.
+const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Wait told to a caller whose request several engines refused.
+/// Retry delay given to a caller whose request several engines refused.
 const REFUSED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// An attempt that an engine has accepted.
 pub(crate) struct AcceptedAttempt {
-    /// The attempt.
     pub(crate) attempt: AttemptId,
     /// The engine that runs it.
     pub(crate) engine: EngineId,
-    /// Its frames.
+    /// The frames that the engine sends.
     pub(crate) frames: FrameStream,
-    /// Tells the router how the attempt goes.
+    /// Reports the progress of the attempt to the router.
     pub(crate) guard: InFlightGuard,
     token_seen: bool,
 }
 
 impl AcceptedAttempt {
-    /// Notes that a frame with a token came in.
-    pub(crate) fn note_token(&mut self) {
+    /// Records that a frame arrived; the first one counts as the first token.
+    pub(crate) fn record_token(&mut self) {
         if !self.token_seen {
             self.token_seen = true;
-            self.guard.first_token();
+            self.guard.record_first_token();
         }
     }
 }
 
-/// The engine chosen for one attempt.
+/// The engine chosen for one attempt, and the stages that it runs.
 struct Choice {
     engine: EngineView,
     placement: Placement,
@@ -81,8 +80,8 @@
 }
 
 impl Attempts {
-    /// No attempt yet. `repeatable` says whether the request may run again after an attempt whose
-    /// result is not known.
+    /// Creates the state before the first attempt. `repeatable` says whether the request may run again
+    /// after an attempt whose result is unknown.
     pub(crate) fn new(
         context: Rc<Context>,
         received_at: MonotonicTime,
@@ -91,7 +90,7 @@
         repeatable: bool,
     ) -> Self {
         context.shared.retry_budget().record_first_attempt();
-        // A request that is resumed has run before.
+        // A resumed request has run before.
         let first_position = request.resume_from;
         let may_have_run = first_position > 0;
         Self {
@@ -107,27 +106,26 @@
         }
     }
 
-    /// The request.
     pub(crate) fn request_id(&self) -> RequestId {
         self.request.request
     }
 
-    /// Position of the first token asked for.
+    /// Position of the first token requested from the current engine.
     pub(crate) fn resume_from(&self) -> u32 {
         self.request.resume_from
     }
 
-    /// Position of the first token of this call, whatever has been resumed since.
+    /// Position of the first token requested in this call, unchanged by later resumes.
     pub(crate) fn first_position(&self) -> u32 {
         self.first_position
     }
 
-    /// Estimated tokens of the prompt.
+    /// Estimated number of tokens in the prompt.
     pub(crate) fn prompt_tokens(&self) -> u32 {
         self.route.prompt_tokens
     }
 
-    /// Goes on after an attempt that broke off when `delivered` tokens had been delivered.
+    /// Resumes an interrupted answer of which `delivered` tokens were delivered.
     pub(crate) async fn resume(
         &mut self,
         delivered: u32,
@@ -142,7 +140,7 @@
             return Err(CallerError::Unknown(reason));
         }
         self.request.resume_from = delivered;
-        // An answer that has begun is not refused for being late.
+        // An answer that has begun is not refused because of its deadline.
         self.route.deadlines = Deadlines::default();
         for _ in 0..MAX_RESUME_ROUNDS {
             self.request.import_from = None;
@@ -151,7 +149,7 @@
             if let Ok(accepted) = self.start().await {
                 return Ok(accepted);
             }
-            actix_rt::time::sleep(RESUME_PAUSE).await;
+            actix_rt::time::sleep(RESUME_RETRY_INTERVAL).await;
             self.route.tried.clear();
         }
         Err(CallerError::Unknown(reason))
@@ -162,7 +160,7 @@
         loop {
             let choice = self.choose()?;
             let failed = match choice.placement {
-                Placement::PrefillOnly => match self.run_prompt(&choice).await {
+                Placement::PrefillOnly => match self.run_prefill(&choice).await {
                     Ok(()) => continue,
                     Err(error) => error,
                 },
@@ -171,7 +169,7 @@
                     Err(error) => error,
                 },
             };
-            self.after_failure(&choice, &failed)?;
+            self.handle_failure(&choice, &failed)?;
         }
     }
 
@@ -202,7 +200,7 @@
                 retry_after,
                 candidates,
             } => {
-                let decided = NoEngineRecord {
+                let record = NoEngineRecord {
                     after_ms: now.since(self.received_at).as_millis() as u64,
                     reason: format!("{reason:?}"),
                     retry_after_ms: retry_after.as_millis() as u64,
@@ -210,9 +208,9 @@
                 };
                 shared
                     .decisions()
-                    .update_request(self.request.request, |kept| kept.no_engine = Some(decided));
-                let message = format!("no engine can take the request now: {reason:?}");
-                Err(self.give_up(message, retry_after))
+                    .update_request(self.request.request, |entry| entry.no_engine = Some(record));
+                let message = format!("no engine can accept the request now: {reason:?}");
+                Err(self.final_error(message, retry_after))
             }
         }
     }
@@ -235,16 +233,16 @@
         self.context
             .shared
             .decisions()
-            .update_request(self.request.request, |kept| kept.attempts.push(record));
+            .update_request(self.request.request, |entry| entry.attempts.push(record));
         self.context.shared.metrics.attempts.inc();
     }
 
-    /// Runs the prompt on one engine; the next attempt imports its KV cache.
-    async fn run_prompt(&mut self, choice: &Choice) -> Result<(), AttemptError> {
+    /// Prefills the prompt on one engine; the next attempt imports its KV cache.
+    async fn run_prefill(&mut self, choice: &Choice) -> Result<(), AttemptError> {
         let mut guard = self.guard(choice);
         let client = self.context.engines.get(choice.engine.address);
         let prefilled = prefill::run(&client, &choice.engine, &self.request).await?;
-        guard.first_token();
+        guard.record_first_token();
         guard.complete(0, prefilled.usage);
         self.may_have_run = true;
         self.request.import_from = Some(prefilled.handle);
@@ -273,8 +271,8 @@
         InFlightGuard::new(shared, &choice.engine, &self.route, choice.placement)
     }
 
-    /// Decides whether another engine may be asked.
-    fn after_failure(&mut self, choice: &Choice, error: &AttemptError) -> Result<(), CallerError> {
+    /// Decides whether another attempt may follow a failed one.
+    fn handle_failure(&mut self, choice: &Choice, error: &AttemptError) -> Result<(), CallerError> {
         let reason = error.to_string();
         if error.proves_not_run() {
             self.set_outcome(AttemptOutcome::NotRun { reason });
@@ -286,17 +284,17 @@
             }
         }
         if is_cache_lost(error) {
-            // The prompt has to run again.
+            // The prompt must be prefilled again.
             self.request.import_from = None;
             self.route.phase = RoutePhase::Start;
         } else {
             self.route.tried.push(choice.engine.engine.clone());
         }
-        self.spend_retry(failure_kind(error), error.to_string())
+        self.consume_retry(failure_kind(error), error.to_string())
     }
 
-    /// Pays for one more attempt out of the request's and the node's budget.
-    fn spend_retry(&mut self, kind: FailureKind, reason: String) -> Result<(), CallerError> {
+    /// Takes one more attempt out of the retry budgets of the request and the node.
+    fn consume_retry(&mut self, kind: FailureKind, reason: String) -> Result<(), CallerError> {
         let failed = FailedAttempt {
             kind,
             repeatable: self.repeatable,
@@ -304,13 +302,13 @@
         };
         let decision = self.context.shared.retry_budget().decide(&failed);
         if decision != RetryDecision::Retry {
-            return Err(self.give_up(reason, REFUSED_RETRY_AFTER));
+            return Err(self.final_error(reason, REFUSED_RETRY_AFTER));
         }
         self.retries += 1;
         Ok(())
     }
 
-    fn give_up(&self, message: String, retry_after: Duration) -> CallerError {
+    fn final_error(&self, message: String, retry_after: Duration) -> CallerError {
         if self.may_have_run {
             return CallerError::Unknown(message);
         }
--- a/crates/gateway/src/attempt/prefill.rs
+++ b/crates/gateway/src/attempt/prefill.rs
@@ -1,19 +1,19 @@
-//! The first of two stages: one engine runs the prompt and holds its KV cache for another.
+//! Prefill stage of a split request: one engine prefills the prompt and holds its KV cache for the
+//! engine that decodes.
 
 use dalestand_edge::{AttemptError, Engine as _, HttpEngine};
 use dalestand_routing::EngineView;
 use dalestand_types::{CacheHandle, GenerationFrame, GenerationRequest, Usage};
 use futures_util::StreamExt as _;
 
-/// A prompt that has run.
+/// Result of a prefill.
 pub(super) struct Prefilled {
-    /// Where its KV cache is held.
+    /// Refers to the KV cache at the engine that holds it.
     pub(super) handle: CacheHandle,
-    /// Token counts.
     pub(super) usage: Usage,
 }
 
-/// Runs the prompt of `request` on `engine`.
+/// Prefills the prompt of `request` on `engine`.
 pub(super) async fn run(
     client: &HttpEngine,
     engine: &EngineView,
@@ -30,10 +30,10 @@
             GenerationFrame::Failed { message, .. } => {
                 return Err(AttemptError::BrokenOff(message));
             }
-            // Frames of another attempt, and tokens that nobody asked for, reach no caller.
+            // Frames of other attempts, and tokens, which were not requested, are ignored.
             _ => {}
         }
     }
-    let message = "ended before the prompt had run".to_owned();
+    let message = "the engine closed the connection before the prefill was complete".to_owned();
     Err(AttemptError::BrokenOff(message))
 }
--- a/crates/gateway/src/claim.rs
+++ b/crates/gateway/src/claim.rs
@@ -1,8 +1,8 @@
-//! Border to the record of requests that may run at most once.
+//! Interface to the record of requests that run at most once.
 //!
-//! The gateway asks before the first dispatch of such a request and reports how it ended. What
-//! stands behind the trait may live on another thread and reach other nodes; the gateway only
-//! awaits its answer and treats no answer as a refusal.
+//! The gateway claims the idempotency key before the first dispatch of such a request and reports
+//! how the request ended. The implementation of [`ClaimGate`] may run on another thread and call
+//! other nodes; the gateway only awaits its answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,58 +11,56 @@
 use dalestand_types::{FinishReason, RequestId, RunState, TenantName, Usage};
 use serde::{Deserialize, Serialize};
 
-/// A caller's `Idempotency-Key`, within the scope of its tenant.
+/// A caller's `Idempotency-Key`, scoped to its tenant.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
-    /// The tenant; callers without a key share one scope.
+    /// The tenant; callers without an API key share one scope.
     pub tenant: Option<TenantName>,
     /// The key as the caller sent it.
     pub key: Arc<str>,
 }
 
-/// Hash of all that decides a request's answer, so that a key repeated with another request is
-/// told apart from a repeated request.
+/// Hash of all fields of a request that determine its answer. It distinguishes a repeated request from
+/// a different request under the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RequestFingerprint(pub [u8; 32]);
 
-/// Wish to run a request under a key.
+/// Claim of a key for a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// The key.
     pub key: ClaimKey,
-    /// The request that is to run under it.
+    /// The request to run under the key.
     pub request: RequestId,
-    /// What it asks for.
+    /// Fingerprint of the request.
     pub fingerprint: RequestFingerprint,
 }
 
-/// A whole answer, kept so that a repeated request gets it instead of a second run.
+/// A complete answer, stored so that a repeated request returns it without a second run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptAnswer {
-    /// The text.
     pub text: String,
     /// Why generation ended.
     pub reason: FinishReason,
-    /// Token counts.
     pub usage: Usage,
 }
 
-/// Answer to a claim.
+/// Outcome of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimOutcome {
-    /// This request, and no other under the key, may be dispatched.
+    /// This request may be dispatched, and no other one under the key.
     Granted,
-    /// Another request ran under the key. Without an answer its result is not known or not kept.
+    /// Another request has ended under the key. Without an answer, its result is unknown or no longer
+    /// stored.
     Duplicate {
         first: RequestId,
         run_state: RunState,
         answer: Option<KeptAnswer>,
     },
-    /// Another request runs under the key now.
+    /// Another request under the key is running.
     InProgress { retry_after: Duration },
-    /// The key was used for a request that asked for something else.
+    /// The key was used for a request with another fingerprint.
     KeyReused,
-    /// No claim can be made now; the request was not dispatched.
+    /// No claim can be made now, so the request must not be dispatched.
     Refused {
         reason: String,
         retry_after: Duration,
@@ -72,9 +70,9 @@
 /// How a claimed request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimEnd {
-    /// What is known of whether it ran. After `NotRun` the key may be claimed again.
+    /// What is known about whether the request ran. After `NotRun` the key can be claimed again.
     pub run_state: RunState,
-    /// The answer, if it is whole.
+    /// The answer, if it is complete.
     pub answer: Option<KeptAnswer>,
 }
 
@@ -84,7 +82,6 @@
     /// Claims a key before the first dispatch.
     async fn claim(&self, claim: &ClaimRequest) -> ClaimOutcome;
 
-    /// Reports the end of a request whose claim was granted. Must not block: it is called from
-    /// destructors too.
+    /// Reports the end of a request whose claim was granted. Must not block, since destructors call it.
     fn finish(&self, claim: &ClaimRequest, end: ClaimEnd);
 }
--- a/crates/gateway/src/claim_hold.rs
+++ b/crates/gateway/src/claim_guard.rs
@@ -1,4 +1,4 @@
-//! A granted claim, whose end is reported even if the caller goes away.
+//! A granted claim, whose end is reported even if the caller disconnects.
 
 use std::sync::Arc;
 
@@ -8,22 +8,22 @@
 use crate::error::CallerError;
 use crate::shared::SharedState;
 
-/// A claim that was granted. Dropped without an end, it is reported as unknown.
-pub(crate) struct ClaimHold {
+/// A granted claim. If it is dropped before [`Self::finish`], the run state is reported as unknown.
+pub(crate) struct ClaimGuard {
     shared: Arc<SharedState>,
     claim: ClaimRequest,
     reported: bool,
 }
 
-/// What a caller's claim came to.
+/// Result of a successful claim.
 pub(crate) enum Claimed {
     /// The request may run.
-    Granted(ClaimHold),
-    /// Its answer is known already.
+    Granted(ClaimGuard),
+    /// An earlier request under the key has this answer.
     Answered(KeptAnswer),
 }
 
-impl ClaimHold {
+impl ClaimGuard {
     /// Reports how the request ended.
     pub(crate) fn finish(mut self, run_state: RunState, answer: Option<KeptAnswer>) {
         self.report(ClaimEnd { run_state, answer });
@@ -37,7 +37,7 @@
     }
 }
 
-impl Drop for ClaimHold {
+impl Drop for ClaimGuard {
     fn drop(&mut self) {
         if !self.reported {
             self.report(ClaimEnd {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Claims a key; `None` if nothing grants claims on this node.
+/// Claims a key; `None` if this node has no claim gate.
 pub(crate) async fn claim(
     shared: &Arc<SharedState>,
     claim: ClaimRequest,
@@ -57,7 +57,7 @@
         return Ok(None);
     };
     match gate.claim(&claim).await {
-        ClaimOutcome::Granted => Ok(Some(Claimed::Granted(ClaimHold {
+        ClaimOutcome::Granted => Ok(Some(Claimed::Granted(ClaimGuard {
             shared: Arc::clone(shared),
             claim,
             reported: false,
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -1,4 +1,4 @@
-//! Completions: from the caller's body to the engine's frames and back.
+//! Handles a completion request from its body to the answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,42 +14,44 @@
 use futures_util::{Stream, StreamExt as _, stream};
 use rand::RngExt as _;
 
+use crate::answer_stream::{AnswerItem, AnswerStream};
 use crate::attempt::Attempts;
 use crate::claim::KeptAnswer;
-use crate::claim_hold::{ClaimHold, Claimed, claim};
+use crate::claim_guard::{ClaimGuard, Claimed, claim};
 use crate::context::Context;
 use crate::error::CallerError;
-use crate::openai::{AnswerHead, ChatBody, CompletionBody, EventWriter, Surface, Wish, whole_body};
-use crate::order::{CallerOrder, KeyedRequest};
-use crate::record::{self, OpenRecord};
-use crate::relay::{Piece, Relay};
+use crate::openai::{
+    AnswerHead, CallerRequest, ChatBody, CompletionBody, Endpoint, EventWriter, whole_body,
+};
+use crate::record::{self, RecordGuard};
+use crate::resolved_request::{IdempotencyHeaders, ResolvedRequest};
 use crate::resume::EventIds;
 use crate::shared::{ActiveConfiguration, RequestGuard};
-use crate::tenant_share::TenantGrant;
+use crate::token_reservation::TokenReservation;
 
-/// Wait told to callers of a node that has no configuration yet, is full or stops.
-const UNAVAILABLE_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay given to callers of a node that has no configuration yet, is full or is stopping.
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 const REQUEST_ID_HEADER: HeaderName = HeaderName::from_static("x-request-id");
 const REVISION_HEADER: HeaderName = HeaderName::from_static("x-dalestand-configuration");
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// Serves one completion.
+/// Handles one completion request.
 pub(crate) async fn complete(
     context: Rc<Context>,
-    surface: Surface,
+    endpoint: Endpoint,
     http_request: &mut Request,
 ) -> Result<Answer, CallerError> {
-    let in_flight = enter(&context)?;
-    let active = usable_configuration(&context)?;
+    let in_flight = admit(&context)?;
+    let active = current_configuration(&context)?;
     let request_id = new_request_id(&context);
     let served = serve(
         &context,
         &active,
         in_flight,
         request_id,
-        surface,
+        endpoint,
         http_request,
     )
     .await;
@@ -64,32 +66,32 @@
     Ok(answer)
 }
 
-/// The answer to a request that the node cannot take now.
+/// The answer to a request that the node cannot accept now.
 pub(crate) fn unavailable(message: &str) -> Answer {
-    refuse(message).answer()
+    unavailable_error(message).answer()
 }
 
-fn refuse(message: &str) -> CallerError {
+fn unavailable_error(message: &str) -> CallerError {
     CallerError::Unavailable {
         message: message.to_owned(),
-        retry_after: UNAVAILABLE_RETRY,
+        retry_after: UNAVAILABLE_RETRY_AFTER,
     }
 }
 
-fn enter(context: &Context) -> Result<RequestGuard, CallerError> {
+fn admit(context: &Context) -> Result<RequestGuard, CallerError> {
     let guard = context.shared.enter_request();
-    let guard = guard.ok_or_else(|| refuse("this node is stopping"))?;
+    let guard = guard.ok_or_else(|| unavailable_error("this node is stopping"))?;
     if context.shared.in_flight() > context.max_requests {
-        return Err(refuse("this node has as many requests as it takes"));
+        return Err(unavailable_error("this node has reached its request limit"));
     }
     Ok(guard)
 }
 
-fn usable_configuration(
+fn current_configuration(
     context: &Context,
 ) -> Result<std::sync::Arc<ActiveConfiguration>, CallerError> {
     let active = context.shared.configuration.load_full();
-    active.ok_or_else(|| refuse("this node has no configuration yet"))
+    active.ok_or_else(|| unavailable_error("this node has no configuration yet"))
 }
 
 fn new_request_id(context: &Context) -> RequestId {
@@ -102,43 +104,55 @@
     active: &ActiveConfiguration,
     in_flight: RequestGuard,
     request_id: RequestId,
-    surface: Surface,
+    endpoint: Endpoint,
     http_request: &mut Request,
 ) -> Result<Answer, CallerError> {
     let received_at = context.shared.clock.now();
-    let terms = context.tenants.terms(active, http_request.headers())?;
-    let keyed = KeyedRequest::read(http_request.headers())?;
-    let wish = read_wish(active, surface, http_request).await?;
-    let order = CallerOrder::new(context, active, terms, keyed, wish, request_id)?;
-    let request_id = order.request.request;
+    let policy = context.tenants.policy(active, http_request.headers())?;
+    let idempotency = IdempotencyHeaders::read(http_request.headers())?;
+    let original = read_caller_request(active, endpoint, http_request).await?;
+    let resolved =
+        ResolvedRequest::new(context, active, policy, idempotency, original, request_id)?;
+    let request_id = resolved.request.request;
     let head = AnswerHead {
-        surface,
-        id: format!("{}{request_id}", surface.id_prefix()),
+        endpoint,
+        id: format!("{}{request_id}", endpoint.id_prefix()),
         created: context.shared.clock.unix_ms() / 1_000,
-        model: order.wish.model.clone(),
+        model: resolved.original.model.clone(),
     };
     let shared = &context.shared;
-    let grant = TenantGrant::take(shared, order.tenant.as_ref(), order.tokens_needed())?;
-    let claimed = match order.claim.clone() {
+    let reservation =
+        TokenReservation::reserve(shared, resolved.tenant.as_ref(), resolved.tokens_needed())?;
+    let claimed = match resolved.claim.clone() {
         Some(request) => claim(&context.shared, request).await?,
         None => None,
     };
-    let hold = match claimed {
-        Some(Claimed::Answered(kept)) => return Ok(kept_answer(&head, &order.wish, &kept)),
-        Some(Claimed::Granted(hold)) => Some(hold),
+    let guard = match claimed {
+        Some(Claimed::Answered(stored)) => {
+            return Ok(replay_answer(&head, &resolved.original, &stored));
+        }
+        Some(Claimed::Granted(guard)) => Some(guard),
         None => None,
     };
-    put_record(context, active, &order);
-    let relay = start(context, &order, in_flight, received_at, hold, grant).await?;
-    let mut answer = if order.wish.stream {
-        let writer = EventWriter::new(&head, order.wish.include_usage);
-        let resumed = order.request.resume_from > 0;
+    put_record(context, active, &resolved);
+    let answer_stream = start(
+        context,
+        &resolved,
+        in_flight,
+        received_at,
+        guard,
+        reservation,
+    )
+    .await?;
+    let mut answer = if resolved.original.stream {
+        let writer = EventWriter::new(&head, resolved.original.include_usage);
+        let resumed = resolved.request.resume_from > 0;
         let first = writer.first().filter(|_| !resumed);
-        let events = events(relay, writer, order.event_ids);
+        let events = event_stream(answer_stream, writer, resolved.event_ids);
         let events = stream::iter(first).chain(events);
         stream_answer(StatusCode::OK, EVENT_STREAM, events)
     } else {
-        whole(relay, &head).await?
+        collect_answer(answer_stream, &head).await?
     };
     if let Ok(id) = HeaderValue::try_from(request_id.to_string()) {
         answer.headers_mut().insert(REQUEST_ID_HEADER, id);
@@ -146,32 +160,32 @@
     Ok(answer)
 }
 
-async fn read_wish(
+async fn read_caller_request(
     active: &ActiveConfiguration,
-    surface: Surface,
+    endpoint: Endpoint,
     http_request: &mut Request,
-) -> Result<Wish, CallerError> {
+) -> Result<CallerRequest, CallerError> {
     let limit = active.deployment.limits.max_body_bytes;
-    match surface {
-        Surface::Completion => {
+    match endpoint {
+        Endpoint::Completion => {
             let body: CompletionBody = read_json(http_request, limit).await?;
-            body.into_wish()
+            body.into_request()
         }
-        Surface::Chat => {
+        Endpoint::Chat => {
             let body: ChatBody = read_json(http_request, limit).await?;
-            body.into_wish()
+            body.into_request()
         }
     }
 }
 
-fn put_record(context: &Context, active: &ActiveConfiguration, order: &CallerOrder) {
+fn put_record(context: &Context, active: &ActiveConfiguration, resolved: &ResolvedRequest) {
     let record = RequestRecord {
-        request: order.request.request,
+        request: resolved.request.request,
         unix_ms: context.shared.clock.unix_ms(),
         revision: active.revision,
-        model: order.request.model.clone(),
-        tenant: order.request.tenant.clone(),
-        terms: order.terms.clone(),
+        model: resolved.request.model.clone(),
+        tenant: resolved.request.tenant.clone(),
+        terms: resolved.terms.clone(),
         attempts: Vec::new(),
         no_engine: None,
         refusal: None,
@@ -183,36 +197,36 @@
 /// Sends the request to engines until one accepts it.
 async fn start(
     context: &Rc<Context>,
-    order: &CallerOrder,
+    resolved: &ResolvedRequest,
     in_flight: RequestGuard,
     received_at: dalestand_types::MonotonicTime,
-    hold: Option<ClaimHold>,
-    grant: Option<TenantGrant>,
-) -> Result<Relay, CallerError> {
+    guard: Option<ClaimGuard>,
+    reservation: Option<TokenReservation>,
+) -> Result<AnswerStream, CallerError> {
     let mut attempts = Attempts::new(
         Rc::clone(context),
         received_at,
-        order.route.clone(),
-        order.request.clone(),
-        order.repeatable,
+        resolved.route.clone(),
+        resolved.request.clone(),
+        resolved.repeatable,
     );
-    let open = OpenRecord::new(&context.shared, order.request.request);
+    let open = RecordGuard::new(&context.shared, resolved.request.request);
     let started = attempts.start().await;
-    open.hand_over();
+    open.release();
     match started {
-        Ok(accepted) => Ok(Relay::new(
+        Ok(accepted) => Ok(AnswerStream::new(
             Rc::clone(context),
             in_flight,
             attempts,
             accepted,
-            order.wish.stop.clone(),
-            hold,
-            grant,
+            resolved.original.stop.clone(),
+            guard,
+            reservation,
         )),
         Err(error) => {
-            let (request, state) = (order.request.request, error.run_state());
-            if let Some(hold) = hold {
-                hold.finish(state, None);
+            let (request, state) = (resolved.request.request, error.run_state());
+            if let Some(guard) = guard {
+                guard.finish(state, None);
             }
             record::finish(&context.shared, request, state, Some(error.to_string()));
             Err(error)
@@ -220,16 +234,16 @@
     }
 }
 
-/// The events of a streamed answer. With `event_ids`, each text's event carries an id by which
-/// the stream is resumed.
-fn events(
-    relay: Relay,
+/// The events of a streamed answer. With `event_ids`, each event with text carries an id from which
+/// the stream can be resumed.
+fn event_stream(
+    answer_stream: AnswerStream,
     writer: EventWriter,
     event_ids: Option<EventIds>,
 ) -> impl Stream<Item = Bytes> {
-    // Boxed, since it is moved for each event.
-    let events = Box::new(Events {
-        relay,
+    // Boxed, because `unfold` moves the state for each event.
+    let events = Box::new(EventStream {
+        answer_stream,
         writer,
         event_ids,
     });
@@ -240,57 +254,60 @@
 }
 
 /// A streamed answer.
-struct Events {
-    relay: Relay,
+struct EventStream {
+    answer_stream: AnswerStream,
     writer: EventWriter,
     event_ids: Option<EventIds>,
 }
 
-impl Events {
+impl EventStream {
     async fn next(&mut self) -> Option<Bytes> {
-        let event = match self.relay.next().await? {
-            Piece::Text(text) => {
+        let event = match self.answer_stream.next().await? {
+            AnswerItem::Text(text) => {
                 let id = self.event_ids.as_ref().map(|ids| {
                     let mut id = String::new();
-                    ids.write(&self.relay.resume_point(), &mut id);
+                    ids.write(&self.answer_stream.resume_point(), &mut id);
                     id
                 });
                 self.writer.token(&text, id.as_deref())
             }
-            Piece::LastText(text) => self.writer.token(&text, None),
-            Piece::End(reason, usage) => self.writer.end(reason, usage),
-            Piece::Broken(error) => self.writer.error(&error.body()),
+            AnswerItem::LastText(text) => self.writer.token(&text, None),
+            AnswerItem::End(reason, usage) => self.writer.end(reason, usage),
+            AnswerItem::Error(error) => self.writer.error(&error.body()),
         };
         Some(event)
     }
 }
 
-async fn whole(mut relay: Relay, head: &AnswerHead) -> Result<Answer, CallerError> {
+async fn collect_answer(
+    mut answer_stream: AnswerStream,
+    head: &AnswerHead,
+) -> Result<Answer, CallerError> {
     let mut text = String::new();
     loop {
-        match relay.next().await {
-            Some(Piece::Text(token) | Piece::LastText(token)) => text.push_str(&token),
-            Some(Piece::End(reason, usage)) => {
+        match answer_stream.next().await {
+            Some(AnswerItem::Text(token) | AnswerItem::LastText(token)) => text.push_str(&token),
+            Some(AnswerItem::End(reason, usage)) => {
                 let body = whole_body(head, &text, reason, usage);
                 return Ok(json_answer(StatusCode::OK, &body));
             }
-            Some(Piece::Broken(error)) => return Err(error),
-            None => return Err(CallerError::Unknown("the answer broke off".to_owned())),
+            Some(AnswerItem::Error(error)) => return Err(error),
+            None => return Err(CallerError::Unknown("the answer ended early".to_owned())),
         }
     }
 }
 
-/// The answer of the first request under a key, for one that repeats it.
-fn kept_answer(head: &AnswerHead, wish: &Wish, kept: &KeptAnswer) -> Answer {
-    if !wish.stream {
-        let body = whole_body(head, &kept.text, kept.reason, kept.usage);
+/// Answers a repeated request with the stored answer of the first one under its key.
+fn replay_answer(head: &AnswerHead, original: &CallerRequest, stored: &KeptAnswer) -> Answer {
+    if !original.stream {
+        let body = whole_body(head, &stored.text, stored.reason, stored.usage);
         return json_answer(StatusCode::OK, &body);
     }
-    let writer = EventWriter::new(head, wish.include_usage);
+    let writer = EventWriter::new(head, original.include_usage);
     let events = [
         writer.first(),
-        Some(writer.token(&kept.text, None)),
-        Some(writer.end(kept.reason, kept.usage)),
+        Some(writer.token(&stored.text, None)),
+        Some(writer.end(stored.reason, stored.usage)),
     ];
     let events = stream::iter(events.into_iter().flatten());
     stream_answer(StatusCode::OK, EVENT_STREAM, events)
--- a/crates/gateway/src/context.rs
+++ b/crates/gateway/src/context.rs
@@ -1,4 +1,4 @@
-//! What the requests of one arbiter share.
+//! State shared by the requests of one arbiter.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -9,16 +9,15 @@
 use crate::identity::TenantIndex;
 use crate::shared::SharedState;
 
-/// State of one arbiter that serves callers.
+/// State of one arbiter (a thread with its own event loop) that serves callers.
 pub(crate) struct Context {
-    /// State of the node.
+    /// State shared by the arbiters of the node.
     pub(crate) shared: Arc<SharedState>,
-    /// Source of identifiers and of sampling.
+    /// Random numbers for identifiers and for sampling of engines.
     pub(crate) random: RefCell<StdRng>,
-    /// Clients of engines.
     pub(crate) engines: EngineClients,
-    /// Tenants by key.
+    /// Finds tenants by the API key.
     pub(crate) tenants: TenantIndex,
-    /// Most requests in flight on the node.
+    /// Maximum number of requests in flight on the node.
     pub(crate) max_requests: usize,
 }
--- a/crates/gateway/src/engines.rs
+++ b/crates/gateway/src/engines.rs
@@ -1,4 +1,4 @@
-//! Clients of engines, one an address, kept so that their connections are used again.
+//! Cache of engine clients, one per address, so that connections are reused.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -7,8 +7,8 @@
 
 use dalestand_edge::HttpEngine;
 
-/// Most clients kept; beyond it those in no use go.
-const MAX_KEPT: usize = 1_024;
+/// Number of clients above which those not in use are dropped.
+const MAX_CLIENTS: usize = 1_024;
 
 /// The clients of one arbiter.
 #[derive(Default)]
@@ -17,10 +17,10 @@
 }
 
 impl EngineClients {
-    /// The client for `address`.
+    /// Returns the client for `address`.
     pub(crate) fn get(&self, address: SocketAddr) -> Rc<HttpEngine> {
         let mut by_address = self.by_address.borrow_mut();
-        if by_address.len() >= MAX_KEPT && !by_address.contains_key(&address) {
+        if by_address.len() >= MAX_CLIENTS && !by_address.contains_key(&address) {
             by_address.retain(|_, client| Rc::strong_count(client) > 1);
         }
         let client = by_address
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them.
+//! Errors returned to callers.
 
 use std::time::Duration;
 
@@ -9,73 +9,73 @@
 
 use crate::openai::{ErrorBody, ErrorDetail};
 
-/// Header that says whether a failed request ran.
+/// Header that states whether a failed request ran.
 pub(crate) const RUN_STATE_HEADER: HeaderName = HeaderName::from_static("x-dalestand-run-state");
 
-/// Why a request got no answer.
+/// Why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallerError {
-    /// The request is wrong.
+    /// The request is invalid.
     #[error("{message}")]
     Invalid {
         param: Option<String>,
         message: String,
     },
-    /// The body is too large.
+    /// The request body is too large.
     #[error("{0}")]
     TooLarge(String),
-    /// The body came too slowly.
+    /// The request body did not arrive in time.
     #[error("{0}")]
     TooSlow(String),
-    /// No tenant has this key.
-    #[error("the key is missing or not known")]
+    /// The API key is missing, or no tenant has it.
+    #[error("the API key is missing or unknown")]
     Unauthorized,
     /// No such path.
     #[error("no such path")]
     NotFound,
-    /// The path exists and takes another method.
-    #[error("the path takes another method")]
+    /// The path does not support this method.
+    #[error("the path does not support this method")]
     WrongMethod,
     /// No such model.
-    #[error("model {0} is not served here")]
+    #[error("model {0} is not served")]
     UnknownModel(String),
-    /// The node cannot take requests now.
+    /// The node cannot accept requests now.
     #[error("{message}")]
     Unavailable {
         message: String,
         retry_after: Duration,
     },
-    /// The fleet cannot take the request now.
+    /// No engine of the fleet can accept the request now.
     #[error("{message}")]
     Overloaded {
         message: String,
         retry_after: Duration,
     },
-    /// The tenant's share of tokens at this node is used up.
-    #[error("the tenant's tokens are used up for now")]
+    /// The tenant has used up its tokens at this node.
+    #[error("the tenant's token limit is exceeded")]
     OverLimit { retry_after: Duration },
-    /// A request that may run once was run under this key, and its answer is not kept.
-    #[error("request {first} ran under this Idempotency-Key and its answer is not kept")]
+    /// An at-most-once request was sent under this key, and its answer is not stored.
+    #[error("request {first} was sent under this Idempotency-Key and its answer is not available")]
     AlreadyRun {
         first: RequestId,
         run_state: RunState,
     },
-    /// A request that may run once runs under this key.
-    #[error("a request runs under this Idempotency-Key")]
+    /// An at-most-once request under this key is running.
+    #[error("a request under this Idempotency-Key is in progress")]
     InProgress { retry_after: Duration },
-    /// The key was used for a request that asked for something else.
-    #[error("this Idempotency-Key was used for another request")]
+    /// The key was used for a different request.
+    #[error("this Idempotency-Key was used for a different request")]
     KeyReused,
     /// The stream cannot be resumed.
     #[error("{0}")]
     NotResumable(String),
-    /// The request was sent and its result is not known.
-    #[error("the result is not known: {0}")]
+    /// The request may have run and its result is unknown.
+    #[error("the result is unknown: {0}")]
     Unknown(String),
 }
 
 impl CallerError {
-    /// What is known of whether the request ran.
+    /// What is known about whether the request ran.
     pub fn run_state(&self) -> RunState {
         match self {
             Self::Unknown(_) | Self::InProgress { .. } | Self::NotResumable(_) => RunState::Unknown,
@@ -84,9 +84,9 @@
         }
     }
 
-    /// The error object.
+    /// The error object of the answer.
     pub(crate) fn body(&self) -> ErrorBody {
-        let (_, kind, code) = self.classes();
+        let (_, kind, code) = self.status_and_codes();
         let param = match self {
             Self::Invalid { param, .. } => param.clone(),
             Self::UnknownModel(_) => Some("model".to_owned()),
@@ -107,7 +107,7 @@
 
     /// The answer to the caller.
     pub fn answer(&self) -> Answer {
-        let (status, _, _) = self.classes();
+        let (status, _, _) = self.status_and_codes();
         let mut answer = json_answer(status, &self.body());
         let run_state = HeaderValue::from_static(self.run_state().as_str());
         answer.headers_mut().insert(RUN_STATE_HEADER, run_state);
@@ -130,7 +130,7 @@
         }
     }
 
-    fn classes(&self) -> (StatusCode, &'static str, &'static str) {
+    fn status_and_codes(&self) -> (StatusCode, &'static str, &'static str) {
         match self {
             Self::Invalid { .. } => (
                 StatusCode::BAD_REQUEST,
@@ -211,13 +211,13 @@
                 param: None,
                 message,
             },
-            // The whole body, not one of its fields, is wrong.
+            // The path refers to the whole body, not to one of its fields.
             HttpServerError::InvalidJson { field, message }
                 if matches!(field.as_str(), "." | "?") =>
             {
                 Self::Invalid {
                     param: None,
-                    message: format!("the body is not a JSON object as expected: {message}"),
+                    message: format!("the body is not the expected JSON object: {message}"),
                 }
             }
             HttpServerError::InvalidJson { field, message } => Self::Invalid {
--- a/crates/gateway/src/identity.rs
+++ b/crates/gateway/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who calls, and on what terms: tenant, class, priority, deadlines.
+//! Authenticates callers and determines the tenant, class, priority and deadlines of a request.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -17,60 +17,59 @@
 const PRIORITY_HEADER: HeaderName = HeaderName::from_static("x-dalestand-priority");
 const DEADLINE_HEADER: HeaderName = HeaderName::from_static("x-dalestand-deadline-ms");
 
-/// What stands before the key in the `Authorization` header.
+/// Prefix of the API key in the `Authorization` header.
 const BEARER: &str = "Bearer ";
 
-/// Terms of one request.
+/// Tenant, class, priority and deadlines of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Terms {
-    /// The tenant, if the caller sent a key.
+pub(crate) struct RequestPolicy {
+    /// The tenant, if the caller sent a known key.
     pub(crate) tenant: Option<Tenant>,
-    /// Class of the request, if it has one.
+    /// Name of the class, if the request has one.
     pub(crate) class: Option<String>,
-    /// Importance.
     pub(crate) priority: Priority,
-    /// Time left.
+    /// Time limits for the first token and for the whole answer.
     pub(crate) deadlines: Deadlines,
 }
 
-/// Finds tenants by the hash of their key. The hash of what a caller sent, not the key, is looked
-/// up, so the time a look-up takes tells nothing of any key.
+/// Finds tenants by the hash of their API key. Because the lookup uses the hash of what the caller
+/// sent, its timing reveals nothing about any key.
 #[derive(Default)]
 pub(crate) struct TenantIndex {
-    built: RefCell<Option<Built>>,
+    cached: RefCell<Option<CachedIndex>>,
 }
 
-struct Built {
+struct CachedIndex {
     revision: Revision,
     by_hash: Rc<HashMap<blake3::Hash, usize>>,
 }
 
 impl TenantIndex {
-    /// Terms of a request with these headers.
-    pub(crate) fn terms(
+    /// Authenticates the caller and determines the policy of a request with these headers.
+    pub(crate) fn policy(
         &self,
         active: &ActiveConfiguration,
         headers: &HeaderMap,
-    ) -> Result<Terms, CallerError> {
+    ) -> Result<RequestPolicy, CallerError> {
         let deployment = &*active.deployment;
-        let authorization = text(headers, &AUTHORIZATION)?;
+        let authorization = header_text(headers, &AUTHORIZATION)?;
         let tenant = authorization.and_then(|value| self.tenant(active, value));
-        // Client libraries always send a key, so where none is required an unknown one counts as
-        // none.
+        // Client libraries always send a key, so an unknown key counts as none where none is
+        // required.
         if tenant.is_none() && deployment.callers.require_key {
             return Err(CallerError::Unauthorized);
         }
-        let mut terms = class_terms(deployment, headers, tenant)?;
-        terms.tenant = tenant.cloned();
-        if let Some(lower) = number::<u8>(headers, &PRIORITY_HEADER)? {
-            terms.priority = terms.priority.min(Priority(lower));
+        let mut policy = class_policy(deployment, headers, tenant)?;
+        policy.tenant = tenant.cloned();
+        if let Some(requested) = header_number::<u8>(headers, &PRIORITY_HEADER)? {
+            policy.priority = policy.priority.min(Priority(requested));
         }
-        if let Some(milliseconds) = number::<u64>(headers, &DEADLINE_HEADER)? {
-            let asked = Duration::from_millis(milliseconds);
-            let deadlines = &mut terms.deadlines;
-            deadlines.whole = Some(deadlines.whole.map_or(asked, |whole| whole.min(asked)));
+        if let Some(milliseconds) = header_number::<u64>(headers, &DEADLINE_HEADER)? {
+            let limit = Duration::from_millis(milliseconds);
+            let deadlines = &mut policy.deadlines;
+            deadlines.whole = Some(deadlines.whole.map_or(limit, |whole| whole.min(limit)));
         }
-        Ok(terms)
+        Ok(policy)
     }
 
     fn tenant<'a>(
@@ -81,25 +80,25 @@
         let key = authorization.strip_prefix(BEARER)?;
         let hash = blake3::hash(key.trim().as_bytes());
         let by_hash = self.by_hash(active);
-        let place = by_hash.get(&hash)?;
-        active.deployment.tenants.get(*place)
+        let index = by_hash.get(&hash)?;
+        active.deployment.tenants.get(*index)
     }
 
-    /// The index of the configuration in force; built once a revision.
+    /// Index of the active configuration; rebuilt when the revision changes.
     fn by_hash(&self, active: &ActiveConfiguration) -> Rc<HashMap<blake3::Hash, usize>> {
-        let mut built = self.built.borrow_mut();
-        if let Some(built) = &*built
-            && built.revision == active.revision
+        let mut cached = self.cached.borrow_mut();
+        if let Some(cached) = &*cached
+            && cached.revision == active.revision
         {
-            return Rc::clone(&built.by_hash);
+            return Rc::clone(&cached.by_hash);
         }
         let tenants = active.deployment.tenants.iter().enumerate();
-        let by_hash = tenants.filter_map(|(place, tenant)| {
+        let by_hash = tenants.filter_map(|(index, tenant)| {
             let hash = blake3::Hash::from_hex(&tenant.key_blake3).ok()?;
-            Some((hash, place))
+            Some((hash, index))
         });
         let by_hash: Rc<HashMap<_, _>> = Rc::new(by_hash.collect());
-        *built = Some(Built {
+        *cached = Some(CachedIndex {
             revision: active.revision,
             by_hash: Rc::clone(&by_hash),
         });
@@ -107,21 +106,21 @@
     }
 }
 
-/// Terms of the class that the header names, or else of the tenant's class.
-fn class_terms(
+/// Policy of the class that the header names, or else of the tenant's class.
+fn class_policy(
     deployment: &Deployment,
     headers: &HeaderMap,
     tenant: Option<&Tenant>,
-) -> Result<Terms, CallerError> {
-    let asked = text(headers, &CLASS_HEADER)?;
-    let Some(name) = asked.or(tenant.map(|tenant| tenant.class.as_str())) else {
-        return Ok(Terms::default());
+) -> Result<RequestPolicy, CallerError> {
+    let requested = header_text(headers, &CLASS_HEADER)?;
+    let Some(name) = requested.or(tenant.map(|tenant| tenant.class.as_str())) else {
+        return Ok(RequestPolicy::default());
     };
     let class = deployment.class(name).ok_or_else(|| {
-        let message = format!("class {name} is not known here");
+        let message = format!("class {name} is not configured");
         invalid_header(&CLASS_HEADER, message)
     })?;
-    Ok(Terms {
+    Ok(RequestPolicy {
         tenant: None,
         class: Some(name.to_owned()),
         priority: class.priority,
@@ -132,8 +131,8 @@
     })
 }
 
-/// A header's value as text.
-pub(crate) fn text<'h>(
+/// The value of a header as text.
+pub(crate) fn header_text<'h>(
     headers: &'h HeaderMap,
     name: &HeaderName,
 ) -> Result<Option<&'h str>, CallerError> {
@@ -142,20 +141,26 @@
     };
     match value.to_str() {
         Ok(text) => Ok(Some(text)),
-        Err(_) => Err(invalid_header(name, "must be visible ASCII".to_owned())),
+        Err(_) => Err(invalid_header(
+            name,
+            "must consist of visible ASCII characters".to_owned(),
+        )),
     }
 }
 
-fn number<T: std::str::FromStr>(
+fn header_number<T: std::str::FromStr>(
     headers: &HeaderMap,
     name: &HeaderName,
 ) -> Result<Option<T>, CallerError> {
-    let Some(text) = text(headers, name)? else {
+    let Some(text) = header_text(headers, name)? else {
         return Ok(None);
     };
     match text.trim().parse() {
         Ok(number) => Ok(Some(number)),
-        Err(_) => Err(invalid_header(name, "must be a whole number".to_owned())),
+        Err(_) => Err(invalid_header(
+            name,
+            "must be an integer in the permitted range".to_owned(),
+        )),
     }
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,26 +1,26 @@
-//! Callers' HTTP surface: the OpenAI-compatible paths, streaming, cancel.
+//! OpenAI-compatible HTTP API for callers, with streaming and cancellation.
 //!
-//! It routes each request by itself on the node's picture of the fleet and never waits for the
-//! control half of the node: the two share only [`SharedState`].
+//! Each request is routed on the node's local view of the fleet. The gateway never waits for the
+//! node's control plane: the two share only [`SharedState`].
 
+mod answer_stream;
 pub mod assembler;
 mod attempt;
 mod claim;
-mod claim_hold;
+mod claim_guard;
 mod completion;
 mod context;
 mod engines;
 mod error;
 mod identity;
 mod openai;
-mod order;
 mod record;
-mod relay;
+mod resolved_request;
 pub mod resume;
 mod server;
 mod shared;
 pub mod stop_sequence;
-mod tenant_share;
+mod token_reservation;
 
 pub use claim::{
     ClaimEnd, ClaimGate, ClaimKey, ClaimOutcome, ClaimRequest, KeptAnswer, RequestFingerprint,
--- a/crates/gateway/src/openai/answer.rs
+++ b/crates/gateway/src/openai/answer.rs
@@ -1,20 +1,20 @@
-//! Whole answers, models and errors.
+//! Bodies of non-streamed answers, model lists and errors.
 
 use dalestand_types::{FinishReason, Usage};
 use serde::Serialize;
 
-use super::Surface;
+use super::Endpoint;
 
-/// What every part of an answer names.
+/// Fields common to all chunks of an answer.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerHead {
-    /// Path the request came in by.
-    pub(crate) surface: Surface,
+    /// Endpoint of the request.
+    pub(crate) endpoint: Endpoint,
     /// Identifier of the answer.
     pub(crate) id: String,
-    /// When it was begun, in seconds since 1970.
+    /// Creation time, in seconds since the Unix epoch.
     pub(crate) created: u64,
-    /// Model as the caller named it.
+    /// Model name as sent by the caller.
     pub(crate) model: String,
 }
 
@@ -60,7 +60,7 @@
     prompt_tokens_details: PromptTokensDetails,
 }
 
-/// Where the prompt's tokens came from.
+/// Breakdown of the prompt's tokens.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct PromptTokensDetails {
     cached_tokens: u32,
@@ -79,16 +79,16 @@
     }
 }
 
-/// The body of a whole answer.
+/// The body of a non-streamed answer.
 pub(crate) fn whole_body<'a>(
     head: &'a AnswerHead,
     text: &'a str,
     reason: FinishReason,
     usage: Usage,
 ) -> impl Serialize + use<'a> {
-    let content = match head.surface {
-        Surface::Completion => WholeContent::Text(text),
-        Surface::Chat => WholeContent::Message(MessageBody {
+    let content = match head.endpoint {
+        Endpoint::Completion => WholeContent::Text(text),
+        Endpoint::Chat => WholeContent::Message(MessageBody {
             role: "assistant",
             content: text,
             refusal: None,
@@ -96,21 +96,21 @@
     };
     WholeBody {
         id: &head.id,
-        object: head.surface.whole_object(),
+        object: head.endpoint.whole_object(),
         created: head.created,
         model: &head.model,
         choices: [WholeChoice {
             index: 0,
             content,
             logprobs: None,
-            finish_reason: finish_word(reason),
+            finish_reason: finish_reason_text(reason),
         }],
         usage: usage.into(),
     }
 }
 
-/// The word for why generation ended.
-pub(crate) fn finish_word(reason: FinishReason) -> &'static str {
+/// The `finish_reason` on the wire.
+pub(crate) fn finish_reason_text(reason: FinishReason) -> &'static str {
     match reason {
         FinishReason::Stop => "stop",
         FinishReason::Length => "length",
@@ -139,7 +139,7 @@
     pub(crate) error: ErrorDetail,
 }
 
-/// What went wrong.
+/// The content of an error object.
 #[derive(Clone, Debug, Serialize)]
 pub(crate) struct ErrorDetail {
     pub(crate) message: String,
--- a/crates/gateway/src/openai/events.rs
+++ b/crates/gateway/src/openai/events.rs
@@ -1,13 +1,13 @@
 //! Server-sent events of a streamed answer.
 //!
-//! All of a token's event but its text is the same for the whole stream, so it is written once.
+//! The events of all tokens differ only in id and text, so the rest is formatted once per stream.
 
 use bytes::Bytes;
 use dalestand_types::{FinishReason, Usage};
 use serde::Serialize;
 
-use super::Surface;
-use super::answer::{AnswerHead, ErrorBody, UsageBody, finish_word};
+use super::Endpoint;
+use super::answer::{AnswerHead, ErrorBody, UsageBody, finish_reason_text};
 
 const DATA: &str = "data: ";
 const ID: &str = "id: ";
@@ -17,33 +17,33 @@
 /// Writes the events of one stream.
 #[derive(Clone, Debug)]
 pub(crate) struct EventWriter {
-    surface: Surface,
+    endpoint: Endpoint,
     include_usage: bool,
-    /// Begin of every chunk, up to its choices.
+    /// Start of every chunk, up to its `choices`.
     head: String,
-    /// A token's event between the event's id and the text.
+    /// Part of a token's event between the event id and the text.
     token_head: String,
-    /// A token's event after the text.
+    /// Part of a token's event after the text.
     token_tail: String,
 }
 
 impl EventWriter {
-    /// A writer of the stream with that head.
+    /// Creates a writer for the answer with this head.
     pub(crate) fn new(head: &AnswerHead, include_usage: bool) -> Self {
-        let object = head.surface.chunk_object();
+        let object = head.endpoint.chunk_object();
         let start = format!(
             "{{\"id\":{},\"object\":\"{object}\",\"created\":{},\"model\":{},",
             json(&head.id),
             head.created,
             json(&head.model),
         );
-        let content = match head.surface {
-            Surface::Completion => "\"text\":",
-            Surface::Chat => "\"delta\":{\"content\":",
+        let content = match head.endpoint {
+            Endpoint::Completion => "\"text\":",
+            Endpoint::Chat => "\"delta\":{\"content\":",
         };
-        let content_end = match head.surface {
-            Surface::Completion => "",
-            Surface::Chat => "}",
+        let content_end = match head.endpoint {
+            Endpoint::Completion => "",
+            Endpoint::Chat => "}",
         };
         let no_usage = no_usage(include_usage);
         let token_head = format!("{DATA}{start}\"choices\":[{{\"index\":0,{content}");
@@ -51,7 +51,7 @@
             "{content_end},\"logprobs\":null,\"finish_reason\":null}}]{no_usage}}}{EVENT_END}"
         );
         Self {
-            surface: head.surface,
+            endpoint: head.endpoint,
             include_usage,
             head: start,
             token_head,
@@ -59,16 +59,16 @@
         }
     }
 
-    /// The first event of a stream, where the path has one.
+    /// The first event of a stream, if the endpoint has one.
     pub(crate) fn first(&self) -> Option<Bytes> {
-        if self.surface != Surface::Chat {
+        if self.endpoint != Endpoint::Chat {
             return None;
         }
         let delta = "\"delta\":{\"role\":\"assistant\",\"content\":\"\"}";
         Some(Bytes::from(self.chunk(delta, "null")))
     }
 
-    /// The event of a token, with the id by which the stream is resumed after it.
+    /// The event of a token. `id` is the event id from which the stream can be resumed.
     pub(crate) fn token(&self, text: &str, id: Option<&str>) -> Bytes {
         let fixed = self.token_head.len() + self.token_tail.len() + ID.len();
         let varying = text.len() * 2 + id.map_or(0, str::len) + 3;
@@ -79,19 +79,19 @@
             event.push(b'\n');
         }
         event.extend_from_slice(self.token_head.as_bytes());
-        // Writing text to memory cannot fail.
+        // Serializing text into a buffer cannot fail.
         let _ = serde_json::to_writer(&mut event, text);
         event.extend_from_slice(self.token_tail.as_bytes());
         Bytes::from(event)
     }
 
-    /// The events that end a whole answer.
+    /// The events that end a complete answer.
     pub(crate) fn end(&self, reason: FinishReason, usage: Usage) -> Bytes {
-        let delta = match self.surface {
-            Surface::Completion => "\"text\":\"\"",
-            Surface::Chat => "\"delta\":{}",
+        let delta = match self.endpoint {
+            Endpoint::Completion => "\"text\":\"\"",
+            Endpoint::Chat => "\"delta\":{}",
         };
-        let reason = format!("\"{}\"", finish_word(reason));
+        let reason = format!("\"{}\"", finish_reason_text(reason));
         let mut events = self.chunk(delta, &reason);
         if self.include_usage {
             let usage = json(&UsageBody::from(usage));
@@ -104,7 +104,7 @@
         Bytes::from(events)
     }
 
-    /// The event that ends a broken answer. No closing event follows it.
+    /// The event that ends an incomplete answer. No `[DONE]` event follows it.
     pub(crate) fn error(&self, body: &ErrorBody) -> Bytes {
         Bytes::from(format!("{DATA}{}{EVENT_END}", json(body)))
     }
@@ -119,12 +119,12 @@
     }
 }
 
-/// Chunks before the one with token counts say that theirs are null.
+/// Field of every chunk before the one with token counts: the API requires a null there.
 fn no_usage(include_usage: bool) -> &'static str {
     if include_usage { ",\"usage\":null" } else { "" }
 }
 
-/// Values here are text and numbers, which always encode.
+/// Serializes a value of text and numbers, which cannot fail.
 fn json<T: Serialize + ?Sized>(value: &T) -> String {
     serde_json::to_string(value).unwrap_or_default()
 }
--- a/crates/gateway/src/openai/mod.rs
+++ b/crates/gateway/src/openai/mod.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-compatible wire format: what callers send and what they get.
+//! The OpenAI-compatible wire format of requests and answers.
 
 mod answer;
 mod events;
@@ -6,19 +6,19 @@
 
 pub(crate) use answer::{AnswerHead, ErrorBody, ErrorDetail, ModelBody, ModelsBody, whole_body};
 pub(crate) use events::EventWriter;
-pub(crate) use request::{ChatBody, CompletionBody, Wish};
+pub(crate) use request::{CallerRequest, ChatBody, CompletionBody};
 
-/// Which path a request came in by.
+/// The endpoint that a request was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Surface {
+pub(crate) enum Endpoint {
     /// `POST /v1/completions`.
     Completion,
     /// `POST /v1/chat/completions`.
     Chat,
 }
 
-impl Surface {
-    /// Begin of the answer's identifier.
+impl Endpoint {
+    /// Prefix of the answer's identifier.
     pub(crate) fn id_prefix(self) -> &'static str {
         match self {
             Self::Completion => "cmpl-",
--- a/crates/gateway/src/openai/request.rs
+++ b/crates/gateway/src/openai/request.rs
@@ -1,30 +1,30 @@
-//! What callers send. Fields that are not listed are ignored, since client libraries send many.
+//! Request bodies. Unknown fields are ignored, since client libraries send many.
 
 use serde::Deserialize;
 
 use crate::error::CallerError;
 
-use super::Surface;
+use super::Endpoint;
 
-/// Most stop sequences of a request.
+/// Maximum number of stop sequences in a request.
 const MAX_STOP_SEQUENCES: usize = 4;
 
-/// A request of either path, checked as far as its own fields go.
+/// A request to either endpoint, checked independently of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Wish {
-    /// Which path it came in by.
-    pub(crate) surface: Surface,
-    /// Model, with its adapter where named.
+pub(crate) struct CallerRequest {
+    /// Endpoint of the request.
+    pub(crate) endpoint: Endpoint,
+    /// Model name, with the adapter if one is given.
     pub(crate) model: String,
-    /// The prompt's text.
+    /// Text of the prompt.
     pub(crate) prompt: String,
-    /// Most output tokens, where named.
+    /// Maximum number of output tokens, if given.
     pub(crate) max_tokens: Option<u32>,
     /// Whether the answer is streamed.
     pub(crate) stream: bool,
     /// Whether a stream ends with token counts.
     pub(crate) include_usage: bool,
-    /// Texts that end the answer.
+    /// Stop sequences.
     pub(crate) stop: Vec<String>,
 }
 
@@ -43,7 +43,7 @@
     include_usage: bool,
 }
 
-/// Fields that both paths know.
+/// Fields common to both endpoints.
 #[derive(Clone, Debug, Deserialize)]
 struct CommonFields {
     model: String,
@@ -104,11 +104,11 @@
 
 impl CompletionBody {
     /// Checks the fields.
-    pub(crate) fn into_wish(self) -> Result<Wish, CallerError> {
+    pub(crate) fn into_request(self) -> Result<CallerRequest, CallerError> {
         let prompt = match self.prompt {
             TextOrList::Text(text) => text,
             TextOrList::List(mut list) if list.len() == 1 => list.remove(0),
-            TextOrList::List(_) => return Err(invalid("prompt", "must hold one prompt")),
+            TextOrList::List(_) => return Err(invalid("prompt", "must be a single prompt")),
         };
         let fields = CommonFields {
             model: self.model,
@@ -118,20 +118,20 @@
             stream_options: self.stream_options,
             stop: self.stop,
         };
-        fields.into_wish(Surface::Completion, prompt)
+        fields.into_request(Endpoint::Completion, prompt)
     }
 }
 
 impl ChatBody {
-    /// Checks the fields. The messages become one prompt, a line begun by the role for each.
-    pub(crate) fn into_wish(self) -> Result<Wish, CallerError> {
+    /// Checks the fields and joins the messages into one prompt, each as `role: text` on its own line.
+    pub(crate) fn into_request(self) -> Result<CallerRequest, CallerError> {
         if self.messages.is_empty() {
-            return Err(invalid("messages", "must hold at least one message"));
+            return Err(invalid("messages", "must contain at least one message"));
         }
         let mut lines = Vec::with_capacity(self.messages.len());
-        for (place, message) in self.messages.into_iter().enumerate() {
+        for (index, message) in self.messages.into_iter().enumerate() {
             let role = message.role;
-            let text = content_text(place, message.content)?;
+            let text = content_text(index, message.content)?;
             lines.push(format!("{role}: {text}"));
         }
         let fields = CommonFields {
@@ -142,12 +142,16 @@
             stream_options: self.stream_options,
             stop: self.stop,
         };
-        fields.into_wish(Surface::Chat, lines.join("\n"))
+        fields.into_request(Endpoint::Chat, lines.join("\n"))
     }
 }
 
 impl CommonFields {
-    fn into_wish(self, surface: Surface, prompt: String) -> Result<Wish, CallerError> {
+    fn into_request(
+        self,
+        endpoint: Endpoint,
+        prompt: String,
+    ) -> Result<CallerRequest, CallerError> {
         if self.n.is_some_and(|answers| answers != 1) {
             return Err(invalid("n", "must be 1"));
         }
@@ -157,15 +161,15 @@
             Some(TextOrList::List(list)) => list,
         };
         if stop.len() > MAX_STOP_SEQUENCES {
-            let message = format!("must hold at most {MAX_STOP_SEQUENCES} texts");
+            let message = format!("must contain at most {MAX_STOP_SEQUENCES} strings");
             return Err(invalid("stop", &message));
         }
         if stop.iter().any(String::is_empty) {
-            return Err(invalid("stop", "must not hold an empty text"));
+            return Err(invalid("stop", "must not contain an empty string"));
         }
         let options = self.stream_options.unwrap_or_default();
-        Ok(Wish {
-            surface,
+        Ok(CallerRequest {
+            endpoint,
             model: self.model,
             prompt,
             max_tokens: self.max_tokens,
@@ -176,7 +180,7 @@
     }
 }
 
-fn content_text(place: usize, content: Option<Content>) -> Result<String, CallerError> {
+fn content_text(index: usize, content: Option<Content>) -> Result<String, CallerError> {
     let parts = match content {
         None => return Ok(String::new()),
         Some(Content::Text(text)) => return Ok(text),
@@ -187,8 +191,8 @@
         match (part.kind.as_str(), part.text) {
             ("text", Some(text)) => texts.push(text),
             _ => {
-                let field = format!("messages[{place}].content");
-                return Err(invalid(&field, "must hold parts of type text only"));
+                let field = format!("messages[{index}].content");
+                return Err(invalid(&field, "must contain only parts of type text"));
             }
         }
     }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -1,4 +1,4 @@
-//! Keeps the decision record, the log and the metrics of a request up to date.
+//! Updates the decision record, the log and the metrics of a request.
 
 use std::sync::Arc;
 
@@ -8,25 +8,25 @@
 
 use crate::shared::SharedState;
 
-/// Notes what came of the request's last attempt.
+/// Sets the outcome of the request's last attempt.
 pub(crate) fn set_outcome(shared: &SharedState, request: RequestId, outcome: AttemptOutcome) {
-    shared.decisions().update_request(request, |kept| {
-        if let Some(last) = kept.attempts.last_mut() {
+    shared.decisions().update_request(request, |record| {
+        if let Some(last) = record.attempts.last_mut() {
             last.outcome = outcome;
         }
     });
 }
 
-/// A request's record until its end, or its relay, is there. Dropped before, the caller has gone
-/// while engines were asked, and whether one ran it is not known.
-pub(crate) struct OpenRecord {
+/// Closes the record of a request as unknown when dropped, which happens if the caller disconnects
+/// while the request is being sent to engines. [`Self::release`] ends this responsibility.
+pub(crate) struct RecordGuard {
     shared: Arc<SharedState>,
     request: RequestId,
     open: bool,
 }
 
-impl OpenRecord {
-    /// The record of `request`.
+impl RecordGuard {
+    /// Guards the record of `request`.
     pub(crate) fn new(shared: &Arc<SharedState>, request: RequestId) -> Self {
         Self {
             shared: Arc::clone(shared),
@@ -35,22 +35,22 @@
         }
     }
 
-    /// Leaves the end to another.
-    pub(crate) fn hand_over(mut self) {
+    /// Leaves closing the record to the caller of this method.
+    pub(crate) fn release(mut self) {
         self.open = false;
     }
 }
 
-impl Drop for OpenRecord {
+impl Drop for RecordGuard {
     fn drop(&mut self) {
         if self.open {
-            let reason = "the caller went away".to_owned();
+            let reason = "the caller disconnected".to_owned();
             finish(&self.shared, self.request, RunState::Unknown, Some(reason));
         }
     }
 }
 
-/// Notes the end of a request.
+/// Records the end of a request.
 pub(crate) fn finish(
     shared: &SharedState,
     request: RequestId,
--- a/crates/gateway/src/order.rs
+++ b/crates/gateway/src/resolved_request.rs
@@ -1,4 +1,5 @@
-//! What a caller's request comes to: the engine's request, the route, the claim.
+//! Resolves a caller's request against the configuration: the request for the engine, the input of
+//! the router and the idempotency claim.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,38 +15,38 @@
 use crate::claim::{ClaimKey, ClaimRequest, RequestFingerprint};
 use crate::context::Context;
 use crate::error::CallerError;
-use crate::identity::{Terms, text};
-use crate::openai::Wish;
+use crate::identity::{RequestPolicy, header_text};
+use crate::openai::CallerRequest;
 use crate::resume::{EventIds, ResumeError, ResumePoint};
 use crate::shared::ActiveConfiguration;
 
 const IDEMPOTENCY_KEY_HEADER: HeaderName = HeaderName::from_static("idempotency-key");
 const LAST_EVENT_ID_HEADER: HeaderName = HeaderName::from_static("last-event-id");
 
-/// Separates a model from its adapter in the name callers use.
+/// Separates the model and the adapter in the model name that callers send.
 pub(crate) const ADAPTER_SEPARATOR: char = ':';
 
-/// Longest `Idempotency-Key`, in bytes.
+/// Maximum length of an `Idempotency-Key`, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Headers that name a request over several calls.
+/// Headers that identify a request across several calls.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct KeyedRequest {
+pub(crate) struct IdempotencyHeaders {
     key: Option<Arc<str>>,
     last_event_id: Option<String>,
 }
 
-impl KeyedRequest {
-    /// Reads the headers.
+impl IdempotencyHeaders {
+    /// Reads and checks the headers.
     pub(crate) fn read(headers: &HeaderMap) -> Result<Self, CallerError> {
-        let key = text(headers, &IDEMPOTENCY_KEY_HEADER)?;
+        let key = header_text(headers, &IDEMPOTENCY_KEY_HEADER)?;
         if key.is_some_and(|key| key.is_empty() || key.len() > MAX_KEY_BYTES) {
             let problem = format!("must have 1 to {MAX_KEY_BYTES} bytes");
             return Err(invalid(IDEMPOTENCY_KEY_HEADER.as_str(), problem));
         }
-        let last_event_id = text(headers, &LAST_EVENT_ID_HEADER)?;
+        let last_event_id = header_text(headers, &LAST_EVENT_ID_HEADER)?;
         if last_event_id.is_some() && key.is_none() {
-            let problem = "needs the Idempotency-Key of the stream".to_owned();
+            let problem = "requires the Idempotency-Key of the stream".to_owned();
             return Err(invalid(LAST_EVENT_ID_HEADER.as_str(), problem));
         }
         Ok(Self {
@@ -55,50 +56,50 @@
     }
 }
 
-/// A checked request.
-pub(crate) struct CallerOrder {
-    /// What the caller wants to see.
-    pub(crate) wish: Wish,
-    /// The engine's request; its attempt is set when it is sent.
+/// A caller's request, checked and resolved against the configuration.
+pub(crate) struct ResolvedRequest {
+    /// The request as the caller sent it.
+    pub(crate) original: CallerRequest,
+    /// The request for the engine; each attempt sets its `attempt` field.
     pub(crate) request: GenerationRequest,
-    /// The tenant on whose behalf it runs.
+    /// The tenant, if the caller has one.
     pub(crate) tenant: Option<Tenant>,
-    /// What the router must know.
+    /// Input of the router.
     pub(crate) route: RouteRequest,
-    /// On what terms, for the decision record.
+    /// Class, priority and deadlines, for the decision record.
     pub(crate) terms: RequestTerms,
-    /// Whether it may run again after an attempt whose result is not known.
+    /// Whether the request may run again after an attempt whose result is unknown.
     pub(crate) repeatable: bool,
-    /// The claim to make before the first dispatch.
+    /// The claim to make before the first dispatch, if the request must run at most once.
     pub(crate) claim: Option<ClaimRequest>,
-    /// Signs the event ids of a stream that can be resumed.
+    /// Signs the event ids, if the stream can be resumed.
     pub(crate) event_ids: Option<EventIds>,
 }
 
-impl CallerOrder {
-    /// Checks `wish` against the configuration.
+impl ResolvedRequest {
+    /// Checks `original` against the configuration and resolves it.
     pub(crate) fn new(
         context: &Rc<Context>,
         active: &ActiveConfiguration,
-        terms: Terms,
-        keyed: KeyedRequest,
-        wish: Wish,
+        policy: RequestPolicy,
+        idempotency: IdempotencyHeaders,
+        original: CallerRequest,
         new_request: RequestId,
     ) -> Result<Self, CallerError> {
         let deployment = &*active.deployment;
-        let target = Target::find(deployment, &wish.model)?;
+        let target = Target::find(deployment, &original.model)?;
         let repeatable = target.pool.repeatable;
-        let max_tokens = max_tokens(deployment, &wish)?;
-        let fingerprint = fingerprint(&wish, max_tokens, keyed.key.as_deref());
-        let event_ids = (keyed.key.is_some() && wish.stream && repeatable)
-            .then(|| EventIds::new(terms.tenant.as_ref(), &fingerprint));
-        let resumed = resume_point(&keyed, event_ids.as_ref(), max_tokens)?;
+        let max_tokens = max_tokens(deployment, &original)?;
+        let fingerprint = fingerprint(&original, max_tokens, idempotency.key.as_deref());
+        let event_ids = (idempotency.key.is_some() && original.stream && repeatable)
+            .then(|| EventIds::new(policy.tenant.as_ref(), &fingerprint));
+        let resumed = resume_point(&idempotency, event_ids.as_ref(), max_tokens)?;
         if let Some(point) = &resumed {
-            cancel_earlier(context, point);
+            cancel_earlier_attempt(context, point);
         }
         let request_id = resumed.as_ref().map_or(new_request, |point| point.request);
-        let tenant = terms.tenant.as_ref().map(|tenant| tenant.name.clone());
-        let key = keyed.key.map(|key| ClaimKey {
+        let tenant = policy.tenant.as_ref().map(|tenant| tenant.name.clone());
+        let key = idempotency.key.map(|key| ClaimKey {
             tenant: tenant.clone(),
             key,
         });
@@ -109,11 +110,11 @@
             model: target.model.clone(),
             adapter: target.adapter.clone(),
             tenant,
-            prompt: wish.prompt.clone(),
+            prompt: original.prompt.clone(),
             max_tokens,
             resume_from: resumed.map_or(0, |point| point.position),
-            priority: terms.priority,
-            deadline_ms: terms.deadlines.whole.map(|left| left.as_millis() as u64),
+            priority: policy.priority,
+            deadline_ms: policy.deadlines.whole.map(|left| left.as_millis() as u64),
             revision: active.revision,
             incarnation: None,
             once_key,
@@ -126,20 +127,20 @@
             fingerprint,
         });
         let zone = context.shared.zone.clone();
-        let prompt_tokens = wish.prompt.split_whitespace().count() as u32;
+        let prompt_tokens = original.prompt.split_whitespace().count() as u32;
         let mut route = RouteRequest::new(target.model, zone, prompt_tokens, max_tokens);
         route.adapter = target.adapter;
-        route.blocks = prompt_blocks(&wish.prompt);
-        // A request that may run once stays on one engine, so that one engine's record of it is
-        // enough.
+        route.blocks = prompt_blocks(&original.prompt);
+        // An at-most-once request runs on a single engine, whose record of once keys then suffices to
+        // detect a second run.
         route.may_split = repeatable;
-        route.deadlines = terms.deadlines;
-        route.priority = terms.priority;
+        route.deadlines = policy.deadlines;
+        route.priority = policy.priority;
         Ok(Self {
-            wish,
+            original,
             request,
-            terms: record_terms(&terms),
-            tenant: terms.tenant,
+            terms: record_terms(&policy),
+            tenant: policy.tenant,
             route,
             repeatable,
             claim,
@@ -148,25 +149,25 @@
     }
 }
 
-impl CallerOrder {
-    /// Tokens that the request may still need: those of its prompt and of its output.
+impl ResolvedRequest {
+    /// Upper bound on the tokens of the prompt and the remaining output.
     pub(crate) fn tokens_needed(&self) -> u64 {
         let output = self.request.max_tokens - self.request.resume_from;
         u64::from(self.route.prompt_tokens) + u64::from(output)
     }
 }
 
-fn record_terms(terms: &Terms) -> RequestTerms {
+fn record_terms(policy: &RequestPolicy) -> RequestTerms {
     let milliseconds = |time: Duration| time.as_millis() as u64;
     RequestTerms {
-        class: terms.class.clone(),
-        priority: terms.priority,
-        first_token_ms: terms.deadlines.first_token.map(milliseconds),
-        deadline_ms: terms.deadlines.whole.map(milliseconds),
+        class: policy.class.clone(),
+        priority: policy.priority,
+        first_token_ms: policy.deadlines.first_token.map(milliseconds),
+        deadline_ms: policy.deadlines.whole.map(milliseconds),
     }
 }
 
-/// What a model's name stands for.
+/// The model, adapter and pool that a model name refers to.
 struct Target<'d> {
     model: ModelName,
     adapter: Option<AdapterName>,
@@ -198,46 +199,46 @@
     }
 }
 
-fn max_tokens(deployment: &Deployment, wish: &Wish) -> Result<u32, CallerError> {
+fn max_tokens(deployment: &Deployment, original: &CallerRequest) -> Result<u32, CallerError> {
     let limits = &deployment.limits;
-    let asked = wish.max_tokens.unwrap_or(limits.default_output_tokens);
-    if asked == 0 || asked > limits.max_output_tokens {
-        let problem = format!("must lie between 1 and {}", limits.max_output_tokens);
+    let requested = original.max_tokens.unwrap_or(limits.default_output_tokens);
+    if requested == 0 || requested > limits.max_output_tokens {
+        let problem = format!("must be between 1 and {}", limits.max_output_tokens);
         return Err(invalid("max_tokens", problem));
     }
-    Ok(asked)
+    Ok(requested)
 }
 
-/// Hash of all that decides the answer. Each text is preceded by its length, so that no two
-/// requests are written alike.
-fn fingerprint(wish: &Wish, max_tokens: u32, key: Option<&str>) -> RequestFingerprint {
+/// Hash of all fields that determine the answer. Each string is prefixed with its length, so that
+/// different requests never hash the same bytes.
+fn fingerprint(original: &CallerRequest, max_tokens: u32, key: Option<&str>) -> RequestFingerprint {
     let mut hasher = blake3::Hasher::new();
     let mut text = |text: &str| {
         hasher.update(&(text.len() as u64).to_le_bytes());
         hasher.update(text.as_bytes());
     };
-    text(wish.surface.id_prefix());
-    text(&wish.model);
-    text(&wish.prompt);
+    text(original.endpoint.id_prefix());
+    text(&original.model);
+    text(&original.prompt);
     text(key.unwrap_or_default());
-    for stop in &wish.stop {
+    for stop in &original.stop {
         text(stop);
     }
     hasher.update(&max_tokens.to_le_bytes());
     RequestFingerprint(*hasher.finalize().as_bytes())
 }
 
-/// Where a stream is to go on; `None` for one that begins.
+/// Where to resume the stream; `None` for a new stream.
 fn resume_point(
-    keyed: &KeyedRequest,
+    idempotency: &IdempotencyHeaders,
     event_ids: Option<&EventIds>,
     max_tokens: u32,
 ) -> Result<Option<ResumePoint>, CallerError> {
-    let Some(id) = &keyed.last_event_id else {
+    let Some(id) = &idempotency.last_event_id else {
         return Ok(None);
     };
     let Some(event_ids) = event_ids else {
-        let message = "only a stream of a model whose requests may be repeated can be resumed";
+        let message = "only streams of models whose requests may be repeated can be resumed";
         return Err(CallerError::NotResumable(message.to_owned()));
     };
     let read = event_ids.read(id);
@@ -246,15 +247,14 @@
         message: error.to_string(),
     })?;
     if point.position > max_tokens {
-        let problem = "lies beyond the end of the answer".to_owned();
+        let problem = "is beyond the end of the answer".to_owned();
         return Err(invalid(LAST_EVENT_ID_HEADER.as_str(), problem));
     }
     Ok(Some(point))
 }
 
-/// Tells the engine of a broken stream that nobody reads it any more. The resumed stream does not
-/// wait for it.
-fn cancel_earlier(context: &Rc<Context>, point: &ResumePoint) {
+/// Cancels the earlier attempt of a resumed stream in the background.
+fn cancel_earlier_attempt(context: &Rc<Context>, point: &ResumePoint) {
     let view = context.shared.fleet.load();
     let engine = view.engines.iter().find(|one| one.engine == point.engine);
     let Some(engine) = engine else {
@@ -263,12 +263,12 @@
     let client = context.engines.get(engine.address);
     let attempt = point.attempt;
     actix_rt::spawn(async move {
-        // An engine that cannot be reached notices the closed connection by itself.
+        // If the call fails, the engine still cancels the attempt when its connection closes.
         let _ = client.cancel(attempt).await;
     });
 }
 
-/// The key under which engines run a request once.
+/// Key under which an engine runs a request at most once.
 fn once_key(key: Option<&ClaimKey>, request: RequestId) -> String {
     match key {
         Some(ClaimKey { tenant, key }) => {
--- a/crates/gateway/src/resume.rs
+++ b/crates/gateway/src/resume.rs
@@ -1,11 +1,11 @@
-//! Event ids that let a caller resume a broken stream at any node.
+//! Event ids with which a caller can resume an interrupted stream at any node.
 //!
-//! An id names the request, the engine, the attempt and the count of tokens delivered. It is
-//! signed with a key derived from the tenant's key hash, which every node has from the
-//! configuration: no node keeps anything for a resume, a change of configuration does not end it,
-//! and no caller can use another's ids. The signature also covers the request's fingerprint, so
-//! an id resumes only the request it was given for. Callers without a key share one signing key;
-//! for them an id gives nothing that the whole request, which must be repeated, does not.
+//! An id contains the request, the attempt, the engine and the number of tokens delivered. It is
+//! signed with a key derived from the hash of the tenant's API key, which every node reads from the
+//! configuration. Nodes therefore store nothing for a resume, ids outlive a change of configuration,
+//! and callers cannot use each other's ids. The signature also covers the fingerprint of the request,
+//! so that an id is valid only for the request it was issued for. Callers without an API key share one
+//! signing key; an id gains them nothing, since they must send the whole request again anyway.
 
 use std::fmt::Write as _;
 
@@ -16,44 +16,44 @@
 
 const KEY_CONTEXT: &str = "dalestand 2026 event id of a resumable stream";
 
-/// Hexadecimal digits of a signature: 128 bits.
+/// Length of a signature in hexadecimal digits (128 bits).
 const SIGNATURE_DIGITS: usize = 32;
 
-/// Separates the fields of an id. No name contains it.
+/// Separates the fields of an id. Engine names do not contain it.
 const SEPARATOR: char = ':';
 
 /// Why an event id cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ResumeError {
-    /// It is not written like an event id.
+    /// The text does not have the format of an event id.
     #[error("Last-Event-ID is not an event id of this service")]
     Malformed,
-    /// It was not given to this caller for this request.
+    /// The signature does not match this caller and request.
     #[error("Last-Event-ID belongs to another caller or another request")]
     ForeignOrForged,
 }
 
-/// Where a stream broke off.
+/// The point from which a stream is resumed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResumePoint {
-    /// The request.
     pub request: RequestId,
     /// The attempt that delivered the last token.
     pub attempt: AttemptId,
-    /// The engine that ran it.
+    /// The engine that ran the attempt.
     pub engine: EngineId,
-    /// Tokens delivered.
+    /// Number of tokens delivered.
     pub position: u32,
 }
 
-/// Signs and checks event ids of one caller's request.
+/// Signs and verifies the event ids of one request.
 #[derive(Clone, Debug)]
 pub struct EventIds {
     signer: blake3::Hasher,
 }
 
 impl EventIds {
-    /// Ids of a request with that fingerprint, of `tenant` or of callers without a key.
+    /// Creates the signer for a request with this fingerprint; `tenant` is `None` for callers without an
+    /// API key.
     pub fn new(tenant: Option<&Tenant>, fingerprint: &RequestFingerprint) -> Self {
         let secret = tenant.map_or("", |tenant| tenant.key_blake3.as_str());
         let key = blake3::derive_key(KEY_CONTEXT, secret.as_bytes());
@@ -62,7 +62,7 @@
         Self { signer }
     }
 
-    /// The id of an event after which the caller has `point.position` tokens.
+    /// Appends to `id` the id of an event after which the caller has `point.position` tokens.
     pub fn write(&self, point: &ResumePoint, id: &mut String) {
         let start = id.len();
         // Writing to a string cannot fail.
@@ -76,12 +76,12 @@
         id.push_str(&signature.to_hex()[..SIGNATURE_DIGITS]);
     }
 
-    /// Reads an id that a caller sent back.
+    /// Verifies and parses an id that a caller sent back.
     pub fn read(&self, id: &str) -> Result<ResumePoint, ResumeError> {
         let (signed, signature) = id.rsplit_once(SEPARATOR).ok_or(ResumeError::Malformed)?;
         let point = parse(signed).ok_or(ResumeError::Malformed)?;
         let expected = self.sign(signed).to_hex();
-        // Hashing both sides makes the comparison independent of where they differ.
+        // Comparing hashes makes the timing independent of where the signatures differ.
         let given = blake3::hash(signature.as_bytes());
         if given != blake3::hash(&expected.as_bytes()[..SIGNATURE_DIGITS]) {
             return Err(ResumeError::ForeignOrForged);
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! Paths of the callers' surface.
+//! HTTP server for callers and its paths.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,19 +17,19 @@
 use crate::engines::EngineClients;
 use crate::error::CallerError;
 use crate::identity::TenantIndex;
-use crate::openai::{ModelBody, ModelsBody, Surface};
-use crate::order::ADAPTER_SEPARATOR;
+use crate::openai::{Endpoint, ModelBody, ModelsBody};
+use crate::resolved_request::ADAPTER_SEPARATOR;
 use crate::shared::SharedState;
 
-/// Most requests a node has in flight where nothing else is said.
+/// Default for the maximum number of requests in flight on a node.
 const DEFAULT_MAX_REQUESTS: usize = 8_192;
 
-/// Limits on the callers of one node.
+/// Limits of one node on its callers.
 #[derive(Clone, Debug)]
 pub struct CallerLimits {
-    /// Limits on connections.
+    /// Limits on connections and their timeouts.
     pub server: ServerLimits,
-    /// Most requests in flight; more are refused as not run.
+    /// Maximum number of requests in flight; further ones are refused with the run state `not-run`.
     pub max_requests: usize,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Serves callers on `listener` until dropped.
+/// Serves callers on `listener` until the future is dropped.
 pub async fn serve_callers(
     listener: TcpListener,
     shared: Arc<SharedState>,
@@ -65,7 +65,7 @@
 async fn answer(context: Rc<Context>, mut request: Request) -> Answer {
     let shared = Arc::clone(&context.shared);
     if is_over_limit(&request) {
-        let mut answer = completion::unavailable("this node has as many connections as it takes");
+        let mut answer = completion::unavailable("this node has reached its connection limit");
         answer.head_mut().set_connection_type(ConnectionType::Close);
         return answer;
     }
@@ -74,10 +74,10 @@
     let result = match (method, path.as_str()) {
         (Method::GET, "/v1/models") => list_models(&context, &request),
         (Method::POST, "/v1/completions") => {
-            completion::complete(context, Surface::Completion, &mut request).await
+            completion::complete(context, Endpoint::Completion, &mut request).await
         }
         (Method::POST, "/v1/chat/completions") => {
-            completion::complete(context, Surface::Chat, &mut request).await
+            completion::complete(context, Endpoint::Chat, &mut request).await
         }
         (_, "/v1/models" | "/v1/completions" | "/v1/chat/completions") => {
             Err(CallerError::WrongMethod)
@@ -94,7 +94,7 @@
 fn list_models(context: &Context, request: &Request) -> Result<Answer, CallerError> {
     let mut data = Vec::new();
     if let Some(active) = context.shared.configuration.load_full() {
-        context.tenants.terms(&active, request.headers())?;
+        context.tenants.policy(&active, request.headers())?;
         for model in &active.deployment.models {
             data.push(model_body(model.name.to_string()));
             let adapters = model.adapters.iter();
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the callers' half and the control half of a node share.
+//! State shared by the gateway and the control plane of a node.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
@@ -17,28 +17,28 @@
 
 use crate::claim::ClaimGate;
 
-/// Decisions kept for operators' questions.
-const DECISIONS_KEPT: usize = 4_096;
+/// Number of decision records kept for operators.
+const MAX_DECISIONS: usize = 4_096;
 
-/// Tenants whose shares are remembered; a node sees few of all tenants within seconds.
-const TENANTS_REMEMBERED: usize = 4_096;
+/// Number of tenants whose token limits are tracked; a node serves few of all tenants at a time.
+const MAX_TENANTS: usize = 4_096;
 
-/// Reads the clock that goes on while the machine is suspended; the wall clock only for people to read.
+/// A monotonic clock that includes time in suspension, and the wall clock for display.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(BootInstant);
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts at zero now.
     pub fn start() -> Self {
         Self(BootInstant::now())
     }
 
-    /// Time since the start.
+    /// Time since [`Self::start`].
     pub fn now(&self) -> MonotonicTime {
         MonotonicTime(self.0.elapsed().as_micros() as u64)
     }
 
-    /// Milliseconds since 1970, for people to read.
+    /// Wall-clock time for display, in milliseconds since the Unix epoch.
     pub fn unix_ms(&self) -> u64 {
         let passed = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -47,30 +47,23 @@
     }
 }
 
-/// The configuration in force.
+/// The active configuration.
 #[derive(Clone, Debug)]
 pub struct ActiveConfiguration {
-    /// Its revision.
     pub revision: Revision,
-    /// Its content.
     pub deployment: Arc<Deployment>,
 }
 
-/// State shared by the halves of a node.
+/// State shared by the gateway and the control plane of a node.
 pub struct SharedState {
-    /// The clock of the node.
     pub clock: Clock,
-    /// The node.
     pub node: NodeId,
-    /// The node's zone.
     pub zone: ZoneName,
-    /// The configuration in force, once there is one.
+    /// The active configuration; empty until the first one is loaded.
     pub configuration: ArcSwapOption<ActiveConfiguration>,
-    /// What is known of the fleet.
+    /// The local view of the fleet, on which requests are routed.
     pub fleet: ArcSwap<FleetView>,
-    /// Metrics.
     pub metrics: Metrics,
-    /// The log.
     pub logger: Logger,
     claims: OnceLock<Box<dyn ClaimGate>>,
     router: Mutex<Router>,
@@ -81,7 +74,7 @@
     in_flight: AtomicUsize,
 }
 
-/// Counts a request in flight until dropped.
+/// Counts a request as in flight until dropped.
 pub struct RequestGuard(Arc<SharedState>);
 
 impl Drop for RequestGuard {
@@ -92,7 +85,7 @@
 }
 
 impl SharedState {
-    /// State of a node that has just started.
+    /// Creates the state of a starting node.
     pub fn new(node: NodeId, zone: ZoneName, logger: Logger, metrics: Metrics) -> Self {
         Self {
             clock: Clock::start(),
@@ -104,57 +97,55 @@
             logger,
             claims: OnceLock::new(),
             router: Mutex::new(Router::new(RouterConfig::default())),
-            tenant_limits: Mutex::new(TenantLimits::new(TENANTS_REMEMBERED, 1)),
+            tenant_limits: Mutex::new(TenantLimits::new(MAX_TENANTS, 1)),
             retry_budget: Mutex::new(RetryBudget::new(RetryBudgetConfig::default())),
-            decisions: Mutex::new(DecisionRing::new(DECISIONS_KEPT)),
+            decisions: Mutex::new(DecisionRing::new(MAX_DECISIONS)),
             stopping: AtomicBool::new(false),
             in_flight: AtomicUsize::new(0),
         }
     }
 
-    /// Sets what grants claims; the first call counts. Without it no claim is made.
+    /// Sets the claim gate; later calls have no effect. Without a gate no claims are made.
     pub fn set_claims(&self, gate: Box<dyn ClaimGate>) {
         let _ = self.claims.set(gate);
     }
 
-    /// What grants claims.
+    /// The claim gate, if one is set.
     pub fn claims(&self) -> Option<&dyn ClaimGate> {
         self.claims.get().map(|gate| &**gate)
     }
 
-    /// The router.
     pub fn router(&self) -> MutexGuard<'_, Router> {
         self.router.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The tenants' shares at this node.
+    /// The tenants' token limits at this node.
     pub fn tenant_limits(&self) -> MutexGuard<'_, TenantLimits> {
         self.tenant_limits
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The retries this node may make.
+    /// The retry budget of this node.
     pub fn retry_budget(&self) -> MutexGuard<'_, RetryBudget> {
         self.retry_budget
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The decision records.
     pub fn decisions(&self) -> MutexGuard<'_, DecisionRing> {
         self.decisions
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub fn stopping(&self) -> bool {
         self.stopping.load(Ordering::SeqCst)
     }
 
-    /// Takes a request in; `None` if a planned stop has begun. The count rises before the mark is
-    /// read, so that a stop which finds no request in flight has none that enters after it.
+    /// Admits a request; `None` if a graceful shutdown has begun. The count is incremented before the
+    /// flag is read, so that no request is admitted after a shutdown has seen none in flight.
     pub fn enter_request(self: &Arc<Self>) -> Option<RequestGuard> {
         self.in_flight.fetch_add(1, Ordering::SeqCst);
         self.metrics.in_flight.inc();
@@ -162,12 +153,12 @@
         (!self.stopping()).then_some(guard)
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Begins a planned stop; yields whether it had not begun before.
+    /// Begins a graceful shutdown; `false` if it had already begun.
     pub fn begin_stop(&self) -> bool {
         !self.stopping.swap(true, Ordering::SeqCst)
     }
--- a/crates/gateway/src/stop_sequence.rs
+++ b/crates/gateway/src/stop_sequence.rs
@@ -1,8 +1,8 @@
-//! Ends an answer at a stop sequence, which may begin in one token and end in another. Pure.
+//! Ends an answer at a stop sequence, which may span several tokens. No I/O.
 
 use std::collections::VecDeque;
 
-/// What may be sent to the caller.
+/// Text that may be sent to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Released {
     /// A whole token.
@@ -11,7 +11,7 @@
     Stopped(String),
 }
 
-/// Holds tokens back while they may be the begin of a stop sequence.
+/// Holds tokens back while they may be the start of a stop sequence.
 #[derive(Clone, Debug)]
 pub struct StopSequences {
     sequences: Vec<String>,
@@ -20,7 +20,7 @@
 }
 
 impl StopSequences {
-    /// Looks for any of `sequences`, none of which is empty.
+    /// Creates a filter for `sequences`, none of which may be empty.
     pub fn new(sequences: Vec<String>) -> Self {
         Self {
             sequences,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Takes the next token.
+    /// Adds the next token.
     pub fn push(&mut self, token: String) {
         if self.sequences.is_empty() {
             self.ready.push_back(Released::Token(token));
@@ -44,33 +44,33 @@
             self.ready.push_back(Released::Stopped(before));
             return;
         }
-        self.release(text.len() - self.longest_begin(&text));
+        self.release(text.len() - self.longest_partial_match(&text));
     }
 
-    /// Gives out all that is held: no token follows.
+    /// Releases all held tokens, since no further token follows.
     pub fn finish(&mut self) {
         while let Some(token) = self.held.pop_front() {
             self.ready.push_back(Released::Token(token));
         }
     }
 
-    /// The next text for the caller.
+    /// Returns the next text for the caller.
     pub fn next_released(&mut self) -> Option<Released> {
         self.ready.pop_front()
     }
 
-    /// Tokens taken and not given out.
+    /// Number of tokens added and not yet returned.
     pub fn held_tokens(&self) -> u32 {
         (self.held.len() + self.ready.len()) as u32
     }
 
-    /// Forgets what is held, since it will be generated again.
+    /// Discards the held tokens, which will be generated again.
     pub fn clear(&mut self) {
         self.held.clear();
         self.ready.clear();
     }
 
-    /// Releases the whole tokens within the first `bytes` of what is held.
+    /// Releases the tokens that lie entirely within the first `bytes` of the held text.
     fn release(&mut self, bytes: usize) {
         let mut left = bytes;
         while let Some(token) = self.held.pop_front() {
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Length of the longest end of `text` that a stop sequence begins with.
-    fn longest_begin(&self, text: &str) -> usize {
+    /// Length of the longest suffix of `text` that is a proper prefix of a stop sequence.
+    fn longest_partial_match(&self, text: &str) -> usize {
         let sequences = self.sequences.iter();
         let begins = sequences.filter_map(|stop| {
             let lengths = stop.char_indices().map(|(length, _)| length).rev();
--- a/crates/gateway/src/tenant_share.rs
+++ b/crates/gateway/src/token_reservation.rs
@@ -1,6 +1,6 @@
-//! Requests against their tenant's share of tokens at this node.
+//! Rate limit of a tenant's tokens at this node.
 //!
-//! A request takes the tokens it may need when it comes in and gives back what it did not use.
+//! A request reserves the tokens that it may need and returns the unused ones at its end.
 
 use std::sync::Arc;
 
@@ -11,18 +11,18 @@
 use crate::error::CallerError;
 use crate::shared::SharedState;
 
-/// Tokens that a request took; what it did not use goes back when this is dropped.
-pub(crate) struct TenantGrant {
+/// Tokens reserved for a request. Dropping it returns the unused ones to the tenant.
+pub(crate) struct TokenReservation {
     shared: Arc<SharedState>,
     tenant: TenantName,
-    taken: u64,
+    reserved: u64,
     used: u64,
 }
 
-impl TenantGrant {
-    /// Takes `tokens` of a tenant's share, or says when to come back. A caller without a tenant is
-    /// not limited here.
-    pub(crate) fn take(
+impl TokenReservation {
+    /// Reserves `tokens`, or fails with the time after which to retry. Callers without a tenant are not
+    /// limited and get `None`.
+    pub(crate) fn reserve(
         shared: &Arc<SharedState>,
         tenant: Option<&Tenant>,
         tokens: u64,
@@ -42,20 +42,20 @@
         Ok(Some(Self {
             shared: Arc::clone(shared),
             tenant: tenant.name.clone(),
-            taken: tokens,
+            reserved: tokens,
             used: 0,
         }))
     }
 
-    /// Notes how many tokens were used.
-    pub(crate) fn used(&mut self, tokens: u64) {
+    /// Sets the number of tokens used so far.
+    pub(crate) fn set_used(&mut self, tokens: u64) {
         self.used = tokens;
     }
 }
 
-impl Drop for TenantGrant {
+impl Drop for TokenReservation {
     fn drop(&mut self) {
-        let unused = self.taken.saturating_sub(self.used);
+        let unused = self.reserved.saturating_sub(self.used);
         if unused > 0 {
             self.shared.tenant_limits().give_back(&self.tenant, unused);
         }
--- a/crates/gateway/tests/assembler.rs
+++ b/crates/gateway/tests/assembler.rs
@@ -1,5 +1,4 @@
-//! Frames in any order yield the whole answer to their own request, or a fault, never anything
-//! else.
+//! Frames in any order yield exactly the complete answer of their own attempt, or an error.
 
 use dalestand_gateway::assembler::{AnswerPart, FrameAssembler, FrameOutcome};
 use dalestand_gateway::stop_sequence::{Released, StopSequences};
@@ -35,7 +34,7 @@
     }
 }
 
-/// Frames of my answer (each at least once, some twice) and of another attempt, in any order.
+/// Frames of attempt `MINE` (each at least once) and of other attempts, in any order.
 fn frames() -> impl Strategy<Value = (u32, Vec<GenerationFrame>)> {
     (0..40_u32).prop_flat_map(|tokens| {
         let mut mine: Vec<_> = (0..tokens).map(|position| token(MINE, position)).collect();
@@ -44,7 +43,7 @@
         let foreign = prop::collection::vec((2..4_u128, 0..50_u32), 0..20);
         (repeated, foreign).prop_flat_map(move |(repeated, foreign)| {
             let mut all = mine.clone();
-            all.extend(repeated.into_iter().map(|place| mine[place].clone()));
+            all.extend(repeated.into_iter().map(|index| mine[index].clone()));
             let foreign = foreign.into_iter().map(|(other, position)| match position {
                 0 => end(AttemptId(other), 0),
                 _ => token(AttemptId(other), position),
@@ -59,7 +58,7 @@
     #![proptest_config(settings())]
 
     #[test]
-    fn late_repeated_reordered_and_foreign_frames_yield_my_whole_answer(
+    fn late_repeated_reordered_and_foreign_frames_yield_the_complete_answer(
         (tokens, frames) in frames()
     ) {
         let mut assembler = FrameAssembler::new(MINE, 0);
@@ -67,7 +66,7 @@
         let mut ended = None;
         for frame in frames {
             let foreign = frame.attempt() != MINE;
-            let outcome = assembler.take(frame);
+            let outcome = assembler.push(frame);
             prop_assert_eq!(outcome == Ok(FrameOutcome::Foreign), foreign);
             while ended.is_none() {
                 match assembler.next_part() {
@@ -88,7 +87,7 @@
         let mut assembler = FrameAssembler::new(MINE, 0);
         let present = (0..tokens).filter(|position| *position != missing);
         for frame in present.map(|position| token(MINE, position)).chain([end(MINE, tokens)]) {
-            prop_assert!(assembler.take(frame).is_ok());
+            prop_assert!(assembler.push(frame).is_ok());
         }
         let mut given = 0;
         while let Some(part) = assembler.next_part() {
@@ -99,7 +98,7 @@
     }
 
     #[test]
-    fn a_stop_sequence_ends_the_text_before_it_however_it_is_cut(
+    fn a_stop_sequence_ends_the_text_however_it_is_split_into_tokens(
         text in "[ab]{0,30}", stop in "[ab]{1,4}", cuts in prop::collection::vec(1..4_usize, 30)
     ) {
         let mut stops = StopSequences::new(vec![stop.clone()]);
@@ -134,11 +133,11 @@
 }
 
 #[test]
-fn an_end_that_contradicts_the_tokens_is_a_fault() {
+fn an_end_that_contradicts_the_tokens_is_an_error() {
     let mut assembler = FrameAssembler::new(MINE, 0);
-    assert!(assembler.take(token(MINE, 5)).is_ok());
-    assert!(assembler.take(end(MINE, 3)).is_err());
+    assert!(assembler.push(token(MINE, 5)).is_ok());
+    assert!(assembler.push(end(MINE, 3)).is_err());
     let mut assembler = FrameAssembler::new(MINE, 0);
-    assert!(assembler.take(end(MINE, 3)).is_ok());
-    assert!(assembler.take(token(MINE, 3)).is_err());
+    assert!(assembler.push(end(MINE, 3)).is_ok());
+    assert!(assembler.push(token(MINE, 3)).is_err());
 }
--- a/crates/gateway/tests/claims.rs
+++ b/crates/gateway/tests/claims.rs
@@ -1,5 +1,5 @@
-//! The gate of at-most-once claims is asked before the first dispatch, and nothing is dispatched
-//! unless it grants.
+//! An at-most-once request is claimed before its first dispatch and is dispatched only if the claim
+//! is granted.
 
 mod support;
 
@@ -11,12 +11,12 @@
 use dalestand_types::{FinishReason, RequestId, RunState, Usage};
 use rstest::rstest;
 use serde_json::json;
-use support::{Stage, StageOptions};
+use support::{Fixture, FixtureOptions};
 
 const PATH: &str = "/v1/completions";
 const KEY: [(&str, &str); 1] = [("idempotency-key", "k")];
 
-/// A gate that always gives one answer and keeps what it is told.
+/// A gate that always returns the same outcome and records its calls.
 struct FixedGate {
     outcome: ClaimOutcome,
     claims: Arc<Mutex<Vec<ClaimRequest>>>,
@@ -35,13 +35,13 @@
     }
 }
 
-struct Told {
+struct Recorded {
     claims: Arc<Mutex<Vec<ClaimRequest>>>,
     ends: Arc<Mutex<Vec<ClaimEnd>>>,
 }
 
-async fn stage_with(outcome: ClaimOutcome) -> (Stage, Told) {
-    let stage = Stage::start(StageOptions::default()).await;
+async fn fixture_with(outcome: ClaimOutcome) -> (Fixture, Recorded) {
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let claims = Arc::default();
     let ends = Arc::default();
     let gate = FixedGate {
@@ -49,28 +49,28 @@
         claims: Arc::clone(&claims),
         ends: Arc::clone(&ends),
     };
-    stage.shared.set_claims(Box::new(gate));
-    (stage, Told { claims, ends })
+    fixture.shared.set_claims(Box::new(gate));
+    (fixture, Recorded { claims, ends })
 }
 
-fn kept() -> KeptAnswer {
+fn stored_answer() -> KeptAnswer {
     KeptAnswer {
-        text: "kept text".to_owned(),
+        text: "stored text".to_owned(),
         reason: FinishReason::Length,
         usage: Usage::default(),
     }
 }
 
 #[rstest]
-#[case::runs_now(
+#[case::in_progress(
     ClaimOutcome::InProgress { retry_after: Duration::from_millis(1_500) }, 409, "unknown", Some("2")
 )]
 #[case::ran_before(
     ClaimOutcome::Duplicate { first: RequestId(5), run_state: RunState::Unknown, answer: None },
     409, "unknown", None
 )]
-#[case::another_request(ClaimOutcome::KeyReused, 422, "not-run", None)]
-#[case::no_claim_now(
+#[case::key_reused(ClaimOutcome::KeyReused, 422, "not-run", None)]
+#[case::claims_unavailable(
     ClaimOutcome::Refused { reason: "no quorum".to_owned(), retry_after: Duration::from_secs(3) },
     503, "not-run", Some("3")
 )]
@@ -81,37 +81,37 @@
     #[case] run_state: &str,
     #[case] retry_after: Option<&str>,
 ) {
-    let (stage, _) = stage_with(outcome).await;
-    let reply = stage
+    let (fixture, _) = fixture_with(outcome).await;
+    let reply = fixture
         .post(PATH, &json!({"model": "once", "prompt": "p"}), &KEY)
         .await;
     assert_eq!(reply.status, status, "{}", reply.text());
     assert_eq!(reply.header("x-dalestand-run-state"), Some(run_state));
     assert_eq!(reply.header("retry-after"), retry_after);
-    assert_eq!(stage.accepted().await, 0);
+    assert_eq!(fixture.accepted().await, 0);
 }
 
 #[actix_rt::test]
 async fn a_repeated_request_gets_the_first_answer() {
-    let (stage, _) = stage_with(ClaimOutcome::Duplicate {
+    let (fixture, _) = fixture_with(ClaimOutcome::Duplicate {
         first: RequestId(5),
         run_state: RunState::Complete,
-        answer: Some(kept()),
+        answer: Some(stored_answer()),
     })
     .await;
     for stream in [false, true] {
         let body = json!({"model": "once", "prompt": "p", "stream": stream});
-        let reply = stage.post(PATH, &body, &KEY).await;
-        assert!(reply.text().contains("kept text"), "{}", reply.text());
+        let reply = fixture.post(PATH, &body, &KEY).await;
+        assert!(reply.text().contains("stored text"), "{}", reply.text());
     }
-    assert_eq!(stage.accepted().await, 0);
+    assert_eq!(fixture.accepted().await, 0);
 }
 
 #[actix_rt::test]
 async fn the_end_of_a_granted_request_is_reported() {
-    let (stage, told) = stage_with(ClaimOutcome::Granted).await;
+    let (fixture, recorded) = fixture_with(ClaimOutcome::Granted).await;
     let body = json!({"model": "once", "prompt": "p", "max_tokens": 3});
-    let answer = stage.post(PATH, &body, &KEY).await.json();
+    let answer = fixture.post(PATH, &body, &KEY).await.json();
     let text = answer["choices"][0]["text"]
         .as_str()
         .expect("text")
@@ -120,20 +120,20 @@
         break_after_accept: 1,
         ..EngineFaults::default()
     };
-    stage.faults(0, &faults).await;
+    fixture.faults(0, &faults).await;
     let second = [("idempotency-key", "other")];
-    assert_eq!(stage.post(PATH, &body, &second).await.status, 502);
-    let ends = told.ends.lock().expect("no panic").clone();
+    assert_eq!(fixture.post(PATH, &body, &second).await.status, 502);
+    let ends = recorded.ends.lock().expect("no panic").clone();
     assert_eq!(ends.len(), 2);
     assert_eq!(ends[0].run_state, RunState::Complete);
     assert_eq!(
-        ends[0].answer.as_ref().map(|kept| kept.text.clone()),
+        ends[0].answer.as_ref().map(|stored| stored.text.clone()),
         Some(text)
     );
     assert_eq!(ends[1].run_state, RunState::Unknown);
     assert_eq!(ends[1].answer, None);
     // Requests that may be repeated are not claimed.
     let body = json!({"model": "m", "prompt": "p"});
-    assert_eq!(stage.post(PATH, &body, &KEY).await.status, 200);
-    assert_eq!(told.claims.lock().expect("no panic").len(), 2);
+    assert_eq!(fixture.post(PATH, &body, &KEY).await.status, 200);
+    assert_eq!(recorded.claims.lock().expect("no panic").len(), 2);
 }
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What callers see when engines misbehave, held against the engines' run logs.
+//! Answers to callers when engines are faulty, compared with the engines' run logs.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use futures_util::StreamExt as _;
 use rstest::rstest;
 use serde_json::{Value, json};
-use support::{Stage, StageOptions, eventually, start_node};
+use support::{Fixture, FixtureOptions, eventually, start_node};
 use tokio::io::AsyncWriteExt as _;
 
 const PATH: &str = "/v1/completions";
@@ -20,10 +20,10 @@
     json!({"model": model, "prompt": "a plate", "max_tokens": TOKENS, "stream": stream})
 }
 
-fn two_engines() -> StageOptions {
-    StageOptions {
+fn two_engines() -> FixtureOptions {
+    FixtureOptions {
         engines: 2,
-        ..StageOptions::default()
+        ..FixtureOptions::default()
     }
 }
 
@@ -36,14 +36,14 @@
 })]
 #[actix_rt::test]
 async fn faulty_frames_reach_no_caller(#[case] faults: EngineFaults) {
-    let stage = Stage::start(StageOptions::default()).await;
-    stage.faults(0, &faults).await;
+    let fixture = Fixture::start(FixtureOptions::default()).await;
+    fixture.faults(0, &faults).await;
     for model in ["m", "once"] {
         let expected = expected_text(model, "a plate", TOKENS);
-        let streamed = stage.post(PATH, &body(model, true), &[]).await;
+        let streamed = fixture.post(PATH, &body(model, true), &[]).await;
         assert_eq!(streamed.streamed_text(), expected);
         assert!(streamed.text().ends_with("data: [DONE]\n\n"));
-        let whole = stage.post(PATH, &body(model, false), &[]).await;
+        let whole = fixture.post(PATH, &body(model, false), &[]).await;
         assert_eq!(whole.json()["choices"][0]["text"], expected);
     }
 }
@@ -55,15 +55,15 @@
 })]
 #[case::with_a_malformed_frame(EngineFaults { malformed_frames: 1, ..EngineFaults::default() })]
 #[actix_rt::test]
-async fn a_request_that_may_be_repeated_goes_on_elsewhere(
+async fn a_repeatable_request_continues_on_another_engine(
     #[case] faults: EngineFaults,
     #[values(false, true)] stream: bool,
 ) {
-    let stage = Stage::start(two_engines()).await;
-    stage.faults(0, &faults).await;
-    stage.faults(1, &faults).await;
+    let fixture = Fixture::start(two_engines()).await;
+    fixture.faults(0, &faults).await;
+    fixture.faults(1, &faults).await;
     let expected = expected_text("m", "a plate", TOKENS);
-    let reply = stage.post(PATH, &body("m", stream), &[]).await;
+    let reply = fixture.post(PATH, &body("m", stream), &[]).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
     if stream {
         assert_eq!(reply.streamed_text(), expected);
@@ -71,7 +71,7 @@
         assert_eq!(reply.json()["choices"][0]["text"], expected);
         assert_eq!(reply.json()["usage"]["completion_tokens"], TOKENS);
     }
-    assert!(stage.accepted().await >= 2);
+    assert!(fixture.accepted().await >= 2);
 }
 
 #[rstest]
@@ -81,14 +81,14 @@
 })]
 #[case::with_a_malformed_frame(EngineFaults { malformed_frames: 1, ..EngineFaults::default() })]
 #[actix_rt::test]
-async fn a_request_that_may_run_once_is_never_sent_again(
+async fn an_at_most_once_request_is_never_sent_again(
     #[case] faults: EngineFaults,
     #[values(false, true)] stream: bool,
 ) {
-    let stage = Stage::start(two_engines()).await;
-    stage.faults(0, &faults).await;
-    stage.faults(1, &faults).await;
-    let reply = stage.post(PATH, &body("once", stream), &[]).await;
+    let fixture = Fixture::start(two_engines()).await;
+    fixture.faults(0, &faults).await;
+    fixture.faults(1, &faults).await;
+    let reply = fixture.post(PATH, &body("once", stream), &[]).await;
     if stream {
         assert!(
             reply.text().contains("data: {\"error\":"),
@@ -100,27 +100,27 @@
         assert_eq!(reply.status, 502);
         assert_eq!(reply.header("x-dalestand-run-state"), Some("unknown"));
     }
-    assert_eq!(stage.accepted().await, 1);
+    assert_eq!(fixture.accepted().await, 1);
 }
 
 #[rstest]
 #[case("m")]
 #[case("once")]
 #[actix_rt::test]
-async fn a_caller_that_goes_away_cancels_its_attempt(#[case] model: &str) {
-    let stage = Stage::start(StageOptions {
+async fn a_caller_that_disconnects_cancels_its_attempt(#[case] model: &str) {
+    let fixture = Fixture::start(FixtureOptions {
         step: Duration::from_millis(5),
-        ..StageOptions::default()
+        ..FixtureOptions::default()
     })
     .await;
     let long = json!({"model": model, "prompt": "p", "max_tokens": 20_000, "stream": true});
-    let url = format!("http://{}{PATH}", stage.callers);
+    let url = format!("http://{}{PATH}", fixture.callers);
     let sent = awc::Client::default().post(url).send_json(&long).await;
     let mut response = sent.expect("an answer");
     assert!(response.next().await.expect("a chunk").is_ok());
     drop(response);
-    let tokens = eventually("the engine notes the cancel", || async {
-        let runs = stage.runs(0).await;
+    let tokens = eventually("the engine records the cancellation", || async {
+        let runs = fixture.runs(0).await;
         runs.iter().find_map(|run| match run.event {
             RunLogEvent::Cancelled { tokens } => Some(tokens),
             _ => None,
@@ -129,25 +129,25 @@
     .await;
     assert!(tokens < 20_000);
     eventually("nothing is in flight", || async {
-        (stage.shared.in_flight() == 0).then_some(())
+        (fixture.shared.in_flight() == 0).then_some(())
     })
     .await;
     // The next request on the same node gets its own answer whole.
-    let reply = stage.post(PATH, &body(model, false), &[]).await;
+    let reply = fixture.post(PATH, &body(model, false), &[]).await;
     let expected = expected_text(model, "a plate", TOKENS);
     assert_eq!(reply.json()["choices"][0]["text"], expected);
 }
 
 #[actix_rt::test]
-async fn a_caller_that_goes_away_before_a_whole_answer_cancels_its_attempt() {
-    let stage = Stage::start(StageOptions {
+async fn a_caller_that_disconnects_before_a_non_streamed_answer_cancels_its_attempt() {
+    let fixture = Fixture::start(FixtureOptions {
         step: Duration::from_millis(5),
-        ..StageOptions::default()
+        ..FixtureOptions::default()
     })
     .await;
     let long = json!({"model": "m", "prompt": "p", "max_tokens": 20_000});
     let body = long.to_string();
-    let mut caller = tokio::net::TcpStream::connect(stage.callers)
+    let mut caller = tokio::net::TcpStream::connect(fixture.callers)
         .await
         .expect("connected");
     let head = format!(
@@ -159,15 +159,15 @@
         .await
         .expect("sent");
     eventually("the engine runs it", || async {
-        let runs = stage.runs(0).await;
+        let runs = fixture.runs(0).await;
         runs.iter()
             .any(|run| run.event == RunLogEvent::Started)
             .then_some(())
     })
     .await;
     drop(caller);
-    eventually("the engine notes the cancel", || async {
-        let runs = stage.runs(0).await;
+    eventually("the engine records the cancellation", || async {
+        let runs = fixture.runs(0).await;
         let mut runs = runs.iter();
         runs.any(|run| matches!(run.event, RunLogEvent::Cancelled { .. }))
             .then_some(())
@@ -176,18 +176,18 @@
 }
 
 #[actix_rt::test]
-async fn a_caller_that_goes_away_before_an_engine_answers_leaves_a_closed_record() {
-    let stage = Stage::start(StageOptions::default()).await;
-    // An engine that takes connections and never answers.
+async fn a_caller_that_disconnects_before_an_engine_answers_leaves_a_closed_record() {
+    let fixture = Fixture::start(FixtureOptions::default()).await;
+    // An engine that accepts connections and never answers.
     let silent = tokio::net::TcpListener::bind(("127.0.0.1", 0))
         .await
         .expect("a port");
-    let mut view = (**stage.shared.fleet.load()).clone();
+    let mut view = (**fixture.shared.fleet.load()).clone();
     for engine in &mut view.engines {
         engine.address = silent.local_addr().expect("an address");
     }
-    stage.shared.fleet.store(view.into());
-    let mut caller = tokio::net::TcpStream::connect(stage.callers)
+    fixture.shared.fleet.store(view.into());
+    let mut caller = tokio::net::TcpStream::connect(fixture.callers)
         .await
         .expect("connected");
     let body = body("once", false).to_string();
@@ -195,7 +195,7 @@
     let request =
         format!("POST {PATH} HTTP/1.1\r\nhost: x\r\ncontent-length: {length}\r\n\r\n{body}");
     caller.write_all(request.as_bytes()).await.expect("sent");
-    let metrics = &stage.shared.metrics;
+    let metrics = &fixture.shared.metrics;
     eventually("it is sent to an engine", || async {
         (metrics.attempts.get() == 1).then_some(())
     })
@@ -208,9 +208,10 @@
     .await;
 }
 
-/// The ids and data of the events of a stream, up to `count` of them with an id.
-async fn read_events(stage: &Stage, key: &str, count: usize) -> (String, String) {
-    let url = format!("http://{}{PATH}", stage.callers);
+/// Reads the first `count` events of a stream and disconnects; returns the id of the last one and
+/// the text so far.
+async fn read_events(fixture: &Fixture, key: &str, count: usize) -> (String, String) {
+    let url = format!("http://{}{PATH}", fixture.callers);
     let request = awc::Client::default()
         .post(url)
         .insert_header(("idempotency-key", key));
@@ -239,13 +240,13 @@
 #[case(7)]
 #[case(20)]
 #[actix_rt::test]
-async fn a_broken_stream_is_resumed_at_another_node(#[case] read: usize) {
-    let mut stage = Stage::start(two_engines()).await;
-    let (id, begin) = read_events(&stage, "k", read).await;
-    let (other, _) = start_node(&stage.shared, CallerLimits::default()).await;
-    stage.callers = other;
+async fn an_interrupted_stream_is_resumed_at_another_node(#[case] read: usize) {
+    let mut fixture = Fixture::start(two_engines()).await;
+    let (id, begin) = read_events(&fixture, "k", read).await;
+    let (other, _) = start_node(&fixture.shared, CallerLimits::default()).await;
+    fixture.callers = other;
     let headers = [("idempotency-key", "k"), ("last-event-id", id.as_str())];
-    let reply = stage.post(PATH, &body("m", true), &headers).await;
+    let reply = fixture.post(PATH, &body("m", true), &headers).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
     let whole = format!("{begin}{}", reply.streamed_text());
     assert_eq!(whole, expected_text("m", "a plate", TOKENS));
@@ -267,15 +268,15 @@
 ) {
     use dalestand_gateway::RequestFingerprint;
     use dalestand_gateway::resume::EventIds;
-    let stage = Stage::start(StageOptions {
+    let fixture = Fixture::start(FixtureOptions {
         require_key: true,
-        ..StageOptions::default()
+        ..FixtureOptions::default()
     })
     .await;
     let authorization = |key: &str| format!("Bearer {key}");
     let owner = authorization("desk-key");
     let headers = [("idempotency-key", "k"), ("authorization", owner.as_str())];
-    let first = stage.post(PATH, &body("m", true), &headers).await.text();
+    let first = fixture.post(PATH, &body("m", true), &headers).await.text();
     let line = first.lines().next().expect("an id");
     let mut id = line.strip_prefix("id: ").expect("an id").to_owned();
     if position > 0 {
@@ -293,38 +294,38 @@
     ];
     let mut repeated = body("m", true);
     repeated["prompt"] = json!(prompt);
-    let reply = stage.post(PATH, &repeated, &headers).await;
+    let reply = fixture.post(PATH, &repeated, &headers).await;
     assert_eq!(reply.status, 400, "{}", reply.text());
     assert_eq!(reply.json()["error"]["param"], "last-event-id");
-    assert_eq!(stage.accepted().await, 1);
-    // A stranger cannot make one either.
+    assert_eq!(fixture.accepted().await, 1);
+    // Nor is the id valid for a caller without an API key.
     let forged = EventIds::new(None, &RequestFingerprint([0; 32]));
     assert!(forged.read(&id).is_err());
 }
 
 #[actix_rt::test]
-async fn a_stream_that_may_run_once_is_not_resumed() {
-    let stage = Stage::start(StageOptions::default()).await;
+async fn an_at_most_once_stream_is_not_resumed() {
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let headers = [("idempotency-key", "k"), ("last-event-id", "1:2:e:3:4")];
-    let reply = stage.post(PATH, &body("once", true), &headers).await;
+    let reply = fixture.post(PATH, &body("once", true), &headers).await;
     assert_eq!(reply.status, 409);
     assert_eq!(reply.header("x-dalestand-run-state"), Some("unknown"));
-    assert_eq!(stage.accepted().await, 0);
+    assert_eq!(fixture.accepted().await, 0);
 }
 
 #[actix_rt::test]
 async fn a_slow_caller_slows_only_itself() {
-    let stage = Stage::start(StageOptions::default()).await;
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let long = json!({"model": "m", "prompt": "p", "max_tokens": 20_000, "stream": true});
-    let url = format!("http://{}{PATH}", stage.callers);
+    let url = format!("http://{}{PATH}", fixture.callers);
     let slow = awc::Client::default().post(&url).send_json(&long).await;
     let slow = slow.expect("an answer");
-    // The slow caller reads nothing while another is served.
+    // The slow caller reads nothing while others are served.
     let expected = expected_text("m", "a plate", TOKENS);
     for _ in 0..3 {
-        let reply = stage.post(PATH, &body("m", true), &[]).await;
+        let reply = fixture.post(PATH, &body("m", true), &[]).await;
         assert_eq!(reply.streamed_text(), expected);
     }
-    assert_eq!(stage.shared.in_flight(), 1);
+    assert_eq!(fixture.shared.in_flight(), 1);
     drop(slow);
 }
--- a/crates/gateway/tests/run_states.rs
+++ b/crates/gateway/tests/run_states.rs
@@ -1,5 +1,5 @@
-//! Run states told to callers, held against the engines' run logs: "not run" is never said of a
-//! request that an engine accepted, and what may run once is accepted once.
+//! Run states reported to callers, compared with the engines' run logs: a request that an engine
+//! accepted is never reported as "not run", and an at-most-once request is accepted at most once.
 
 mod support;
 
@@ -11,22 +11,22 @@
 use futures_util::future::join_all;
 use rstest::rstest;
 use serde_json::json;
-use support::{Reply, Stage, StageOptions};
+use support::{Fixture, FixtureOptions, Reply};
 
 const PATH: &str = "/v1/completions";
 const TOKENS: u32 = 20;
 
-/// Requests sent at once: more than both engines hold.
-const REQUESTS: usize = 24;
+/// Number of concurrent requests; more than both engines can hold.
+const CONCURRENT_REQUESTS: usize = 24;
 
-/// Requests sent one after the other.
-const CALM_REQUESTS: usize = 12;
+/// Number of requests sent one after the other.
+const SEQUENTIAL_REQUESTS: usize = 12;
 
-/// Attempts that engines accepted, by request.
-async fn accepted(stage: &Stage) -> HashMap<String, usize> {
+/// Number of attempts that engines accepted, by request.
+async fn accepted(fixture: &Fixture) -> HashMap<String, usize> {
     let mut accepted = HashMap::new();
-    for engine in 0..stage.engines.len() {
-        for run in stage.runs(engine).await {
+    for engine in 0..fixture.engines.len() {
+        for run in fixture.runs(engine).await {
             if run.event == RunLogEvent::Accepted {
                 *accepted.entry(run.request.to_string()).or_insert(0) += 1;
             }
@@ -35,10 +35,10 @@
     accepted
 }
 
-async fn call(stage: &Stage, model: &str, number: usize) -> Reply {
+async fn call(fixture: &Fixture, model: &str, number: usize) -> Reply {
     let prompt = format!("request {number}");
     let body = json!({"model": model, "prompt": prompt, "max_tokens": TOKENS});
-    let reply = stage.post(PATH, &body, &[]).await;
+    let reply = fixture.post(PATH, &body, &[]).await;
     if reply.status == 200 {
         let expected = expected_text(model, &prompt, TOKENS);
         assert_eq!(reply.json()["choices"][0]["text"], expected);
@@ -64,29 +64,29 @@
     true
 )]
 #[actix_rt::test]
-async fn not_run_is_never_said_of_what_an_engine_accepted(
+async fn an_accepted_request_is_never_reported_as_not_run(
     #[case] faults: EngineFaults,
     #[case] cut_first: bool,
     #[values("m", "once")] model: &str,
 ) {
-    let stage = Stage::start(StageOptions {
+    let fixture = Fixture::start(FixtureOptions {
         engines: 2,
         capacity: 1,
         cut_first,
         step: Duration::from_millis(2),
-        ..StageOptions::default()
+        ..FixtureOptions::default()
     })
     .await;
-    stage.faults(0, &faults).await;
-    stage.faults(1, &faults).await;
+    fixture.faults(0, &faults).await;
+    fixture.faults(1, &faults).await;
     let mut replies = Vec::new();
-    // With room at both engines, a request sent again would be accepted.
-    for number in 0..CALM_REQUESTS {
-        replies.push(call(&stage, model, number).await);
+    // Both engines have free slots here, so a request sent again would be accepted.
+    for number in 0..SEQUENTIAL_REQUESTS {
+        replies.push(call(&fixture, model, number).await);
     }
-    let numbers = CALM_REQUESTS..CALM_REQUESTS + REQUESTS;
-    replies.extend(join_all(numbers.map(|number| call(&stage, model, number))).await);
-    let accepted = accepted(&stage).await;
+    let numbers = SEQUENTIAL_REQUESTS..SEQUENTIAL_REQUESTS + CONCURRENT_REQUESTS;
+    replies.extend(join_all(numbers.map(|number| call(&fixture, model, number))).await);
+    let accepted = accepted(&fixture).await;
     let mut refused = 0;
     let mut unknown = 0;
     for reply in &replies {
@@ -108,7 +108,7 @@
             assert!(runs <= 1, "{runs} runs: {}", reply.text());
         }
     }
-    assert!(refused < REQUESTS);
+    assert!(refused < CONCURRENT_REQUESTS);
     if cut_first {
         assert!(unknown > 0);
     } else {
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Engine stand-ins and a caller-facing server in the test's own process.
+//! Simulated engines and a gateway in the process of the test.
 
 #![allow(dead_code)]
 
@@ -27,14 +27,14 @@
 
 pub use reply::{Reply, post};
 
-/// Key of tenant `desk`, whose hash stands in [`DEPLOYMENT`] as `DESK_HASH`.
+/// API key of tenant `desk`; its hash replaces `DESK_HASH` in [`DEPLOYMENT`].
 pub const DESK_KEY: &str = "desk-key";
-/// Key of tenant `small`, which may use 20 tokens at once and one a second.
+/// API key of tenant `small`, which has a burst of 20 tokens and a rate of one per second.
 pub const SMALL_KEY: &str = "small-key";
-/// Key of tenant `other`.
+/// API key of tenant `other`.
 pub const OTHER_KEY: &str = "other-key";
 
-/// Model `m` may be repeated, model `once` may not.
+/// Requests to model `m` may be repeated; those to model `once` run at most once.
 const DEPLOYMENT: &str = r#"
 format = 1
 name = "gateway"
@@ -100,34 +100,34 @@
 burst_tokens = 20
 "#;
 
-/// Far ahead of any test, so that what is known of engines never counts as old.
+/// Later than the end of any test, so that engine reports never become stale.
 const REPORTED_AT: MonotonicTime = MonotonicTime::from_millis(1_000_000_000);
 
-/// Longest wait for a condition; reached only when the condition never comes true.
+/// Time limit for conditions.
 const CONDITION_LIMIT: Duration = Duration::from_secs(30);
 
-/// Engines and a node's caller-facing half.
-pub struct Stage {
+/// Simulated engines and the gateway of one node.
+pub struct Fixture {
     pub engines: Vec<SocketAddr>,
     pub callers: SocketAddr,
     pub shared: Arc<SharedState>,
     pub connections: Connections,
 }
 
-/// How a stage differs from the usual.
+/// Options of a [`Fixture`].
 #[derive(Clone)]
-pub struct StageOptions {
+pub struct FixtureOptions {
     pub require_key: bool,
     pub engines: usize,
     pub limits: CallerLimits,
     pub step: Duration,
-    /// Most requests an engine holds.
+    /// Maximum number of requests that an engine holds.
     pub capacity: u32,
-    /// Whether the first engine stands behind a connection that is cut once it has answered.
+    /// Whether the first engine is behind a proxy that closes the connection in place of answering.
     pub cut_first: bool,
 }
 
-impl Default for StageOptions {
+impl Default for FixtureOptions {
     fn default() -> Self {
         Self {
             require_key: false,
@@ -140,9 +140,9 @@
     }
 }
 
-impl Stage {
-    /// Starts engines that serve both models, and the server.
-    pub async fn start(options: StageOptions) -> Self {
+impl Fixture {
+    /// Starts engines that serve both models, and the gateway.
+    pub async fn start(options: FixtureOptions) -> Self {
         let mut engines = Vec::new();
         for number in 0..options.engines {
             engines.push(start_engine(number, &options).await);
@@ -165,7 +165,7 @@
                 "SMALL_HASH",
                 blake3::hash(SMALL_KEY.as_bytes()).to_hex().as_str(),
             );
-        let deployment = Deployment::parse(&text).expect("the deployment is sound");
+        let deployment = Deployment::parse(&text).expect("the deployment is valid");
         shared
             .configuration
             .store(Some(Arc::new(ActiveConfiguration {
@@ -174,7 +174,7 @@
             })));
         let mut reached = engines.clone();
         if options.cut_first {
-            reached[0] = start_cutting_proxy(engines[0]).await;
+            reached[0] = start_closing_proxy(engines[0]).await;
         }
         let views = reached.iter().enumerate();
         let views = views.flat_map(|(number, address)| {
@@ -203,7 +203,7 @@
         assert!(sent.await.expect("an answer").status().is_success());
     }
 
-    /// What an engine ran.
+    /// The run log of an engine.
     pub async fn runs(&self, engine: usize) -> Vec<RunLogEntry> {
         let url = format!("http://{}/log/runs", self.engines[engine]);
         let sent = awc::Client::default().get(url).send();
@@ -211,7 +211,7 @@
         response.json().limit(64 << 20).await.expect("a run log")
     }
 
-    /// Requests that all engines accepted.
+    /// Number of requests that the engines accepted, in total.
     pub async fn accepted(&self) -> usize {
         let mut count = 0;
         for engine in 0..self.engines.len() {
@@ -222,13 +222,13 @@
         count
     }
 
-    /// Posts JSON to the node.
+    /// Posts JSON to the gateway.
     pub async fn post(&self, path: &str, body: &Value, headers: &[(&str, &str)]) -> Reply {
         post(self.callers, path, body.to_string().into_bytes(), headers).await
     }
 }
 
-/// Serves `shared` at another address.
+/// Starts a gateway for `shared` at a new address.
 pub async fn start_node(
     shared: &Arc<SharedState>,
     limits: CallerLimits,
@@ -241,7 +241,7 @@
     (address, connections)
 }
 
-async fn start_engine(number: usize, options: &StageOptions) -> SocketAddr {
+async fn start_engine(number: usize, options: &FixtureOptions) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let settings = EngineSettings {
@@ -262,9 +262,9 @@
     address
 }
 
-/// Passes requests on to an engine and closes the connection once the engine has answered, before
-/// a byte of the answer is passed back.
-async fn start_cutting_proxy(engine: SocketAddr) -> SocketAddr {
+/// Starts a proxy that forwards requests to an engine and, once the engine answers, closes the
+/// connection without forwarding any byte of the answer.
+async fn start_closing_proxy(engine: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     actix_rt::spawn(async move {
@@ -273,7 +273,7 @@
                 let mut behind = TcpStream::connect(engine).await.expect("connected");
                 let mut request = vec![0; 64 << 10];
                 let read = caller.read(&mut request).await.unwrap_or(0);
-                behind.write_all(&request[..read]).await.expect("passed on");
+                behind.write_all(&request[..read]).await.expect("forwarded");
                 let _ = behind.read(&mut request).await;
             });
         }
@@ -306,7 +306,7 @@
             revision: Revision(7),
             command,
         };
-        eventually("the order is taken", || async {
+        eventually("the order is accepted", || async {
             let outcome = engine.order(&order).await.ok()?;
             matches!(outcome, dalestand_types::OrderOutcome::Accepted { .. }).then_some(())
         })
@@ -346,7 +346,7 @@
     }
 }
 
-/// Waits until `condition` yields a value.
+/// Polls `condition` until it returns a value.
 pub async fn eventually<T, F, W>(what: &str, mut condition: F) -> T
 where
     F: FnMut() -> W,
@@ -357,7 +357,7 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(Instant::now() < deadline, "never came true: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         actix_rt::time::sleep(Duration::from_millis(5)).await;
     }
 }
--- a/crates/gateway/tests/support/reply.rs
+++ b/crates/gateway/tests/support/reply.rs
@@ -1,4 +1,4 @@
-//! What a caller sends and what it gets back.
+//! A request of a caller and its answer.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use super::CONDITION_LIMIT;
 
-/// A whole answer to a caller.
+/// A complete answer to a caller.
 pub struct Reply {
     pub status: u16,
     pub headers: actix_http::header::HeaderMap,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Posts a body.
+/// Posts a body and reads the whole answer.
 pub async fn post(
     address: SocketAddr,
     path: &str,
--- a/crates/gateway/tests/surface.rs
+++ b/crates/gateway/tests/surface.rs
@@ -1,4 +1,4 @@
-//! The OpenAI-compatible surface: answers, streams, bad input, keys.
+//! The OpenAI-compatible API: answers, streams, invalid input, API keys.
 
 mod support;
 
@@ -6,15 +6,15 @@
 use dalestand_standin::engine::text::expected_text;
 use rstest::rstest;
 use serde_json::{Value, json};
-use support::{DESK_KEY, Stage, StageOptions, eventually, post};
+use support::{DESK_KEY, Fixture, FixtureOptions, eventually, post};
 
 const COMPLETIONS: &str = "/v1/completions";
 const CHAT: &str = "/v1/chat/completions";
 
 #[actix_rt::test]
 async fn models_are_listed_with_their_adapters() {
-    let stage = Stage::start(StageOptions::default()).await;
-    let sent = awc::Client::default().get(format!("http://{}/v1/models", stage.callers));
+    let fixture = Fixture::start(FixtureOptions::default()).await;
+    let sent = awc::Client::default().get(format!("http://{}/v1/models", fixture.callers));
     let body: Value = sent
         .send()
         .await
@@ -32,10 +32,10 @@
 }
 
 #[actix_rt::test]
-async fn a_whole_completion_has_text_counts_and_headers() {
-    let stage = Stage::start(StageOptions::default()).await;
+async fn a_non_streamed_completion_has_text_token_counts_and_headers() {
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let body = json!({"model": "m:a", "prompt": ["two words"], "max_tokens": 5, "best_of": 1});
-    let reply = stage.post(COMPLETIONS, &body, &[]).await;
+    let reply = fixture.post(COMPLETIONS, &body, &[]).await;
     assert_eq!(reply.status, 200);
     let answer = reply.json();
     assert_eq!(answer["object"], "text_completion");
@@ -55,7 +55,7 @@
 
 #[actix_rt::test]
 async fn a_chat_is_streamed_with_role_usage_and_closing_event() {
-    let stage = Stage::start(StageOptions::default()).await;
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let body = json!({
         "model": "m", "stream": true, "stream_options": {"include_usage": true},
         "max_completion_tokens": 3,
@@ -64,7 +64,7 @@
             {"role": "user", "content": [{"type": "text", "text": "hello"}]},
         ],
     });
-    let reply = stage.post(CHAT, &body, &[]).await;
+    let reply = fixture.post(CHAT, &body, &[]).await;
     assert_eq!(reply.header("content-type"), Some("text/event-stream"));
     let chunks = reply.chunks();
     assert_eq!(chunks[0]["object"], "chat.completion.chunk");
@@ -76,7 +76,7 @@
     assert_eq!(last["usage"]["completion_tokens"], 3);
     assert!(reply.text().ends_with("data: [DONE]\n\n"));
     let whole = json!({"model": "m", "max_tokens": 3, "messages": body["messages"]});
-    let answer = stage.post(CHAT, &whole, &[]).await.json();
+    let answer = fixture.post(CHAT, &whole, &[]).await.json();
     let content = &answer["choices"][0]["message"]["content"];
     assert_eq!(*content, expected_text("m", prompt, 3));
 }
@@ -90,14 +90,14 @@
     #[case] begin: usize,
     #[case] end: usize,
 ) {
-    let stage = Stage::start(StageOptions::default()).await;
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let text = expected_text("m", "go", 200);
     let stop = &text[begin..end];
     let before = text.split(stop).next().expect("text before it");
     let body = json!({
         "model": "m", "prompt": "go", "max_tokens": 200, "stop": [stop, "never"], "stream": stream,
     });
-    let reply = stage.post(COMPLETIONS, &body, &[]).await;
+    let reply = fixture.post(COMPLETIONS, &body, &[]).await;
     if stream {
         assert_eq!(reply.streamed_text(), before);
         assert!(reply.text().contains("\"finish_reason\":\"stop\""));
@@ -126,14 +126,14 @@
 #[case::no_messages(CHAT, b"{\"model\":\"m\",\"messages\":[]}".to_vec(), 400, Some("messages"))]
 #[case::no_such_path("/v1/other", b"{}".to_vec(), 404, None)]
 #[actix_rt::test]
-async fn bad_input_is_refused_at_once_and_names_the_field(
+async fn invalid_input_is_rejected_with_the_field_name(
     #[case] path: &str,
     #[case] body: Vec<u8>,
     #[case] status: u16,
     #[case] field: Option<&str>,
 ) {
-    let stage = Stage::start(StageOptions::default()).await;
-    let reply = post(stage.callers, path, body, &[]).await;
+    let fixture = Fixture::start(FixtureOptions::default()).await;
+    let reply = post(fixture.callers, path, body, &[]).await;
     assert_eq!(reply.status, status, "{}", reply.text());
     assert_eq!(
         reply.json()["error"]["param"].as_str(),
@@ -142,7 +142,7 @@
         reply.text()
     );
     assert_eq!(reply.header("x-dalestand-run-state"), Some("not-run"));
-    assert_eq!(stage.accepted().await, 0);
+    assert_eq!(fixture.accepted().await, 0);
 }
 
 fn deep() -> Vec<u8> {
@@ -159,17 +159,20 @@
 #[case::unknown_class(&[("authorization", "Bearer desk-key"), ("x-dalestand-class", "x")], 400)]
 #[case::wrong_priority(&[("authorization", "Bearer desk-key"), ("x-dalestand-priority", "x")], 400)]
 #[actix_rt::test]
-async fn keys_and_terms_are_checked(#[case] headers: &[(&str, &str)], #[case] status: u16) {
-    let options = StageOptions {
+async fn keys_classes_and_priorities_are_checked(
+    #[case] headers: &[(&str, &str)],
+    #[case] status: u16,
+) {
+    let options = FixtureOptions {
         require_key: true,
-        ..StageOptions::default()
+        ..FixtureOptions::default()
     };
-    let stage = Stage::start(options).await;
+    let fixture = Fixture::start(options).await;
     let body = json!({"model": "m", "prompt": "p"});
-    let reply = stage.post(COMPLETIONS, &body, headers).await;
+    let reply = fixture.post(COMPLETIONS, &body, headers).await;
     assert_eq!(reply.status, status, "{}", reply.text());
     assert!(!reply.text().contains(DESK_KEY));
-    assert_eq!(stage.accepted().await, usize::from(status == 200));
+    assert_eq!(fixture.accepted().await, usize::from(status == 200));
 }
 
 #[rstest]
@@ -182,20 +185,20 @@
     &[("x-dalestand-priority", "200"), ("x-dalestand-deadline-ms", "900000")], "plain", 3, 600_000
 )]
 #[actix_rt::test]
-async fn terms_are_recorded(
+async fn class_priority_and_deadline_are_recorded(
     #[case] headers: &[(&str, &str)],
     #[case] class: &str,
     #[case] priority: u8,
     #[case] deadline_ms: u64,
 ) {
-    let stage = Stage::start(StageOptions::default()).await;
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let mut headers = headers.to_vec();
     headers.push(("authorization", "Bearer desk-key"));
     let body = json!({"model": "m", "prompt": "p"});
-    let reply = stage.post(COMPLETIONS, &body, &headers).await;
+    let reply = fixture.post(COMPLETIONS, &body, &headers).await;
     let id = reply.header("x-request-id").expect("a request id");
     let id = id.parse().expect("a request id");
-    let record = stage.shared.decisions().request(id).cloned();
+    let record = fixture.shared.decisions().request(id).cloned();
     let record = record.expect("a record");
     assert_eq!(
         record.tenant.as_ref().map(|name| name.as_str()),
@@ -208,54 +211,54 @@
 
 #[actix_rt::test]
 async fn an_unknown_key_counts_as_none_where_none_is_required() {
-    let stage = Stage::start(StageOptions::default()).await;
+    let fixture = Fixture::start(FixtureOptions::default()).await;
     let body = json!({"model": "m", "prompt": "p"});
     let headers = [("authorization", "Bearer nobody")];
-    let reply = stage.post(COMPLETIONS, &body, &headers).await;
+    let reply = fixture.post(COMPLETIONS, &body, &headers).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
 }
 
 #[actix_rt::test]
-async fn connections_beyond_the_limit_are_refused_as_not_run_with_a_time() {
-    let mut options = StageOptions::default();
+async fn connections_beyond_the_limit_are_refused_as_not_run_with_retry_after() {
+    let mut options = FixtureOptions::default();
     options.limits.server.max_connections = 1;
-    let stage = Stage::start(options).await;
-    let held = tokio::net::TcpStream::connect(stage.callers).await;
+    let fixture = Fixture::start(options).await;
+    let held = tokio::net::TcpStream::connect(fixture.callers).await;
     let held = held.expect("connected");
     eventually("the connection is counted", || async {
-        (stage.connections.open() == 1).then_some(())
+        (fixture.connections.open() == 1).then_some(())
     })
     .await;
     let body = json!({"model": "m", "prompt": "p"});
-    let reply = stage.post(COMPLETIONS, &body, &[]).await;
+    let reply = fixture.post(COMPLETIONS, &body, &[]).await;
     assert_eq!(reply.status, 503);
     assert_eq!(reply.header("x-dalestand-run-state"), Some("not-run"));
     assert_eq!(reply.header("retry-after"), Some("1"));
-    assert_eq!(stage.accepted().await, 0);
+    assert_eq!(fixture.accepted().await, 0);
     drop(held);
-    eventually("there is room again", || async {
-        (stage.connections.open() == 0).then_some(())
+    eventually("the connection is closed", || async {
+        (fixture.connections.open() == 0).then_some(())
     })
     .await;
-    assert_eq!(stage.post(COMPLETIONS, &body, &[]).await.status, 200);
+    assert_eq!(fixture.post(COMPLETIONS, &body, &[]).await.status, 200);
 }
 
 #[actix_rt::test]
-async fn requests_beyond_the_limit_are_refused_as_not_run_with_a_time() {
+async fn requests_beyond_the_limit_are_refused_as_not_run_with_retry_after() {
     let limits = CallerLimits {
         max_requests: 0,
         ..CallerLimits::default()
     };
-    let stage = Stage::start(StageOptions {
+    let fixture = Fixture::start(FixtureOptions {
         limits,
-        ..StageOptions::default()
+        ..FixtureOptions::default()
     })
     .await;
-    let reply = stage
+    let reply = fixture
         .post(COMPLETIONS, &json!({"model": "m", "prompt": "p"}), &[])
         .await;
     assert_eq!(reply.status, 503);
     assert_eq!(reply.header("x-dalestand-run-state"), Some("not-run"));
     assert_eq!(reply.header("retry-after"), Some("1"));
-    assert_eq!(stage.accepted().await, 0);
+    assert_eq!(fixture.accepted().await, 0);
 }
