--- a/crates/http-server/src/answer.rs
+++ b/crates/http-server/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of a handler.
+//! Constructors for the answers of handlers.
 
 use std::convert::Infallible;
 
@@ -12,23 +12,23 @@
 
 use crate::HttpServerError;
 
-/// What a handler gives back.
+/// The answer that a handler returns.
 pub type Answer = Response<BoxBody>;
 
-/// An answer of one JSON value.
+/// An answer with a JSON body.
 pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Answer {
     match serde_json::to_vec(value) {
-        Ok(body) => typed(status, "application/json", BoxBody::new(body)),
+        Ok(body) => with_content_type(status, "application/json", BoxBody::new(body)),
         Err(error) => text_answer(
             StatusCode::INTERNAL_SERVER_ERROR,
-            format!("answer not encoded: {error}"),
+            format!("the answer could not be serialized: {error}"),
         ),
     }
 }
 
 /// An answer of plain text.
 pub fn text_answer(status: StatusCode, text: impl Into<String>) -> Answer {
-    typed(
+    with_content_type(
         status,
         "text/plain; charset=utf-8",
         BoxBody::new(text.into()),
@@ -36,7 +36,7 @@
 }
 
 impl From<HttpServerError> for Answer {
-    /// The error's status and what it says, as plain text.
+    /// An answer with the error's status, and its message as plain text.
     fn from(error: HttpServerError) -> Self {
         text_answer(error.status(), error.to_string())
     }
@@ -47,16 +47,16 @@
     Response::with_body(status, BoxBody::new(()))
 }
 
-/// An answer whose body is sent as `stream` yields it.
+/// An answer whose body is streamed from `stream`.
 pub fn stream_answer<S>(status: StatusCode, content_type: &'static str, stream: S) -> Answer
 where
     S: Stream<Item = Bytes> + 'static,
 {
     let body = BodyStream::new(stream.map(Ok::<Bytes, Infallible>));
-    typed(status, content_type, BoxBody::new(body))
+    with_content_type(status, content_type, BoxBody::new(body))
 }
 
-fn typed(status: StatusCode, content_type: &'static str, body: BoxBody) -> Answer {
+fn with_content_type(status: StatusCode, content_type: &'static str, body: BoxBody) -> Answer {
     let mut response = Response::with_body(status, body);
     response
         .headers_mut()
--- a/crates/http-server/src/body.rs
+++ b/crates/http-server/src/body.rs
@@ -1,4 +1,4 @@
-//! Reading request bodies within a limit.
+//! Reads request bodies within limits on size, time and nesting.
 
 use std::time::Duration;
 
@@ -10,19 +10,20 @@
 
 use crate::HttpServerError;
 
-/// Time a caller has to send a whole body.
+/// Time limit for receiving a whole body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Reads the whole body, at most `limit` bytes. A body that says it is longer is refused at once.
+/// Reads the whole body, of at most `limit` bytes. A body with a larger `Content-Length` is refused
+/// without being read.
 pub async fn read_body(request: &mut Request, limit: usize) -> Result<Bytes, HttpServerError> {
-    if announced_length(request).is_some_and(|length| length > limit as u64) {
+    if declared_length(request).is_some_and(|length| length > limit as u64) {
         return Err(HttpServerError::BodyTooLarge { limit });
     }
     let collected = actix_rt::time::timeout(BODY_TIMEOUT, collect(request, limit)).await;
     collected.unwrap_or(Err(HttpServerError::BodyTooSlow))
 }
 
-fn announced_length(request: &Request) -> Option<u64> {
+fn declared_length(request: &Request) -> Option<u64> {
     let value = request.headers().get(CONTENT_LENGTH)?;
     value.to_str().ok()?.parse().ok()
 }
@@ -40,19 +41,19 @@
     Ok(collected.freeze())
 }
 
-/// Most levels of lists and objects within each other in a JSON body.
+/// Maximum nesting depth of arrays and objects in a JSON body.
 const MAX_DEPTH: usize = 64;
 
-/// Whether lists and objects lie deeper within each other than `limit`. Text is left out.
+/// Whether arrays and objects are nested deeper than `limit`. Brackets within strings do not count.
 fn exceeds_depth(body: &[u8], limit: usize) -> bool {
     let mut depth = 0;
-    let mut in_text = false;
+    let mut in_string = false;
     let mut escaped = false;
     for byte in body {
-        match (in_text, *byte) {
+        match (in_string, *byte) {
             (true, _) if escaped => escaped = false,
             (true, b'\\') => escaped = true,
-            (_, b'"') => in_text = !in_text,
+            (_, b'"') => in_string = !in_string,
             (false, b'[' | b'{') => depth += 1,
             (false, b']' | b'}') => depth -= 1,
             _ => {}
@@ -64,7 +65,7 @@
     false
 }
 
-/// Reads the whole body as JSON, at most `limit` bytes.
+/// Reads and parses a JSON body of at most `limit` bytes.
 pub async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
     limit: usize,
--- a/crates/http-server/src/connections.rs
+++ b/crates/http-server/src/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections of a server: their count, and their orderly end.
+//! Open connections of a server: their number and their graceful end.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 
 use tokio::sync::watch;
 
-/// How often the count of open connections is looked at while they end.
-const DRAIN_POLL: Duration = Duration::from_millis(5);
+/// Polling interval for the number of open connections or accept loops while they end.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Connections of one server, over all arbiters that serve it.
+/// Connections of one server, across all its arbiters.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
     open: Arc<AtomicUsize>,
@@ -20,62 +20,62 @@
 }
 
 impl Connections {
-    /// Connections open now.
+    /// Number of open connections.
     pub fn open(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Ends every accept loop. Each takes in what waits at its socket before it closes it, since
-    /// closing a socket drops the connections that wait there. Yields when all have closed.
+    /// Ends every accept loop and returns when all listening sockets are closed. Each loop first accepts
+    /// the connections in its backlog, which closing the socket would drop.
     pub async fn stop_accepting(&self) {
         self.closing.send_replace(true);
         while self.listening.load(Ordering::SeqCst) > 0 {
-            actix_rt::time::sleep(DRAIN_POLL).await;
+            actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until accepting is to end.
+    /// Waits until the accept loops are to end.
     pub(crate) async fn closing(&self) {
         let mut receiver = self.closing.subscribe();
-        // The sender lives as long as the server, so waiting cannot fail before the end.
+        // Cannot fail: `self` keeps the sender alive.
         let _ = receiver.wait_for(|closing| *closing).await;
     }
 
-    /// Counts an accept loop until the guard is dropped.
+    /// Counts an accept loop as listening until the guard is dropped.
     pub(crate) fn listen(&self) -> ListeningGuard {
         self.listening.fetch_add(1, Ordering::SeqCst);
         ListeningGuard(self.clone())
     }
 
-    /// Ends every connection once the answer on it, if there is one, has been written to its last
-    /// byte. Yields when all have ended.
+    /// Closes every connection, after any answer in progress has been written completely. Returns when
+    /// all are closed.
     pub async fn drain(&self) {
         self.draining.send_replace(true);
         while self.open() > 0 {
-            actix_rt::time::sleep(DRAIN_POLL).await;
+            actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Counts a connection until the guard is dropped.
+    /// Counts a connection as open until the guard is dropped.
     pub(crate) fn enter(&self) -> ConnectionGuard {
         self.open.fetch_add(1, Ordering::SeqCst);
         ConnectionGuard(self.clone())
     }
 
-    /// Makes, for each connection, a future that is ready once connections are to end.
+    /// Returns a factory of futures, one per connection, that complete when connections are to close.
     pub(crate) fn drain_signal(&self) -> impl Fn() -> DrainSignal + 'static {
         let draining = Arc::clone(&self.draining);
         move || {
             let mut receiver = draining.subscribe();
             Box::pin(async move {
-                // The sender lives as long as the server, so waiting cannot fail before the end.
+                // Fails only if the sender is dropped, which lives as long as the server.
                 let _ = receiver.wait_for(|draining| *draining).await;
             })
         }
     }
 }
 
-/// Ready once connections are to end.
+/// Completes when connections are to close.
 type DrainSignal = std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
 /// Counts an accept loop until dropped.
--- a/crates/http-server/src/error.rs
+++ b/crates/http-server/src/error.rs
@@ -5,25 +5,25 @@
 /// Why a request could not be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum HttpServerError {
-    /// The body is larger than the limit, in bytes.
+    /// The body is larger than `limit` bytes.
     #[error("the body is larger than {limit} bytes")]
     BodyTooLarge { limit: usize },
-    /// Lists and objects lie too deep within each other.
+    /// Arrays and objects in the body are nested too deeply.
     #[error("the body is nested deeper than {limit} levels")]
     BodyTooDeep { limit: usize },
-    /// The body did not come within the time allowed.
-    #[error("the body came too slowly")]
+    /// The body did not arrive within the time limit.
+    #[error("the body did not arrive in time")]
     BodyTooSlow,
-    /// The connection failed while the body was read.
+    /// The connection failed while the body was being read.
     #[error("the body could not be read: {0}")]
     BodyUnreadable(String),
-    /// The body is not what was expected; `field` is the path of the offending value.
+    /// The body is not valid JSON of the expected type; `field` is the path of the invalid value.
     #[error("{field}: {message}")]
     InvalidJson { field: String, message: String },
 }
 
 impl HttpServerError {
-    /// The status to answer with.
+    /// The HTTP status of the answer.
     pub fn status(&self) -> StatusCode {
         match self {
             Self::BodyTooLarge { .. } => StatusCode::PAYLOAD_TOO_LARGE,
--- a/crates/http-server/src/lib.rs
+++ b/crates/http-server/src/lib.rs
@@ -1,7 +1,8 @@
-//! Thin layer over `actix-http`: an accept loop on the current arbiter and typed JSON answers.
+//! Thin layer over `actix-http`: an accept loop on the current arbiter, request bodies and typed
+//! answers.
 //!
-//! Each server of this project (callers, operators, stand-ins) runs on it, so that limits on
-//! connections, headers and bodies, and the planned stop, are written once.
+//! All servers of this project (for callers, for operators and of simulated services) use it, so that
+//! limits on connections, headers and bodies and the graceful shutdown are implemented once.
 
 mod answer;
 mod body;
--- a/crates/http-server/src/server.rs
+++ b/crates/http-server/src/server.rs
@@ -15,39 +15,39 @@
 
 use crate::{Answer, Connections};
 
-/// Pause after a failed accept (such as too many open files), so that it is not retried at once.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a retry after a failed accept, such as one for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// An accept loop that is to end closes its socket after no connection came for this long.
-const TAKE_WAITING_QUIET: Duration = Duration::from_millis(20);
+/// An ending accept loop closes its socket once no connection has arrived for this long.
+const BACKLOG_QUIET_TIME: Duration = Duration::from_millis(20);
 
-/// Longest time in which such a loop takes connections in.
-const TAKE_WAITING_LIMIT: Duration = Duration::from_millis(200);
+/// Maximum time for which an ending accept loop waits for connections.
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Connections above the limit that are still served, so that their requests can be refused with
-/// an answer.
-const REFUSED_CONNECTIONS: usize = 256;
+/// Number of connections above the limit that are still accepted, so that their requests can be
+/// refused with an answer.
+const MAX_EXCESS_CONNECTIONS: usize = 256;
 
-/// What is known of a connection when it is opened.
-struct ConnectionPlace {
+/// Data attached to a connection when it is opened.
+struct ConnectionData {
     over_limit: bool,
 }
 
-/// Whether the request came on a connection above the server's limit and is to be refused.
+/// Whether the request arrived on a connection above the server's limit and must be refused.
 pub fn is_over_limit(request: &Request) -> bool {
-    let place = request.conn_data::<ConnectionPlace>();
-    place.is_some_and(|place| place.over_limit)
+    let data = request.conn_data::<ConnectionData>();
+    data.is_some_and(|data| data.over_limit)
 }
 
 /// Limits of one server.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// Most connections at once. Requests on some more are marked, see [`is_over_limit`]; beyond
-    /// those, connections are closed at once.
+    /// Maximum number of open connections. Requests on a limited number of excess connections are
+    /// marked, see [`is_over_limit`]; further connections are closed immediately.
     pub max_connections: usize,
-    /// Time a caller has to send a request's head.
+    /// Time limit for receiving the head of a request.
     pub head_timeout: Duration,
-    /// Time an idle connection is kept.
+    /// How long an idle connection is kept open.
     pub keep_alive: Duration,
 }
 
@@ -61,11 +61,11 @@
     }
 }
 
-/// Serves `handler` on `listener` until the returned future is dropped or accepting is stopped; see
-/// [`Connections::stop_accepting`].
+/// Serves `handler` on `listener` until the returned future is dropped or
+/// [`Connections::stop_accepting`] is called.
 ///
 /// Connections run as local tasks of the current arbiter and outlive the accept loop, so that
-/// dropping it takes no request in flight with it.
+/// dropping it does not abort requests in flight.
 pub async fn serve<H, F>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -80,16 +80,16 @@
         let handler = Rc::clone(&handler);
         async move { Ok::<Answer, Infallible>(handler(request).await) }
     });
-    let counted = connections.clone();
+    let open_connections = connections.clone();
     let factory = HttpService::build()
         .client_request_timeout(limits.head_timeout)
         .keep_alive(limits.keep_alive)
-        // A peer that closes its side has gone away: its request is dropped at once, which cancels
-        // the work behind it.
+        // A peer that closes its sending side is treated as disconnected: its request is dropped,
+        // which cancels the work for it.
         .h1_allow_half_closed(false)
         .on_connect_ext(move |_: &TcpStream, data: &mut Extensions| {
-            data.insert(ConnectionPlace {
-                over_limit: counted.open() > limits.max_connections,
+            data.insert(ConnectionData {
+                over_limit: open_connections.open() > limits.max_connections,
             });
         })
         .graceful_shutdown_signal(connections.drain_signal())
@@ -100,7 +100,7 @@
     };
     let connection_service = Rc::new(connection_service);
     let accept = |stream: TcpStream| {
-        if connections.open() >= limits.max_connections + REFUSED_CONNECTIONS {
+        if connections.open() >= limits.max_connections + MAX_EXCESS_CONNECTIONS {
             return;
         }
         let guard = connections.enter();
@@ -119,23 +119,23 @@
         };
         match accepted {
             Ok((stream, _peer)) => accept(stream),
-            Err(_) => actix_rt::time::sleep(ACCEPT_RETRY_PAUSE).await,
+            Err(_) => actix_rt::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
-    take_waiting(&listener, accept).await;
+    drain_backlog(&listener, accept).await;
     drop(listener);
 }
 
-/// Takes in the connections that wait at a socket which is about to be closed.
-async fn take_waiting(listener: &TcpListener, accept: impl Fn(TcpStream)) {
+/// Accepts the connections in the backlog of a socket that is about to be closed.
+async fn drain_backlog(listener: &TcpListener, accept: impl Fn(TcpStream)) {
     let started = Instant::now();
-    while started.elapsed() < TAKE_WAITING_LIMIT {
-        match timeout(TAKE_WAITING_QUIET, listener.accept()).await {
+    while started.elapsed() < BACKLOG_DRAIN_TIMEOUT {
+        match timeout(BACKLOG_QUIET_TIME, listener.accept()).await {
             Ok(Ok((stream, _peer))) => accept(stream),
             Ok(Err(_)) | Err(_) => return,
         }
     }
-    // Callers keep coming: take in what waits at this moment.
+    // Connections still arrive; accept those that are in the backlog now.
     while let Some(Ok((stream, _peer))) = poll_immediate(listener.accept()).await {
         accept(stream);
     }
@@ -145,8 +145,8 @@
 where
     S: actix_service::Service<TcpStream>,
 {
-    // Small frames must not wait for acknowledgements of earlier ones.
+    // Disable Nagle's algorithm: small writes must not wait for earlier acknowledgements.
     let _ = stream.set_nodelay(true);
-    // A failed connection concerns its peer only; requests on it report their own outcome.
+    // A connection error affects only its peer; requests on it report their own outcome.
     let _ = service.call(stream).await;
 }
--- a/crates/http-server/tests/drain.rs
+++ b/crates/http-server/tests/drain.rs
@@ -1,4 +1,4 @@
-//! A drained server ends its connections only after the last byte of each answer.
+//! Draining closes a connection only after the last byte of its answer.
 
 use std::future::ready;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::net::{TcpListener, TcpStream};
 
-/// More than the buffers of both sockets hold.
+/// More than the send and receive buffers hold.
 const ANSWER_BYTES: usize = 32 << 20;
 const CHUNK_BYTES: usize = 1 << 20;
 
@@ -46,10 +46,10 @@
 }
 
 #[rstest]
-#[case::whole(false)]
+#[case::not_streamed(false)]
 #[case::streamed(true)]
 #[actix_rt::test]
-async fn a_slow_callers_answer_is_whole(#[case] stream: bool) {
+async fn the_answer_to_a_slow_caller_is_complete(#[case] stream: bool) {
     let (address, connections) = start(stream).await;
     let mut caller = slow_caller(address);
     caller
@@ -65,7 +65,7 @@
         let connections = connections.clone();
         async move { connections.drain().await }
     });
-    // Time for a server that cuts its connections to do so.
+    // A server that closes connections too early does so within this time.
     actix_rt::time::sleep(Duration::from_millis(50)).await;
     assert_eq!(connections.open(), 1);
     assert!(!drained.is_finished());
@@ -77,7 +77,7 @@
 }
 
 #[actix_rt::test]
-async fn an_idle_connection_does_not_hold_the_end_up() {
+async fn an_idle_connection_does_not_delay_draining() {
     let (address, connections) = start(false).await;
     let mut idle = TcpStream::connect(address).await.expect("connected");
     while connections.open() == 0 {
--- a/crates/http-server/tests/slow_reader.rs
+++ b/crates/http-server/tests/slow_reader.rs
@@ -1,5 +1,5 @@
-//! A caller that does not read holds back its own answer: the server takes no more of it than its
-//! buffers hold.
+//! Backpressure: if a caller does not read, the server pulls no more of the answer than fits into the
+//! buffers.
 
 use std::future::ready;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 
 const CHUNK_BYTES: usize = 64 << 10;
 
-/// What both sockets and the server may hold of an answer.
-const MOST_HELD_BYTES: usize = 64 << 20;
+/// Upper bound on the bytes of an answer in the buffers of both sockets and the server.
+const MAX_BUFFERED_BYTES: usize = 64 << 20;
 
 #[actix_rt::test]
 async fn an_endless_answer_waits_for_its_reader() {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let taken = Arc::new(AtomicUsize::new(0));
-    let counter = Arc::clone(&taken);
+    let pulled = Arc::new(AtomicUsize::new(0));
+    let counter = Arc::clone(&pulled);
     let connections = Connections::default();
     actix_rt::spawn(serve(
         listener,
@@ -29,10 +29,10 @@
         move |_| {
             let counter = Arc::clone(&counter);
             let chunks = std::iter::repeat_with(move || {
-                let taken = counter.fetch_add(CHUNK_BYTES, Ordering::SeqCst);
+                let pulled = counter.fetch_add(CHUNK_BYTES, Ordering::SeqCst);
                 assert!(
-                    taken < MOST_HELD_BYTES,
-                    "the answer was taken without a reader"
+                    pulled < MAX_BUFFERED_BYTES,
+                    "the answer was pulled although nobody reads it"
                 );
                 bytes::Bytes::from(vec![b'~'; CHUNK_BYTES])
             });
@@ -48,15 +48,15 @@
     let mut last = 0;
     loop {
         actix_rt::time::sleep(Duration::from_millis(50)).await;
-        let now = taken.load(Ordering::SeqCst);
+        let now = pulled.load(Ordering::SeqCst);
         if now > 0 && now == last {
             break;
         }
         last = now;
     }
-    // Reading lets the answer go on.
+    // Reading makes the server pull more of the answer.
     let mut buffer = vec![0; 1 << 20];
-    while taken.load(Ordering::SeqCst) == last {
+    while pulled.load(Ordering::SeqCst) == last {
         assert!(caller.read(&mut buffer).await.expect("more") > 0);
     }
 }
