--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,10 +1,10 @@
-//! The clock by which promises are kept.
+//! Monotonic clock and timers that count time in system suspension.
 //!
-//! `std::time::Instant` and the timers of `tokio` stand still while the machine is suspended: a node
-//! that reckons by them takes its lease, its configuration and its callers' deadlines to be younger
-//! than they are by as long as it slept, and acts on them. [`BootInstant`] goes on. Timers only wake:
-//! [`sleep`], [`sleep_until`] and [`timeout_at`] look at the clock every [`LOOK_INTERVAL`], so that
-//! what fell due during a suspension is noticed as soon after it.
+//! `std::time::Instant` and the timers of `tokio` do not advance while the machine is suspended. A node
+//! that relied on them would, after a suspension, act on a lease, a configuration or a caller's
+//! deadline that has already expired. [`BootInstant`] advances during a suspension. [`sleep`],
+//! [`sleep_until`] and [`timeout_at`] check it at least every [`CHECK_INTERVAL`], so that they notice an
+//! expiry that soon after the machine resumes.
 
 use std::future::Future;
 use std::ops::{Add, Sub};
@@ -12,30 +12,30 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// How late what fell due during a suspension may be noticed: half of the slack that callers' answers
-/// have after their time limit (0.5 s).
-pub const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum delay after a resume until a timer that expired during the suspension fires. Half of the
+/// 0.5 s that an answer may arrive after the caller's time limit.
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A moment on the clock that counts from the machine's start, suspensions included.
+/// A point in time on the clock that counts from system boot, including suspensions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// The present moment.
+    /// The current time.
     pub fn now() -> Self {
-        // Every Linux since 2.6.39 has the clock; without it the monotonic one is the best there is.
-        let read = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        let read = read.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
-        let time = read.map_or(Duration::ZERO, Duration::from);
+        // Linux has the clock since 2.6.39; the fallback excludes suspensions.
+        let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+        let time = time.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
+        let time = time.map_or(Duration::ZERO, Duration::from);
         Self(time + suspended())
     }
 
-    /// Time passed since this moment.
+    /// Time elapsed since this point.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// Time passed since `earlier`; zero if that lies later.
+    /// Time elapsed since `earlier`; zero if `earlier` is later.
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -57,37 +57,40 @@
     }
 }
 
-/// The time is over.
+/// The time limit passed before the future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TimeOver;
+pub struct TimedOut;
 
-/// Waits until `due`.
-pub async fn sleep_until(due: BootInstant) {
+/// Waits until `deadline`.
+pub async fn sleep_until(deadline: BootInstant) {
     loop {
-        let left = due - BootInstant::now();
-        if left.is_zero() {
+        let remaining = deadline - BootInstant::now();
+        if remaining.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(LOOK_INTERVAL)).await;
+        tokio::time::sleep(remaining.min(CHECK_INTERVAL)).await;
     }
 }
 
-/// Waits for `duration`, of which a suspension is part.
+/// Waits for `duration`, counting time in suspension.
 pub async fn sleep(duration: Duration) {
     sleep_until(BootInstant::now() + duration).await;
 }
 
-/// What `future` yields, unless `due` comes first.
-pub async fn timeout_at<F: Future>(due: BootInstant, future: F) -> Result<F::Output, TimeOver> {
+/// Awaits `future`, or fails at `deadline` if it has not completed.
+pub async fn timeout_at<F: Future>(
+    deadline: BootInstant,
+    future: F,
+) -> Result<F::Output, TimedOut> {
     tokio::select! {
         biased;
         output = future => Ok(output),
-        () = sleep_until(due) => Err(TimeOver),
+        () = sleep_until(deadline) => Err(TimedOut),
     }
 }
 
-/// The same for a time from now on.
-pub async fn timeout<F: Future>(duration: Duration, future: F) -> Result<F::Output, TimeOver> {
+/// Awaits `future`, or fails after `duration` if it has not completed.
+pub async fn timeout<F: Future>(duration: Duration, future: F) -> Result<F::Output, TimedOut> {
     timeout_at(BootInstant::now() + duration, future).await
 }
 
@@ -99,7 +102,7 @@
 #[cfg(feature = "test-util")]
 use test_util::suspended;
 
-/// Suspends the machine of a test.
+/// Simulates suspensions in tests.
 #[cfg(feature = "test-util")]
 pub mod test_util {
     use std::cell::Cell;
@@ -109,13 +112,13 @@
         static SUSPENDED: Cell<Duration> = const { Cell::new(Duration::ZERO) };
     }
 
-    /// Has this thread find that the machine was suspended just now for `duration`: the boot clock went
-    /// on, timers and `Instant` did not.
+    /// Simulates, for this thread, a suspension of `duration`: the boot clock advances, timers and
+    /// `Instant` do not.
     pub fn suspend(duration: Duration) {
         SUSPENDED.set(SUSPENDED.get() + duration);
     }
 
-    /// For how long the machine of this thread was suspended in all.
+    /// Total time of the simulated suspensions of this thread.
     pub(crate) fn suspended() -> Duration {
         SUSPENDED.get()
     }
