--- a/crates/peer-seal/src/lib.rs
+++ b/crates/peer-seal/src/lib.rs
@@ -1,37 +1,38 @@
-//! Authentication of what nodes send each other.
+//! Authentication of messages between nodes.
 //!
-//! Whoever can write to a node's peer port could otherwise publish a load digest, a drain mark or
-//! a configuration. Each datagram and frame carries a tag made with a key that only the nodes
-//! know. The tag does not hide anything and does not stop a replay; replays change nothing, since
-//! records are versioned and members carry incarnations.
+//! Each datagram and frame carries an authentication tag made with a key that only the nodes know.
+//! Without it, anyone who can reach a node's peer port could publish load digests, drain marks or a
+//! configuration. Messages are not encrypted, and replays are not rejected; a replay has no effect,
+//! since records are versioned and members carry incarnations.
 
 use subtle::ConstantTimeEq as _;
 
-/// Bytes of a tag: a forger has one chance in 2^128.
+/// Length of a tag in bytes. A guessed tag is valid with probability 2^-128.
 pub const TAG_BYTES: usize = 16;
 
-/// Domain of the key that is derived from the configured secret.
+/// Context string for deriving the key from the configured secret.
 const KEY_CONTEXT: &str = "dalestand 1 peer seal";
 
-/// Why a message was not opened.
+/// Why a message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SealError {
-    /// It is shorter than a tag.
-    #[error("the message is shorter than its tag")]
+    /// The message is shorter than a tag.
+    #[error("the message is shorter than an authentication tag")]
     TooShort,
-    /// Its tag was not made with the nodes' key.
-    #[error("the message's tag does not match the nodes' key")]
+    /// The tag does not match the message and the nodes' key.
+    #[error("the authentication tag does not match the message and the nodes' key")]
     WrongTag,
 }
 
-/// Seals and opens messages between nodes.
+/// Adds and verifies the tags of messages between nodes.
 #[derive(Clone)]
 pub struct PeerSeal {
     key: Option<[u8; blake3::KEY_LEN]>,
 }
 
 impl PeerSeal {
-    /// A seal with the nodes' secret; without one, messages carry no tag.
+    /// Creates a seal from the nodes' shared secret. Without a secret, messages carry no tag and all are
+    /// accepted.
     pub fn new(secret: Option<&str>) -> Self {
         let derive = |secret: &str| blake3::derive_key(KEY_CONTEXT, secret.as_bytes());
         Self {
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Bytes that sealing adds to a message.
+    /// Number of bytes that sealing adds to a message.
     pub fn overhead(&self) -> usize {
         if self.key.is_some() { TAG_BYTES } else { 0 }
     }
 
-    /// Adds the tag to the end of a message.
+    /// Appends the tag to a message.
     pub fn seal(&self, message: &mut Vec<u8>) {
         if let Some(key) = &self.key {
             let tag = tag(key, message);
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Yields the message without its tag, if the tag is right.
+    /// Verifies the tag and returns the message without it.
     pub fn open<'m>(&self, sealed: &'m [u8]) -> Result<&'m [u8], SealError> {
         let Some(key) = &self.key else {
             return Ok(sealed);
@@ -61,8 +62,8 @@
             .len()
             .checked_sub(TAG_BYTES)
             .ok_or(SealError::TooShort)?;
-        let (message, shown) = sealed.split_at(length);
-        let matches: bool = tag(key, message).ct_eq(shown).into();
+        let (message, received_tag) = sealed.split_at(length);
+        let matches: bool = tag(key, message).ct_eq(received_tag).into();
         if matches {
             Ok(message)
         } else {
--- a/crates/peer-seal/tests/seal.rs
+++ b/crates/peer-seal/tests/seal.rs
@@ -1,4 +1,4 @@
-//! Only messages sealed with the nodes' key are opened, and only unchanged.
+//! Only unchanged messages that were sealed with the nodes' key are accepted.
 
 use dalestand_peer_seal::{PeerSeal, SealError};
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn what_was_sealed_is_opened_unchanged(message: Vec<u8>, secret: Option<String>) {
+    fn a_sealed_message_is_opened_unchanged(message: Vec<u8>, secret: Option<String>) {
         let seal = PeerSeal::new(secret.as_deref());
         let mut sealed = message.clone();
         seal.seal(&mut sealed);
@@ -25,12 +25,12 @@
     }
 
     #[test]
-    fn a_changed_byte_is_found(message: Vec<u8>, place: prop::sample::Index, change in 1_u8..) {
+    fn a_changed_byte_is_detected(message: Vec<u8>, position: prop::sample::Index, change in 1_u8..) {
         let seal = PeerSeal::new(Some("the nodes' secret"));
         let mut sealed = message;
         seal.seal(&mut sealed);
-        let place = place.index(sealed.len());
-        sealed[place] ^= change;
+        let position = position.index(sealed.len());
+        sealed[position] ^= change;
         prop_assert_eq!(seal.open(&sealed), Err(SealError::WrongTag));
     }
 
