--- a/crates/edge/src/engine.rs
+++ b/crates/edge/src/engine.rs
@@ -25,7 +25,7 @@
     #[error("the engine rejected the request: {0}")]
     Rejected(String),
     /// The request was sent and no usable answer came: it may have run.
-    #[error("the engine's answer broke off: {0}")]
+    #[error("the engine did not complete its answer: {0}")]
     BrokenOff(String),
     /// A frame could not be parsed; the request may have run.
     #[error("the engine sent a malformed frame: {0}")]
--- a/crates/gateway/src/resolved_request.rs
+++ b/crates/gateway/src/resolved_request.rs
@@ -131,8 +131,8 @@
         let mut route = RouteRequest::new(target.model, zone, prompt_tokens, max_tokens);
         route.adapter = target.adapter;
         route.blocks = prompt_blocks(&original.prompt);
-        // An at-most-once request runs on a single engine, whose record of once keys then suffices to
-        // detect a second run.
+        // An at-most-once request runs on a single engine, so that this engine's record of the request
+        // suffices to prevent a second run.
         route.may_split = repeatable;
         route.deadlines = policy.deadlines;
         route.priority = policy.priority;
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -132,7 +132,7 @@
         (fixture.shared.in_flight() == 0).then_some(())
     })
     .await;
-    // The next request on the same node gets its own answer whole.
+    // The next request on the same node gets its own complete answer.
     let reply = fixture.post(PATH, &body(model, false), &[]).await;
     let expected = expected_text(model, "a plate", TOKENS);
     assert_eq!(reply.json()["choices"][0]["text"], expected);
