--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,17 +1,17 @@
-//! Routes of opaque requests: which pool serves a host and path, and on what terms.
+//! Routes by host and path, the engine pools that serve them, and the tenants that may use them.
 //!
-//! A [`RouteFile`] is what an operator declares; a [`RouteTable`] is the checked form that requests
-//! are looked up in. A table never changes: a newer version is another table.
+//! A [`RouteFile`] is the declaration that an operator writes. A [`RouteTable`] is its validated,
+//! immutable form, in which requests are looked up; a newer declaration makes a new table.
 
 mod file;
-mod split;
 mod table;
 mod tenant;
+mod weighted_round_robin;
 
 pub use file::{
-    CallerBounds, PoolTerms, PromptEngineTerms, RouteFile, RouteKind, RouteTerms, ScalingTerms,
+    CallerLimits, PoolConfig, PromptEngineConfig, RouteConfig, RouteFile, RouteKind, ScalingConfig,
     WeightedPool,
 };
-pub use split::SplitPicker;
-pub use table::{RouteFault, RouteTable};
-pub use tenant::{ApiKey, Caller, PresentedKey, Tenant, TenantTerms, Unauthorized};
+pub use table::{RouteFileError, RouteTable};
+pub use tenant::{ApiKey, Caller, PresentedKey, Tenant, TenantConfig, Unauthorized};
+pub use weighted_round_robin::WeightedRoundRobin;
