--- a/cmd/src/bin/dalestand-standin.rs
+++ b/cmd/src/bin/dalestand-standin.rs
@@ -144,8 +144,8 @@
         incarnation: Incarnation(optional(matches, "incarnation")?.unwrap_or(1)),
         role: Role::Mixed,
         batch: batch_settings(matches)?,
-        role_change: Duration::from_millis(role_change_ms),
-        load: Duration::from_millis(optional(matches, "load-ms")?.unwrap_or(0)),
+        role_change_time: Duration::from_millis(role_change_ms),
+        load_time: Duration::from_millis(optional(matches, "load-ms")?.unwrap_or(0)),
         log_to_stdout: matches.opt_present("log-stdout"),
     })
 }
--- a/cmd/src/dev.rs
+++ b/cmd/src/dev.rs
@@ -198,8 +198,8 @@
         incarnation: Incarnation(1),
         role: Role::Mixed,
         batch: BatchSettings::default(),
-        role_change: ROLE_CHANGE,
-        load: LOAD,
+        role_change_time: ROLE_CHANGE,
+        load_time: LOAD,
         log_to_stdout: false,
     };
     start_standin(move |listener| drop(actix_rt::spawn(serve_engine(listener, settings))))
--- a/cmd/tests/soak.rs
+++ b/cmd/tests/soak.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use dalestand_soak::run::{CallerLoad, RunTerms, play};
+use dalestand_soak::run::{CallerLoad, RunConfig, execute};
 use dalestand_soak::schedule::{FAULT_KINDS, FaultKind};
 use rstest::rstest;
 
@@ -67,7 +67,7 @@
 
 fn breaks_nothing(seed: u64, kinds: &[FaultKind], load: CallerLoad) {
     let folder = std::env::temp_dir().join(format!("dalestand-soak-{}", std::process::id()));
-    let terms = RunTerms {
+    let config = RunConfig {
         seed,
         kinds: kinds.to_vec(),
         load,
@@ -75,17 +75,17 @@
         nodes: 3,
         engines: 6,
         program: env!("CARGO_BIN_EXE_dalestand").into(),
-        beside: None,
+        alternate_program: None,
         folder: folder.join(format!("seed-{seed}")),
     };
-    let report = play(&terms).expect("a run");
+    let report = execute(&config).expect("a run");
     assert!(!report.history.tries.is_empty());
     assert!(
         report.violations.is_empty(),
         "logs in {}: {:#?}",
-        terms.folder.display(),
+        config.folder.display(),
         report.violations
     );
     // What ran without a violation needs no logs; what cannot be removed stays in the system's folder.
-    let _ = std::fs::remove_dir_all(&terms.folder);
+    let _ = std::fs::remove_dir_all(&config.folder);
 }
--- a/crates/control/tests/late_answers.rs
+++ b/crates/control/tests/late_answers.rs
@@ -6,7 +6,7 @@
 use dalestand_control::{
     Action, DesiredEngine, DesiredModel, EngineCall, GroupController, LeaseGrant,
 };
-use dalestand_standin::engine::OrderBook;
+use dalestand_standin::engine::EngineOrderState;
 use dalestand_types::{
     EngineId, Epoch, GroupId, Incarnation, ModelName, MonotonicTime, Revision, Role, Version,
 };
@@ -55,7 +55,7 @@
 #[test]
 fn a_late_answer_does_not_complete_a_pending_order() {
     let mut controller = controller();
-    let mut engine = OrderBook::new(Incarnation(1), Role::Mixed);
+    let mut engine = EngineOrderState::new(Incarnation(1), Role::Mixed);
     let first = only_call(&controller.tick(MonotonicTime::ZERO));
     controller.engine_failed(MonotonicTime::ZERO, &first);
     let second = only_call(&controller.tick(LATER));
--- a/crates/control/tests/model/faults.rs
+++ b/crates/control/tests/model/faults.rs
@@ -1,6 +1,6 @@
 //! Faults and hand-overs: lost, delayed and duplicate messages, restarts of engines.
 
-use dalestand_standin::engine::OrderBook;
+use dalestand_standin::engine::EngineOrderState;
 use dalestand_types::Role;
 
 use super::key_value::LEASE;
@@ -91,7 +91,7 @@
 
     pub(super) fn restart(&mut self, engine: usize) {
         let incarnation = self.engines[engine].state().incarnation.next();
-        self.engines[engine] = OrderBook::new(incarnation, Role::Mixed);
+        self.engines[engine] = EngineOrderState::new(incarnation, Role::Mixed);
     }
 
     pub(super) fn hand_over(&mut self, holder: usize) {
--- a/crates/control/tests/model/services.rs
+++ b/crates/control/tests/model/services.rs
@@ -15,7 +15,7 @@
         let outcome = match request {
             EngineRequest::ReadOrders => return Answer::Read(call, before),
             EngineRequest::RaiseEpoch => self.engines[index].raise_epoch(call.epoch),
-            EngineRequest::SendOrder(order) => self.engines[index].take(order),
+            EngineRequest::SendOrder(order) => self.engines[index].submit(order),
         };
         let after = outcome.state();
         if let EngineRequest::SendOrder(order) = request
--- a/crates/control/tests/model/world.rs
+++ b/crates/control/tests/model/world.rs
@@ -8,7 +8,7 @@
 use dalestand_history::{
     EngineLogEntry, EngineLogLine, Event, History, OrderLogEntry, RecordedEvent,
 };
-use dalestand_standin::engine::OrderBook;
+use dalestand_standin::engine::EngineOrderState;
 use dalestand_types::{
     EngineId, GroupId, Incarnation, MonotonicTime, Order, OrderPhase, Revision, Role,
 };
@@ -69,7 +69,7 @@
     pub(super) now: MonotonicTime,
     pub(super) key_value: KeyValueModel,
     pub(super) holders: Vec<Holder>,
-    pub(super) engines: Vec<OrderBook>,
+    pub(super) engines: Vec<EngineOrderState>,
     pub(super) network: Vec<Sent>,
     pub(super) late: Vec<Sent>,
     pub(super) history: History,
@@ -99,7 +99,7 @@
             key_value: KeyValueModel::default(),
             holders: (0..HOLDERS).map(holder).collect(),
             engines: (0..ENGINES)
-                .map(|_| OrderBook::new(Incarnation(1), Role::Mixed))
+                .map(|_| EngineOrderState::new(Incarnation(1), Role::Mixed))
                 .collect(),
             network: Vec::new(),
             late: Vec::new(),
@@ -173,7 +173,11 @@
             }
             self.check_changes_at_once();
         }
-        let roles: Vec<_> = self.engines.iter().map(|book| book.state().role).collect();
+        let roles: Vec<_> = self
+            .engines
+            .iter()
+            .map(|engine| engine.state().role)
+            .collect();
         assert_eq!(
             roles,
             vec![Some(self.role); ENGINES],
@@ -210,11 +214,11 @@
     }
 
     pub(super) fn report(&mut self, holder: usize, at: MonotonicTime) {
-        for (index, book) in self.engines.iter().enumerate() {
-            let state = book.state();
+        for (index, engine) in self.engines.iter().enumerate() {
+            let state = engine.state();
             let report = EngineObservation {
                 incarnation: state.incarnation,
-                role: state.role.filter(|_| !book.changes_role()),
+                role: state.role.filter(|_| !engine.is_changing_role()),
                 requests: 0,
             };
             let controller = &mut self.holders[holder].controller;
@@ -337,7 +341,10 @@
     }
 
     pub(super) fn check_changes_at_once(&self) {
-        let changing = self.engines.iter().filter(|book| book.changes_role());
+        let changing = self
+            .engines
+            .iter()
+            .filter(|engine| engine.is_changing_role());
         assert!(changing.count() <= MAX_CHANGES, "too many role changes");
     }
 }
--- a/crates/control/tests/orders_in_doubt.rs
+++ b/crates/control/tests/orders_in_doubt.rs
@@ -7,7 +7,7 @@
 use dalestand_control::{
     Action, DesiredEngine, DesiredModel, EngineCall, EngineObservation, GroupController, LeaseGrant,
 };
-use dalestand_standin::engine::OrderBook;
+use dalestand_standin::engine::EngineOrderState;
 use dalestand_types::{
     EngineId, Epoch, GroupId, Incarnation, ModelName, MonotonicTime, Order, OrderCommand, Revision,
     Role, Version,
@@ -27,14 +27,14 @@
 struct Holder {
     now: MonotonicTime,
     controller: GroupController,
-    engines: BTreeMap<EngineId, OrderBook>,
+    engines: BTreeMap<EngineId, EngineOrderState>,
 }
 
 impl Holder {
     fn new() -> Self {
         let now = MonotonicTime::ZERO;
-        let book = || OrderBook::new(INCARNATION, Role::Mixed);
-        let engines = ["e1", "e2"].map(|name| (EngineId::from(name), book()));
+        let initial_state = || EngineOrderState::new(INCARNATION, Role::Mixed);
+        let engines = ["e1", "e2"].map(|name| (EngineId::from(name), initial_state()));
         let mut holder = Self {
             now,
             controller: GroupController::new(GroupId::from("g"), now),
@@ -87,8 +87,8 @@
             match action {
                 Action::SendOrder { call, order } => orders.push((call, order)),
                 Action::RaiseEpoch { call } => {
-                    let book = self.engines.get_mut(&call.engine).expect("an engine");
-                    let answer = book.raise_epoch(call.epoch);
+                    let engine = self.engines.get_mut(&call.engine).expect("an engine");
+                    let answer = engine.raise_epoch(call.epoch);
                     self.controller.engine_answered(self.now, &call, &answer);
                 }
                 other => others.push(other),
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -250,8 +250,8 @@
             capacity: options.capacity,
             ..BatchSettings::default()
         },
-        role_change: Duration::from_millis(1),
-        load: Duration::ZERO,
+        role_change_time: Duration::from_millis(1),
+        load_time: Duration::ZERO,
         log_to_stdout: false,
     };
     actix_rt::spawn(serve_engine(listener, settings));
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -23,7 +23,7 @@
 pub use faults::EngineFaults;
 pub use lagged::Lagged;
 pub use log::{OrderLogEntry, RunLogEntry, RunLogEvent};
-pub use orders::OrderBook;
+pub use orders::EngineOrderState;
 pub use prefix_cache::{BLOCK_TOKENS, PrefixCache, prefixes};
 pub use server::serve_engine;
 pub use state::EngineSettings;
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,17 +1,17 @@
-//! The engine's side of the order protocol. Pure: the server drives it.
+//! Engine side of the order protocol, without I/O.
 
 use dalestand_types::{
     AdapterName, EngineOrders, Epoch, Incarnation, LoadedModel, ModelName, Order, OrderCommand,
     OrderOutcome, OrderPhase, OrderStatus, Role, Version,
 };
 
-/// Order state of one run of an engine.
-pub struct OrderBook {
+/// Order state of one engine incarnation.
+pub struct EngineOrderState {
     state: EngineOrders,
 }
 
-impl OrderBook {
-    /// A fresh run: no epoch seen, no order taken.
+impl EngineOrderState {
+    /// Creates the state of a new incarnation, which has seen no epoch and accepted no order.
     pub fn new(incarnation: Incarnation, role: Role) -> Self {
         let state = EngineOrders {
             incarnation,
@@ -23,12 +23,12 @@
         Self { state }
     }
 
-    /// The state as senders read it.
+    /// The state reported to senders.
     pub fn state(&self) -> &EngineOrders {
         &self.state
     }
 
-    /// Raises the highest epoch seen.
+    /// Raises the highest epoch seen; fenced if `epoch` is lower.
     pub fn raise_epoch(&mut self, epoch: Epoch) -> OrderOutcome {
         if epoch < self.state.highest_epoch {
             return OrderOutcome::Fenced {
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Takes an order, or says why not.
-    pub fn take(&mut self, order: &Order) -> OrderOutcome {
+    /// Accepts an order or reports why it is rejected. An order equal to the last one is accepted
+    /// again without effect.
+    pub fn submit(&mut self, order: &Order) -> OrderOutcome {
         if order.id.epoch < self.state.highest_epoch {
             return OrderOutcome::Fenced {
                 state: self.state.clone(),
@@ -70,7 +71,7 @@
                 state: self.state.clone(),
             };
         }
-        if let Some(reason) = self.impossible(&order.command) {
+        if let Some(reason) = self.impossibility(&order.command) {
             return OrderOutcome::Impossible {
                 state: self.state.clone(),
                 reason,
@@ -86,12 +87,12 @@
         }
     }
 
-    /// Takes the engine out of service for a role change.
+    /// Leaves the current role, so that the engine serves nothing during the role change.
     pub fn leave_service(&mut self) {
         self.state.role = None;
     }
 
-    /// Finishes the running order.
+    /// Marks the running order as done and applies its effect.
     pub fn finish(&mut self) {
         let Some(last) = &mut self.state.last else {
             return;
@@ -101,22 +102,22 @@
         self.apply(command);
     }
 
-    /// Whether the engine drains or is out of service.
-    pub fn changes_role(&self) -> bool {
+    /// Whether a role change is running: the engine is draining or out of service.
+    pub fn is_changing_role(&self) -> bool {
         self.state.last.as_ref().is_some_and(|last| {
             last.phase == OrderPhase::Running
                 && matches!(last.order.command, OrderCommand::AssumeRole { .. })
         })
     }
 
-    /// Whether a model, with an adapter where named, is loaded.
+    /// Whether `model` is loaded, with `adapter` if one is given.
     pub fn serves(&self, model: &ModelName, adapter: Option<&AdapterName>) -> bool {
         self.state.models.iter().any(|loaded| {
             loaded.model == *model && adapter.is_none_or(|name| loaded.adapters.contains(name))
         })
     }
 
-    fn impossible(&self, command: &OrderCommand) -> Option<String> {
+    fn impossibility(&self, command: &OrderCommand) -> Option<String> {
         let OrderCommand::LoadAdapter { model, .. } = command else {
             return None;
         };
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -88,7 +88,7 @@
         match &order.command {
             OrderCommand::AssumeRole { .. } => change_role(&engine).await,
             OrderCommand::LoadModel { .. } | OrderCommand::LoadAdapter { .. } => {
-                actix_rt::time::sleep(engine.settings.load).await;
+                actix_rt::time::sleep(engine.settings.load_time).await;
             }
             OrderCommand::UnloadModel { .. } | OrderCommand::UnloadAdapter { .. } => {}
         }
@@ -114,7 +114,7 @@
     if engine.faults.borrow().crash_in_role_change {
         std::process::abort();
     }
-    actix_rt::time::sleep(engine.settings.role_change).await;
+    actix_rt::time::sleep(engine.settings.role_change_time).await;
 }
 
 async fn answer(engine: Rc<Engine>, mut request: Request) -> Answer {
@@ -175,7 +175,7 @@
         .last
         .clone()
         .map(|last| last.order.id);
-    let outcome = engine.orders.borrow_mut().take(order);
+    let outcome = engine.orders.borrow_mut().submit(order);
     let at_micros = engine.at_micros();
     let accepted = matches!(outcome, OrderOutcome::Accepted { .. });
     if !accepted {
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -15,7 +15,7 @@
 use super::faults::EngineFaults;
 use super::lagged::Lagged;
 use super::log::{EngineLogs, RunLogEntry, RunLogEvent};
-use super::orders::OrderBook;
+use super::orders::EngineOrderState;
 use super::outgoing::Outgoing;
 
 /// Settings of one engine.
@@ -30,9 +30,9 @@
     /// Costs and bounds of the batch.
     pub batch: BatchSettings,
     /// How long a role change takes once the engine is empty.
-    pub role_change: Duration,
+    pub role_change_time: Duration,
     /// How long a load of a model or an adapter takes.
-    pub load: Duration,
+    pub load_time: Duration,
     /// Whether log entries are also printed, a JSON object a line.
     pub log_to_stdout: bool,
 }
@@ -42,7 +42,7 @@
     pub(super) settings: EngineSettings,
     pub(super) started: Instant,
     pub(super) batch: RefCell<Batch>,
-    pub(super) orders: RefCell<OrderBook>,
+    pub(super) orders: RefCell<EngineOrderState>,
     pub(super) streams: RefCell<HashMap<AttemptId, Outgoing>>,
     pub(super) attempts: RefCell<HashSet<AttemptId>>,
     pub(super) once_keys: RefCell<HashSet<String>>,
@@ -61,7 +61,7 @@
         Self {
             started: Instant::now(),
             batch: RefCell::new(Batch::new(settings.batch.clone())),
-            orders: RefCell::new(OrderBook::new(settings.incarnation, settings.role)),
+            orders: RefCell::new(EngineOrderState::new(settings.incarnation, settings.role)),
             streams: RefCell::default(),
             attempts: RefCell::default(),
             once_keys: RefCell::default(),
@@ -142,7 +142,7 @@
         let Some(role) = orders.state().role else {
             return Some(RefusalReason::OutOfService);
         };
-        if orders.changes_role() {
+        if orders.is_changing_role() {
             return Some(RefusalReason::OutOfService);
         }
         let needs_prefill = request.import_from.is_none();
@@ -178,7 +178,7 @@
             engine: self.settings.engine.clone(),
             incarnation: self.settings.incarnation,
             sequence: Sequence(*reports),
-            role: if orders.changes_role() {
+            role: if orders.is_changing_role() {
                 None
             } else {
                 orders.state().role
