--- a/crates/standin/src/engine/batch.rs
+++ b/crates/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! Continuous batching. Pure: steps come from outside, frames go out as values.
+//! Continuous batching, without I/O: the caller runs the steps and sends the frames they return.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,25 +8,25 @@
     AttemptId, FinishReason, GenerationFrame, GenerationRequest, RequestId, Usage,
 };
 
-use super::prefix_cache::{PrefixCache, prefixes};
+use super::prefix_cache::{PrefixCache, prefix_hashes};
 use super::text;
 
-/// Costs and bounds of the batch.
+/// Step costs and limits of the batch.
 #[derive(Clone, Debug)]
 pub struct BatchSettings {
-    /// Most requests held, running and waiting.
+    /// Maximum number of requests, running and waiting.
     pub capacity: u32,
-    /// Most requests generated at once.
+    /// Maximum number of running requests.
     pub max_running: u32,
-    /// Time of a step without any work in it.
+    /// Base time of a step.
     pub step: Duration,
-    /// Added time for each running request.
+    /// Additional time per running request.
     pub step_per_request: Duration,
-    /// Added time for each prompt token run in the step.
+    /// Additional time per prompt token prefilled in the step.
     pub prefill_per_token: Duration,
-    /// Most prompt tokens run in one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u32,
-    /// Prefix cache, in tokens.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u64,
 }
 
@@ -44,38 +44,38 @@
     }
 }
 
-/// A request within the batch.
+/// A request in the batch.
 struct Sequence {
     request: GenerationRequest,
     seed: [u8; 32],
     prompt_tokens: u32,
     cached_tokens: u32,
     prefixes: Vec<PrefixHash>,
-    prefill_left: u32,
+    remaining_prefill: u32,
     position: u32,
 }
 
-/// What a step did to one attempt.
+/// Result of a step for one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StepOutput {
     /// The caller's request.
     pub request: RequestId,
-    /// Key under which it may run once.
+    /// Idempotency key: the engine runs at most one attempt with it.
     pub once_key: Option<String>,
     /// The frame to send.
     pub frame: GenerationFrame,
 }
 
-/// Counters for load reports.
+/// Cumulative counters for load reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BatchCounters {
-    /// Prompt tokens run.
+    /// Prompt tokens prefilled.
     pub prefill_tokens: u64,
     /// Output tokens generated.
     pub decode_tokens: u64,
 }
 
-/// The requests an engine holds.
+/// The running and waiting requests of an engine.
 pub struct Batch {
     settings: BatchSettings,
     running: Vec<Sequence>,
@@ -85,7 +85,7 @@
 }
 
 impl Batch {
-    /// An empty batch.
+    /// Creates an empty batch.
     pub fn new(settings: BatchSettings) -> Self {
         let counters = BatchCounters::default();
         let cache = PrefixCache::new(settings.cache_tokens);
@@ -98,64 +98,62 @@
         }
     }
 
-    /// Whether another request fits.
-    pub fn has_room(&self) -> bool {
+    /// Whether another request fits under `BatchSettings::capacity`.
+    pub fn has_capacity(&self) -> bool {
         self.len() < self.settings.capacity as usize
     }
 
-    /// Whether nothing is held.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Requests held.
+    /// Number of running and waiting requests.
     pub fn len(&self) -> usize {
         self.running.len() + self.waiting.len()
     }
 
-    /// Requests being generated.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Requests not started.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Prompt tokens accepted and not yet run.
+    /// Prompt tokens of accepted requests that are not yet prefilled.
     pub fn queued_prefill_tokens(&self) -> u64 {
         let sequences = self.running.iter().chain(&self.waiting);
         sequences
-            .map(|sequence| u64::from(sequence.prefill_left))
+            .map(|sequence| u64::from(sequence.remaining_prefill))
             .sum()
     }
 
-    /// Counters since the start.
+    /// Counters since the engine started.
     pub fn counters(&self) -> BatchCounters {
         self.counters
     }
 
-    /// The prefix cache.
     pub fn cache(&self) -> &PrefixCache {
         &self.cache
     }
 
-    /// The prefix cache, for faults.
+    /// Mutable access to the prefix cache, for fault injection.
     pub fn cache_mut(&mut self) -> &mut PrefixCache {
         &mut self.cache
     }
 
-    /// Adds a request; higher priorities stand before lower ones. The prompt of one whose KV cache
-    /// was imported is not run again, nor is the part that the prefix cache holds.
+    /// Queues a request behind those of the same or a higher priority. Prefill is skipped for a
+    /// request with an imported KV cache, and for the part of a prompt in the prefix cache.
     pub fn add(&mut self, request: GenerationRequest) {
         let prompt_tokens = text::count_tokens(&request.prompt);
-        let prefixes = prefixes(request.model.as_str(), &request.prompt);
+        let prefixes = prefix_hashes(request.model.as_str(), &request.prompt);
         let cached_tokens = self.cache.find(&prefixes);
         let sequence = Sequence {
             seed: text::seed(request.model.as_str(), &request.prompt),
             prompt_tokens,
-            prefill_left: if request.import_from.is_some() {
+            remaining_prefill: if request.import_from.is_some() {
                 0
             } else {
                 prompt_tokens - cached_tokens
@@ -166,36 +164,37 @@
             request,
         };
         let priority = sequence.request.priority;
-        let place = self
+        let index = self
             .waiting
             .iter()
             .position(|other| other.request.priority < priority);
         self.waiting
-            .insert(place.unwrap_or(self.waiting.len()), sequence);
+            .insert(index.unwrap_or(self.waiting.len()), sequence);
     }
 
-    /// Removes an attempt; yields its tokens so far if it was held.
+    /// Removes an attempt; returns how many tokens it has generated, or `None` if it is not in the
+    /// batch.
     pub fn remove(&mut self, attempt: AttemptId) -> Option<u32> {
-        if let Some(place) = self
+        if let Some(index) = self
             .waiting
             .iter()
-            .position(|one| one.request.attempt == attempt)
+            .position(|sequence| sequence.request.attempt == attempt)
         {
-            return self.waiting.remove(place).map(|sequence| sequence.position);
+            return self.waiting.remove(index).map(|sequence| sequence.position);
         }
-        let place = self
+        let index = self
             .running
             .iter()
-            .position(|one| one.request.attempt == attempt)?;
-        Some(self.running.remove(place).position)
+            .position(|sequence| sequence.request.attempt == attempt)?;
+        Some(self.running.remove(index).position)
     }
 
-    /// How long the coming step takes.
+    /// Duration of the next step.
     pub fn step_duration(&self) -> Duration {
         let prefill: u32 = self
             .running
             .iter()
-            .map(|sequence| sequence.prefill_left)
+            .map(|sequence| sequence.remaining_prefill)
             .sum();
         let prefill = prefill.min(self.settings.prefill_chunk);
         self.settings.step
@@ -203,7 +202,7 @@
             + self.settings.prefill_per_token * prefill
     }
 
-    /// Admits waiting requests to the running ones.
+    /// Starts waiting requests while fewer than `max_running` run.
     pub fn admit(&mut self) {
         while self.running.len() < self.settings.max_running as usize {
             match self.waiting.pop_front() {
@@ -213,22 +212,22 @@
         }
     }
 
-    /// Runs one step.
+    /// Runs one step and removes the requests that finish in it.
     pub fn step(&mut self) -> Vec<StepOutput> {
         let mut prefill_budget = self.settings.prefill_chunk;
         let mut outputs = Vec::with_capacity(self.running.len());
         let mut counters = self.counters;
         self.running.retain_mut(|sequence| {
-            if sequence.prefill_left > 0 {
-                let run = sequence.prefill_left.min(prefill_budget);
-                sequence.prefill_left -= run;
-                prefill_budget -= run;
-                counters.prefill_tokens += u64::from(run);
-                if sequence.prefill_left > 0 {
+            if sequence.remaining_prefill > 0 {
+                let chunk = sequence.remaining_prefill.min(prefill_budget);
+                sequence.remaining_prefill -= chunk;
+                prefill_budget -= chunk;
+                counters.prefill_tokens += u64::from(chunk);
+                if sequence.remaining_prefill > 0 {
                     return true;
                 }
             }
-            // Held once; a later call finds nothing to hold.
+            // Taken, so that later steps of the sequence store nothing.
             self.cache.store(&std::mem::take(&mut sequence.prefixes));
             let frame = sequence.next_frame();
             let finished = frame.is_last();
--- a/crates/standin/src/engine/faults.rs
+++ b/crates/standin/src/engine/faults.rs
@@ -1,43 +1,43 @@
-//! Faults of the engine stand-in.
+//! Faults of the simulated engine.
 
 use serde::{Deserialize, Serialize};
 
-/// Faults of the stand-in; `POST /faults` replaces them all.
+/// Faults to inject; `POST /faults` replaces the whole set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// The process ends as soon as the next role change has begun.
+    /// The process aborts once the next role change has drained the engine.
     pub crash_in_role_change: bool,
-    /// This many coming orders take effect and their answers are lost.
+    /// Number of orders still to take effect without a response.
     pub lose_order_answers: u32,
-    /// This many coming requests are accepted and their connections then break.
+    /// Number of requests still to lose their connection right after being accepted.
     pub break_after_accept: u32,
-    /// A role change does not wait for the requests that run: it cuts them.
+    /// A role change closes the streams of running requests instead of waiting for them.
     pub abrupt_role_change: bool,
-    /// This many coming requests break off within their answer.
+    /// Number of requests still to lose their connection within the response.
     pub break_in_answer: u32,
-    /// Tokens that a request sends before it breaks off within its answer.
+    /// Tokens sent before a response selected by `break_in_answer` is cut.
     pub break_at_token: u32,
-    /// This many coming frames cannot be read.
+    /// Number of malformed lines still to send, each before a frame.
     pub malformed_frames: u32,
-    /// Each frame is sent twice.
+    /// Every frame is sent twice.
     pub duplicate_frames: bool,
-    /// Each second frame overtakes the one before it.
+    /// Frames are sent in swapped pairs, except at the end of a response.
     pub reorder_frames: bool,
-    /// Each frame is followed by one of another attempt.
+    /// Every frame is followed by a frame of another attempt.
     pub foreign_frames: bool,
-    /// Load reports are answered this long after they were made, in milliseconds.
+    /// Age at which a load report becomes visible, in milliseconds.
     pub load_lag_ms: u64,
-    /// Cache events are answered this long after they happened, in milliseconds.
+    /// Age at which a cache event becomes visible, in milliseconds.
     pub cache_event_lag_ms: u64,
-    /// This many coming requests for cache events lose the newest event.
+    /// Number of cache event queries still to drop the newest event.
     pub lose_cache_events: u32,
-    /// This many coming prompts are run and their KV caches are not held.
+    /// Number of prefilled prompts whose KV cache is still to be dropped instead of exported.
     pub forget_exports: u32,
 }
 
-/// Takes one from a count of coming faults; whether there was one.
-pub(super) fn take_count(count: &mut u32) -> bool {
+/// Decrements a count of remaining faults; returns whether it was above zero.
+pub(super) fn consume_one(count: &mut u32) -> bool {
     if *count == 0 {
         return false;
     }
--- a/crates/standin/src/engine/outgoing.rs
+++ b/crates/standin/src/engine/frame_sender.rs
@@ -1,70 +1,70 @@
-//! Frames of one attempt on their way to the caller, with the faults that may befall them.
+//! Sends the frames of one attempt, with injected faults.
 
 use bytes::Bytes;
 use dalestand_types::{AttemptId, GenerationFrame};
 use tokio::sync::mpsc;
 
-use super::faults::{EngineFaults, take_count};
+use super::faults::{EngineFaults, consume_one};
 
-/// Text of frames that belong to another attempt: no caller may see it.
+/// Text of injected frames of another attempt, which must not reach a caller.
 const FOREIGN_TEXT: &str = "text-of-another-request ";
 
-/// A line that is no frame.
+/// A line that does not decode as a frame.
 const MALFORMED_LINE: &[u8] = b"{\"frame\":\"token\",\"attempt\":3}\n";
 
-/// Where one attempt's frames go.
-pub(super) struct Outgoing {
+/// Sender of one attempt's frames.
+pub(super) struct FrameSender {
     sender: mpsc::UnboundedSender<Bytes>,
     break_at: Option<u32>,
-    overtaken: Option<Bytes>,
+    held_back: Option<Bytes>,
 }
 
-impl Outgoing {
-    /// Sends frames to `sender`; breaks off before the token at `break_at`.
+impl FrameSender {
+    /// Creates a sender that stops before the token at position `break_at`.
     pub(super) fn new(sender: mpsc::UnboundedSender<Bytes>, break_at: Option<u32>) -> Self {
         Self {
             sender,
             break_at,
-            overtaken: None,
+            held_back: None,
         }
     }
 
-    /// Sends a frame; whether more may follow.
+    /// Sends a frame; returns whether the stream stays open.
     pub(super) fn send(&mut self, frame: &GenerationFrame, faults: &mut EngineFaults) -> bool {
         if let (Some(break_at), GenerationFrame::Token { position, .. }) = (self.break_at, frame)
             && *position >= break_at
         {
             return false;
         }
-        if take_count(&mut faults.malformed_frames) {
-            self.put(Bytes::from_static(MALFORMED_LINE));
+        if consume_one(&mut faults.malformed_frames) {
+            self.push(Bytes::from_static(MALFORMED_LINE));
         }
-        let line = line(frame);
-        if faults.reorder_frames && !frame.is_last() && self.overtaken.is_none() {
-            self.overtaken = Some(line);
+        let line = encode_line(frame);
+        if faults.reorder_frames && !frame.is_last() && self.held_back.is_none() {
+            self.held_back = Some(line);
             return true;
         }
-        self.put(line.clone());
+        self.push(line.clone());
         if faults.duplicate_frames {
-            self.put(line);
+            self.push(line);
         }
-        if let Some(overtaken) = self.overtaken.take() {
-            self.put(overtaken);
+        if let Some(held_back) = self.held_back.take() {
+            self.push(held_back);
         }
         if faults.foreign_frames {
-            self.put(foreign_line(frame));
+            self.push(foreign_line(frame));
         }
         !frame.is_last()
     }
 
-    fn put(&self, line: Bytes) {
-        // A receiver that is gone is noticed by its guard, which removes the attempt.
+    fn push(&self, line: Bytes) {
+        // If the receiver is gone, its `AttemptGuard` removes the attempt.
         let _ = self.sender.send(line);
     }
 }
 
-fn line(frame: &GenerationFrame) -> Bytes {
-    // Frames hold text and numbers, which always encode.
+fn encode_line(frame: &GenerationFrame) -> Bytes {
+    // Frames contain only text and numbers, so encoding cannot fail.
     let mut line = serde_json::to_vec(frame).unwrap_or_default();
     line.push(b'\n');
     Bytes::from(line)
@@ -76,7 +76,7 @@
         GenerationFrame::Token { position, .. } => position + 1,
         _ => 0,
     };
-    line(&GenerationFrame::Token {
+    encode_line(&GenerationFrame::Token {
         attempt,
         position,
         text: FOREIGN_TEXT.to_owned(),
--- a/crates/standin/src/engine/generation.rs
+++ b/crates/standin/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! Takes requests into the batch of the engine stand-in, or refuses them.
+//! Accepts requests into the batch of the simulated engine, or rejects them.
 
 use std::rc::Rc;
 
@@ -8,36 +8,36 @@
 use futures_util::stream;
 use tokio::sync::mpsc;
 
-use super::faults::take_count;
+use super::faults::consume_one;
+use super::frame_sender::FrameSender;
 use super::log::RunLogEvent;
-use super::outgoing::Outgoing;
 use super::state::Engine;
 use super::transfer::import;
 
-/// When a refused request may come back, in milliseconds.
-const FULL_RETRY_AFTER_MS: u64 = 250;
+/// Retry delay reported in every rejection, in milliseconds.
+const RETRY_AFTER_MS: u64 = 250;
 
-/// Runs a request; answered by its frames, or by why it is refused.
+/// Responds with the frames of a request, or with the reason for its rejection.
 pub(super) async fn generate(engine: &Rc<Engine>, request: GenerationRequest) -> Answer {
     if let Some(reason) = engine.refusal(&request) {
-        return refuse(reason);
+        return reject(reason);
     }
     if let Some(handle) = request.import_from {
         if import(handle).await.is_none() {
-            return refuse(RefusalReason::CacheNotFound);
+            return reject(RefusalReason::CacheNotFound);
         }
-        // The engine may have left service, or filled up, while the cache was on its way.
+        // The engine may have changed its role or filled up during the import.
         if let Some(reason) = engine.refusal(&request) {
-            return refuse(reason);
+            return reject(reason);
         }
     }
     accept(engine, request)
 }
 
-fn refuse(reason: RefusalReason) -> Answer {
+fn reject(reason: RefusalReason) -> Answer {
     let refusal = Refusal {
         reason,
-        retry_after_ms: FULL_RETRY_AFTER_MS,
+        retry_after_ms: RETRY_AFTER_MS,
     };
     let status = match reason {
         RefusalReason::Full => StatusCode::TOO_MANY_REQUESTS,
@@ -61,25 +61,25 @@
         request: request.clone(),
     };
     engine.batch.borrow_mut().add(request);
-    engine.work.notify_one();
+    engine.work_available.notify_one();
     let frames = stream::unfold((receiver, guard), |(mut receiver, guard)| async move {
         receiver.recv().await.map(|line| (line, (receiver, guard)))
     });
     stream_answer(StatusCode::OK, "application/x-ndjson", frames)
 }
 
-/// Where the frames of a request go; nowhere if it is to break.
-fn open_stream(engine: &Engine, sender: mpsc::UnboundedSender<Bytes>) -> Option<Outgoing> {
+/// Creates the sender of a request's frames; `None` if a fault breaks its connection at once.
+fn open_stream(engine: &Engine, sender: mpsc::UnboundedSender<Bytes>) -> Option<FrameSender> {
     let mut faults = engine.faults.borrow_mut();
-    if take_count(&mut faults.break_after_accept) {
+    if consume_one(&mut faults.break_after_accept) {
         return None;
     }
-    let breaks = take_count(&mut faults.break_in_answer);
+    let breaks = consume_one(&mut faults.break_in_answer);
     let break_at = breaks.then_some(faults.break_at_token);
-    Some(Outgoing::new(sender, break_at))
+    Some(FrameSender::new(sender, break_at))
 }
 
-/// Takes an attempt out of the batch when its connection goes.
+/// Removes an attempt from the batch when its connection is closed.
 struct AttemptGuard {
     engine: Rc<Engine>,
     request: GenerationRequest,
--- a/crates/standin/src/engine/log.rs
+++ b/crates/standin/src/engine/log.rs
@@ -1,4 +1,4 @@
-//! Append-only logs of what an engine ran and which orders it was given.
+//! Append-only logs of the attempts and orders of an engine.
 
 use std::cell::RefCell;
 use std::io::Write as _;
@@ -7,19 +7,20 @@
 pub use dalestand_history::{OrderLogEntry, RunLogEntry, RunLogEvent};
 use dalestand_types::{EngineId, Incarnation};
 
-/// The logs of one run of an engine.
+/// Logs of one engine incarnation.
 pub(crate) struct EngineLogs {
     engine: EngineId,
     incarnation: Incarnation,
     to_stdout: bool,
-    /// Attempts that were run.
+    /// Events of attempts.
     pub(crate) runs: RefCell<Vec<RunLogEntry>>,
-    /// Orders that were given.
+    /// Orders received and epochs raised.
     pub(crate) orders: RefCell<Vec<OrderLogEntry>>,
 }
 
 impl EngineLogs {
-    /// Empty logs. With `to_stdout`, entries are also printed, so that they outlive the process.
+    /// Creates empty logs. With `to_stdout`, entries are also printed as JSON lines, which outlive
+    /// the process.
     pub(crate) fn new(engine: EngineId, incarnation: Incarnation, to_stdout: bool) -> Self {
         Self {
             engine,
@@ -53,7 +54,7 @@
         };
         if let Ok(mut text) = serde_json::to_vec(&line) {
             text.push(b'\n');
-            // A reader that is gone is no fault of the engine.
+            // The engine keeps running when the reader of its output is gone.
             let _ = std::io::stdout().lock().write_all(&text);
         }
     }
--- a/crates/standin/src/engine/server.rs
+++ b/crates/standin/src/engine/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server of the engine stand-in: drives the batch and the order book in real time.
+//! HTTP server of the simulated engine: runs the batch and the orders in real time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,16 +15,16 @@
 use dalestand_types::{GenerationFrame, Order, OrderCommand, OrderOutcome};
 use tokio::net::TcpListener;
 
-use super::cache_routes::{cache_events, export, hold_export};
-use super::faults::take_count;
+use super::cache_routes::{cache_events, export, retain_export};
+use super::faults::consume_one;
 use super::generation::generate;
 use super::log::OrderLogEntry;
 use super::state::{Engine, EngineSettings};
 
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// How often a draining engine looks whether it is empty.
-const DRAIN_POLL: Duration = Duration::from_millis(5);
+/// Interval at which a draining engine checks whether its batch is empty.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Serves one engine on `listener`.
 pub async fn serve_engine(listener: TcpListener, settings: EngineSettings) {
@@ -40,11 +40,11 @@
     .await;
 }
 
-/// Runs steps while there is work.
+/// Runs batch steps; waits for work while the batch is empty.
 async fn run_steps(engine: Rc<Engine>) {
     loop {
         if engine.batch.borrow().is_empty() {
-            engine.work.notified().await;
+            engine.work_available.notified().await;
             continue;
         }
         engine.batch.borrow_mut().admit();
@@ -54,7 +54,7 @@
         for output in outputs {
             engine.log_output(&output);
             if let GenerationFrame::Prefilled { attempt, usage } = &output.frame {
-                hold_export(&engine, *attempt, usage.prompt_tokens);
+                retain_export(&engine, *attempt, usage.prompt_tokens);
             }
             send_frame(&engine, &output.frame);
         }
@@ -71,10 +71,10 @@
     }
 }
 
-/// Carries orders out, one at a time.
+/// Executes accepted orders one at a time.
 async fn run_orders(engine: Rc<Engine>) {
     loop {
-        engine.order_taken.notified().await;
+        engine.order_accepted.notified().await;
         let Some(order) = engine
             .orders
             .borrow()
@@ -94,7 +94,7 @@
         }
         engine.orders.borrow_mut().finish();
         let role = engine.orders.borrow().state().role;
-        let at_micros = engine.at_micros();
+        let at_micros = engine.elapsed_micros();
         engine.logs.push_order(OrderLogEntry::Done {
             at_micros,
             order,
@@ -108,7 +108,7 @@
         engine.streams.borrow_mut().clear();
     }
     while !engine.batch.borrow().is_empty() {
-        actix_rt::time::sleep(DRAIN_POLL).await;
+        actix_rt::time::sleep(DRAIN_POLL_INTERVAL).await;
     }
     engine.orders.borrow_mut().leave_service();
     if engine.faults.borrow().crash_in_role_change {
@@ -125,7 +125,7 @@
 
 async fn handle(engine: &Rc<Engine>, request: &mut Request) -> Result<Answer, HttpServerError> {
     let path = request.path().to_owned();
-    let get = request.method() == Method::GET;
+    let is_get = request.method() == Method::GET;
     match path.as_str() {
         GENERATE => Ok(generate(engine, read_json(request, MAX_BODY_BYTES).await?).await),
         CACHE_EXPORT => {
@@ -137,13 +137,13 @@
             engine.streams.borrow_mut().remove(&body.attempt);
             Ok(json_answer(StatusCode::OK, &Empty {}))
         }
-        ORDERS if get => Ok(json_answer(StatusCode::OK, engine.orders.borrow().state())),
-        ORDERS => Ok(take_order(engine, &read_json(request, MAX_BODY_BYTES).await?).await),
+        ORDERS if is_get => Ok(json_answer(StatusCode::OK, engine.orders.borrow().state())),
+        ORDERS => Ok(submit_order(engine, &read_json(request, MAX_BODY_BYTES).await?).await),
         EPOCH => {
             let body: RaiseEpochRequest = read_json(request, MAX_BODY_BYTES).await?;
             Ok(raise_epoch(engine, &body))
         }
-        LOAD => Ok(json_answer(StatusCode::OK, &engine.lagged_load_report())),
+        LOAD => Ok(json_answer(StatusCode::OK, &engine.visible_load_report())),
         CACHE_EVENTS => Ok(cache_events(engine, request.uri().query())),
         "/log/runs" => Ok(json_answer(StatusCode::OK, &*engine.logs.runs.borrow())),
         "/log/orders" => Ok(json_answer(StatusCode::OK, &*engine.logs.orders.borrow())),
@@ -159,16 +159,16 @@
     let outcome = engine.orders.borrow_mut().raise_epoch(body.epoch);
     if matches!(outcome, OrderOutcome::Accepted { .. }) {
         engine.logs.push_order(OrderLogEntry::EpochRaised {
-            at_micros: engine.at_micros(),
+            at_micros: engine.elapsed_micros(),
             incarnation: engine.settings.incarnation,
             epoch: body.epoch,
         });
     }
-    order_answer(&outcome)
+    order_response(&outcome)
 }
 
-async fn take_order(engine: &Engine, order: &Order) -> Answer {
-    let before = engine
+async fn submit_order(engine: &Engine, order: &Order) -> Answer {
+    let previous = engine
         .orders
         .borrow()
         .state()
@@ -176,7 +176,7 @@
         .clone()
         .map(|last| last.order.id);
     let outcome = engine.orders.borrow_mut().submit(order);
-    let at_micros = engine.at_micros();
+    let at_micros = engine.elapsed_micros();
     let accepted = matches!(outcome, OrderOutcome::Accepted { .. });
     if !accepted {
         let order = order.clone();
@@ -186,22 +186,22 @@
             order,
             answer,
         });
-        return order_answer(&outcome);
+        return order_response(&outcome);
     }
-    if before != Some(order.id) {
+    if previous != Some(order.id) {
         let order = order.clone();
         engine
             .logs
             .push_order(OrderLogEntry::Taken { at_micros, order });
-        engine.order_taken.notify_one();
+        engine.order_accepted.notify_one();
     }
-    if take_count(&mut engine.faults.borrow_mut().lose_order_answers) {
+    if consume_one(&mut engine.faults.borrow_mut().lose_order_answers) {
         std::future::pending::<()>().await;
     }
-    order_answer(&outcome)
+    order_response(&outcome)
 }
 
-fn order_answer(outcome: &OrderOutcome) -> Answer {
+fn order_response(outcome: &OrderOutcome) -> Answer {
     let status = match outcome {
         OrderOutcome::Accepted { .. } => StatusCode::OK,
         _ => StatusCode::CONFLICT,
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! State of one run of the engine stand-in.
+//! State of one incarnation of the simulated engine.
 
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
@@ -11,49 +11,48 @@
 use tokio::sync::Notify;
 
 use super::batch::{Batch, BatchSettings, StepOutput};
-use super::exports::Exports;
+use super::delayed_reports::DelayedReports;
+use super::exports::CacheExports;
 use super::faults::EngineFaults;
-use super::lagged::Lagged;
+use super::frame_sender::FrameSender;
 use super::log::{EngineLogs, RunLogEntry, RunLogEvent};
 use super::orders::EngineOrderState;
-use super::outgoing::Outgoing;
 
-/// Settings of one engine.
+/// Settings of one engine incarnation.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Its name.
+    /// Engine id.
     pub engine: EngineId,
-    /// Its run.
+    /// Incarnation, which tells restarts of an engine apart.
     pub incarnation: Incarnation,
-    /// Role at the start.
+    /// Initial role.
     pub role: Role,
-    /// Costs and bounds of the batch.
+    /// Step costs and limits of the batch.
     pub batch: BatchSettings,
-    /// How long a role change takes once the engine is empty.
+    /// Duration of a role change after the engine is drained.
     pub role_change_time: Duration,
-    /// How long a load of a model or an adapter takes.
+    /// Duration of loading a model or an adapter.
     pub load_time: Duration,
-    /// Whether log entries are also printed, a JSON object a line.
+    /// Whether log entries are also printed to stdout, one JSON object per line.
     pub log_to_stdout: bool,
 }
 
-/// State of one run of an engine.
 pub(super) struct Engine {
     pub(super) settings: EngineSettings,
     pub(super) started: Instant,
     pub(super) batch: RefCell<Batch>,
     pub(super) orders: RefCell<EngineOrderState>,
-    pub(super) streams: RefCell<HashMap<AttemptId, Outgoing>>,
+    pub(super) streams: RefCell<HashMap<AttemptId, FrameSender>>,
     pub(super) attempts: RefCell<HashSet<AttemptId>>,
     pub(super) once_keys: RefCell<HashSet<String>>,
-    pub(super) exports: RefCell<Exports>,
-    pub(super) lagged_loads: RefCell<Lagged<EngineLoad>>,
-    pub(super) lagged_events: RefCell<Lagged<Sequence>>,
+    pub(super) exports: RefCell<CacheExports>,
+    pub(super) delayed_loads: RefCell<DelayedReports<EngineLoad>>,
+    pub(super) delayed_events: RefCell<DelayedReports<Sequence>>,
     pub(super) logs: EngineLogs,
     pub(super) faults: RefCell<EngineFaults>,
-    pub(super) reports: RefCell<u64>,
-    pub(super) work: Notify,
-    pub(super) order_taken: Notify,
+    pub(super) report_count: RefCell<u64>,
+    pub(super) work_available: Notify,
+    pub(super) order_accepted: Notify,
 }
 
 impl Engine {
@@ -66,32 +65,32 @@
             attempts: RefCell::default(),
             once_keys: RefCell::default(),
             exports: RefCell::default(),
-            lagged_loads: RefCell::default(),
-            lagged_events: RefCell::default(),
+            delayed_loads: RefCell::default(),
+            delayed_events: RefCell::default(),
             logs: EngineLogs::new(
                 settings.engine.clone(),
                 settings.incarnation,
                 settings.log_to_stdout,
             ),
             faults: RefCell::default(),
-            reports: RefCell::default(),
-            work: Notify::new(),
-            order_taken: Notify::new(),
+            report_count: RefCell::default(),
+            work_available: Notify::new(),
+            order_accepted: Notify::new(),
             settings,
         }
     }
 
-    pub(super) fn at_micros(&self) -> u64 {
+    pub(super) fn elapsed_micros(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 
     pub(super) fn now(&self) -> MonotonicTime {
-        MonotonicTime(self.at_micros())
+        MonotonicTime(self.elapsed_micros())
     }
 
     pub(super) fn log_run(&self, request: &GenerationRequest, event: RunLogEvent) {
         self.logs.push_run(RunLogEntry {
-            at_micros: self.at_micros(),
+            at_micros: self.elapsed_micros(),
             request: request.request,
             attempt: request.attempt,
             once_key: request.once_key.clone(),
@@ -115,7 +114,7 @@
             _ => return,
         };
         self.logs.push_run(RunLogEntry {
-            at_micros: self.at_micros(),
+            at_micros: self.elapsed_micros(),
             request: output.request,
             attempt,
             once_key: output.once_key.clone(),
@@ -123,13 +122,13 @@
         });
     }
 
-    /// Why a request cannot be taken now.
+    /// Why the engine rejects a request; `None` if it accepts it.
     pub(super) fn refusal(&self, request: &GenerationRequest) -> Option<RefusalReason> {
         let orders = self.orders.borrow();
-        let other_run = request
+        let other_incarnation = request
             .incarnation
-            .is_some_and(|run| run != self.settings.incarnation);
-        if other_run {
+            .is_some_and(|incarnation| incarnation != self.settings.incarnation);
+        if other_incarnation {
             return Some(RefusalReason::OtherIncarnation);
         }
         let repeated_key = request
@@ -153,31 +152,31 @@
         if !orders.serves(&request.model, request.adapter.as_ref()) {
             return Some(RefusalReason::NotLoaded);
         }
-        if !self.batch.borrow().has_room() {
+        if !self.batch.borrow().has_capacity() {
             return Some(RefusalReason::Full);
         }
         None
     }
 
-    /// The load report as it is seen from outside.
-    pub(super) fn lagged_load_report(&self) -> EngineLoad {
+    /// The load report that callers see, delayed by the configured lag.
+    pub(super) fn visible_load_report(&self) -> EngineLoad {
         let lag = Duration::from_millis(self.faults.borrow().load_lag_ms);
         let report = self.load_report();
-        self.lagged_loads
+        self.delayed_loads
             .borrow_mut()
-            .report(self.now(), lag, report)
+            .push(self.now(), lag, report)
     }
 
     pub(super) fn load_report(&self) -> EngineLoad {
-        let mut reports = self.reports.borrow_mut();
-        *reports += 1;
+        let mut report_count = self.report_count.borrow_mut();
+        *report_count += 1;
         let orders = self.orders.borrow();
         let batch = self.batch.borrow();
         let counters = batch.counters();
         EngineLoad {
             engine: self.settings.engine.clone(),
             incarnation: self.settings.incarnation,
-            sequence: Sequence(*reports),
+            sequence: Sequence(*report_count),
             role: if orders.is_changing_role() {
                 None
             } else {
--- a/crates/standin/src/engine/text.rs
+++ b/crates/standin/src/engine/text.rs
@@ -1,8 +1,8 @@
-//! Deterministic text: token `i` of an answer depends on the model, the prompt and `i` only.
+//! Deterministic output: token `i` of a response depends only on the model, the prompt and `i`.
 
 use std::fmt::Write as _;
 
-/// Seed of the text that answers `prompt`.
+/// Seed of the response to `prompt`.
 pub fn seed(model: &str, prompt: &str) -> [u8; 32] {
     let mut hasher = blake3::Hasher::new();
     hasher.update(model.as_bytes());
@@ -11,7 +11,7 @@
     *hasher.finalize().as_bytes()
 }
 
-/// Token `position` of the text with that seed.
+/// Token at `position` of the response with this seed.
 pub fn token(seed: &[u8; 32], position: u32) -> String {
     let mut word = String::with_capacity(12);
     let start = position as usize % (seed.len() - 2);
@@ -21,13 +21,13 @@
     word
 }
 
-/// The whole answer to `prompt`, as one string.
+/// The first `tokens` tokens of the response to `prompt`, as one string.
 pub fn expected_text(model: &str, prompt: &str, tokens: u32) -> String {
     let seed = seed(model, prompt);
     (0..tokens).map(|position| token(&seed, position)).collect()
 }
 
-/// Tokens of a prompt: its words, at least one.
+/// Number of tokens of a prompt: its words, at least 1.
 pub fn count_tokens(prompt: &str) -> u32 {
     (prompt.split_whitespace().count() as u32).max(1)
 }
--- a/crates/standin/src/engine/transfer.rs
+++ b/crates/standin/src/engine/transfer.rs
@@ -1,4 +1,4 @@
-//! Moves a prompt's KV cache from the engine that holds it to the one that asks.
+//! Simulated transfer of a prompt's KV cache between two engines.
 
 use std::time::Duration;
 
@@ -6,18 +6,19 @@
 use dalestand_http_server::StatusCode;
 use dalestand_types::CacheHandle;
 
-/// Time that the KV cache of one prompt token takes on the way.
+/// Transfer time per prompt token.
 const TRANSFER_PER_TOKEN: Duration = Duration::from_micros(2);
 
-/// Longest wait for a transfer.
+/// Timeout of a transfer.
 const IMPORT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long the cache of a prompt takes on the way.
+/// Transfer time of a prompt's KV cache.
 pub(super) fn transfer_time(prompt_tokens: u32) -> Duration {
     TRANSFER_PER_TOKEN * prompt_tokens
 }
 
-/// Fetches a cache; `None` if it is not held any more or its holder cannot be reached.
+/// Fetches a KV cache and returns its prompt tokens; `None` if the exporting engine cannot be
+/// reached or no longer has it.
 pub(super) async fn import(handle: CacheHandle) -> Option<u32> {
     let client = awc::Client::builder().timeout(IMPORT_TIMEOUT).finish();
     let url = format!("http://{}{CACHE_EXPORT}", handle.address);
--- a/crates/standin/src/key_value/mod.rs
+++ b/crates/standin/src/key_value/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the key-value service.
+//! Test double of the key-value service.
 
 mod server;
 mod store;
--- a/crates/standin/src/key_value/server.rs
+++ b/crates/standin/src/key_value/server.rs
@@ -1,4 +1,4 @@
-//! HTTP server of the key-value stand-in, with its faults.
+//! HTTP server of the key-value test double, with fault injection.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,23 +24,23 @@
 
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How often leases that have run out are looked for.
+/// Interval at which expired leases are removed.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long the answer of a lost call is held back; longer than any caller waits.
-const LOST_ANSWER_HOLD: Duration = Duration::from_secs(60);
+/// Delay of a response that is to be lost; longer than any caller waits.
+const LOST_RESPONSE_DELAY: Duration = Duration::from_secs(60);
 
-/// Faults of the stand-in; `POST /faults` replaces them all.
+/// Faults to inject; `POST /faults` replaces the whole set.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct KeyValueFaults {
-    /// Every call is answered 503, without effect.
+    /// Every call is rejected with 503 and has no effect.
     pub outage: bool,
-    /// Every call is delayed by this many milliseconds.
+    /// Delay of every call, in milliseconds.
     pub delay_ms: u64,
-    /// This many coming writes take effect and their answers are lost.
+    /// Number of writes still to take effect without a response.
     pub lose_write_answers: u32,
-    /// Calls a second; more are answered 429.
+    /// Rate limit in calls per second; calls beyond it are rejected with 429.
     pub calls_per_second: f64,
 }
 
@@ -60,10 +60,10 @@
     faults: RefCell<KeyValueFaults>,
     limiter: RefCell<RateLimiter>,
     calls: RefCell<u64>,
-    changed: Notify,
+    store_changed: Notify,
 }
 
-/// Serves the key-value stand-in on `listener`.
+/// Serves the key-value test double on `listener`.
 pub async fn serve_key_value(listener: TcpListener) {
     let faults = KeyValueFaults::default();
     let limiter = RateLimiter::new(faults.calls_per_second, Instant::now());
@@ -72,7 +72,7 @@
         faults: RefCell::new(faults),
         limiter: RefCell::new(limiter),
         calls: RefCell::new(0),
-        changed: Notify::new(),
+        store_changed: Notify::new(),
     });
     actix_rt::spawn(expire_leases(Rc::clone(&state)));
     serve(
@@ -88,7 +88,7 @@
     loop {
         actix_rt::time::sleep(EXPIRY_INTERVAL).await;
         state.store.borrow_mut().expire_leases(Instant::now());
-        state.changed.notify_waiters();
+        state.store_changed.notify_waiters();
     }
 }
 
@@ -106,8 +106,8 @@
     if path == "/calls" && request.method() == Method::GET {
         return Ok(json_answer(StatusCode::OK, &*state.calls.borrow()));
     }
-    if let Some(refusal) = admit(state).await {
-        return Ok(refusal);
+    if let Some(rejection) = apply_faults(state).await {
+        return Ok(rejection);
     }
     match path.as_str() {
         GET => {
@@ -144,7 +144,7 @@
         LEASE_REVOKE => {
             let body: LeaseRequest = read_json(request, MAX_BODY_BYTES).await?;
             state.store.borrow_mut().revoke_lease(body.lease);
-            state.changed.notify_waiters();
+            state.store_changed.notify_waiters();
             Ok(json_answer(StatusCode::OK, &Empty {}))
         }
         _ => Ok(status_answer(StatusCode::NOT_FOUND)),
@@ -158,8 +158,8 @@
     Ok(json_answer(StatusCode::OK, &Empty {}))
 }
 
-/// Applies delay, outage and rate limit; yields the refusal if there is one.
-async fn admit(state: &State) -> Option<Answer> {
+/// Applies the delay, the outage and the rate limit; returns the response if the call is rejected.
+async fn apply_faults(state: &State) -> Option<Answer> {
     *state.calls.borrow_mut() += 1;
     let delay_ms = state.faults.borrow().delay_ms;
     if delay_ms > 0 {
@@ -168,7 +168,11 @@
     if state.faults.borrow().outage {
         return Some(status_answer(StatusCode::SERVICE_UNAVAILABLE));
     }
-    let wait = state.limiter.borrow_mut().take(Instant::now()).err()?;
+    let wait = state
+        .limiter
+        .borrow_mut()
+        .try_acquire(Instant::now())
+        .err()?;
     let body = RetryAfter {
         retry_after_ms: wait.as_millis() as u64 + 1,
     };
@@ -185,19 +189,19 @@
     let Some(outcome) = outcome else {
         return Ok(text_answer(
             StatusCode::PRECONDITION_FAILED,
-            "the lease is gone",
+            "lease not found",
         ));
     };
-    state.changed.notify_waiters();
+    state.store_changed.notify_waiters();
     let written = matches!(outcome, CasOutcome::Written { .. });
-    if written && take_lost_answer(state) {
-        actix_rt::time::sleep(LOST_ANSWER_HOLD).await;
+    if written && consume_lost_response(state) {
+        actix_rt::time::sleep(LOST_RESPONSE_DELAY).await;
         return Ok(status_answer(StatusCode::SERVICE_UNAVAILABLE));
     }
     Ok(json_answer(StatusCode::OK, &outcome))
 }
 
-fn take_lost_answer(state: &State) -> bool {
+fn consume_lost_response(state: &State) -> bool {
     let mut faults = state.faults.borrow_mut();
     if faults.lose_write_answers == 0 {
         return false;
@@ -209,7 +213,7 @@
 async fn watch(state: &State, body: WatchRequest) -> Result<Answer, HttpServerError> {
     let deadline = Instant::now() + Duration::from_millis(body.wait_ms);
     loop {
-        let changed = state.changed.notified();
+        let changed = state.store_changed.notified();
         let batch = state.store.borrow().changes(&body.prefix, body.after);
         let now = Instant::now();
         if !batch.events.is_empty() || batch.compacted || now >= deadline {
--- a/crates/standin/src/key_value/store.rs
+++ b/crates/standin/src/key_value/store.rs
@@ -1,4 +1,4 @@
-//! The store itself: keys, leases and a bounded log of changes.
+//! Keys, leases and the bounded change log of the key-value test double.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -8,10 +8,10 @@
 };
 use dalestand_types::Revision;
 
-/// Changes kept for watchers; older ones are reported as compacted.
-const LOG_LENGTH: usize = 4_096;
+/// Maximum number of changes kept for watchers; older ones are reported as compacted.
+const MAX_LOG_EVENTS: usize = 4_096;
 
-struct Stored {
+struct StoredValue {
     value: String,
     revision: Revision,
     lease: Option<LeaseId>,
@@ -19,7 +19,7 @@
 
 struct Lease {
     time_to_live: Duration,
-    expires: Instant,
+    expires_at: Instant,
     keys: BTreeSet<String>,
 }
 
@@ -28,19 +28,19 @@
 pub struct Store {
     revision: Revision,
     next_lease: u64,
-    entries: BTreeMap<String, Stored>,
+    entries: BTreeMap<String, StoredValue>,
     leases: BTreeMap<LeaseId, Lease>,
     log: VecDeque<WatchEvent>,
-    compacted: Revision,
+    compacted_revision: Revision,
 }
 
 impl Store {
-    /// Reads one key.
+    /// Returns the entry of `key`.
     pub fn get(&self, key: &str) -> Option<Entry> {
         self.entries.get(key).map(|stored| entry(key, stored))
     }
 
-    /// Reads all keys under a prefix.
+    /// Returns all entries whose key starts with `prefix`.
     pub fn range(&self, prefix: &str) -> Listing {
         let entries = self
             .entries
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Writes or deletes `key` if the expectation holds. `None` if the lease is unknown.
+    /// Writes `key`, or deletes it if `value` is `None`, if the expectation holds. Returns `None` if
+    /// the lease is unknown.
     pub fn compare_and_swap(
         &mut self,
         key: &str,
@@ -79,52 +80,52 @@
         Some(CasOutcome::Written { revision })
     }
 
-    /// Grants a lease.
+    /// Grants a lease that expires after `time_to_live` unless it is renewed.
     pub fn grant_lease(&mut self, time_to_live: Duration, now: Instant) -> LeaseId {
         self.next_lease += 1;
         let id = LeaseId(self.next_lease);
         let lease = Lease {
             time_to_live,
-            expires: now + time_to_live,
+            expires_at: now + time_to_live,
             keys: BTreeSet::new(),
         };
         self.leases.insert(id, lease);
         id
     }
 
-    /// Renews a lease; `false` if it is gone.
+    /// Renews a lease; returns `false` if it has expired or was revoked.
     pub fn renew_lease(&mut self, id: LeaseId, now: Instant) -> bool {
         match self.leases.get_mut(&id) {
             Some(lease) => {
-                lease.expires = now + lease.time_to_live;
+                lease.expires_at = now + lease.time_to_live;
                 true
             }
             None => false,
         }
     }
 
-    /// Removes a lease and its keys.
+    /// Removes a lease and the keys attached to it.
     pub fn revoke_lease(&mut self, id: LeaseId) {
         let Some(lease) = self.leases.remove(&id) else {
             return;
         };
         for key in lease.keys {
-            let held = self
+            let is_attached = self
                 .entries
                 .get(&key)
                 .is_some_and(|stored| stored.lease == Some(id));
-            if held {
+            if is_attached {
                 self.write(&key, None, None);
             }
         }
     }
 
-    /// Removes every lease that has run out.
+    /// Removes the leases that have expired at `now`, with their keys.
     pub fn expire_leases(&mut self, now: Instant) {
         let expired: Vec<LeaseId> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.expires <= now)
+            .filter(|(_, lease)| lease.expires_at <= now)
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Changes under `prefix` after a revision.
+    /// Changes of keys under `prefix` after the revision `after`.
     pub fn changes(&self, prefix: &str, after: Revision) -> WatchBatch {
         let events = self
             .log
@@ -143,7 +144,7 @@
         WatchBatch {
             revision: self.revision,
             events,
-            compacted: after < self.compacted,
+            compacted: after < self.compacted_revision,
         }
     }
 
@@ -154,7 +155,7 @@
             Some(value) => {
                 self.entries.insert(
                     key.to_owned(),
-                    Stored {
+                    StoredValue {
                         value,
                         revision,
                         lease,
@@ -170,16 +171,16 @@
             value,
             revision,
         });
-        if self.log.len() > LOG_LENGTH
-            && let Some(dropped) = self.log.pop_front()
+        if self.log.len() > MAX_LOG_EVENTS
+            && let Some(oldest) = self.log.pop_front()
         {
-            self.compacted = dropped.revision;
+            self.compacted_revision = oldest.revision;
         }
         revision
     }
 }
 
-fn entry(key: &str, stored: &Stored) -> Entry {
+fn entry(key: &str, stored: &StoredValue) -> Entry {
     Entry {
         key: key.to_owned(),
         value: stored.value.clone(),
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins of the outside systems: engines, key-value service, machine list.
+//! Test doubles of the external systems: engines, key-value service, machine list.
 //!
-//! Each runs as a process of its own and has faults that are switched from the outside, by
-//! `POST /faults`. They exist for development, tests and measurements.
+//! Each is an HTTP server whose faults are set at run time by `POST /faults`. They serve
+//! development, tests and measurements, not production.
 
 pub mod engine;
 pub mod key_value;
--- a/crates/standin/src/machine_list.rs
+++ b/crates/standin/src/machine_list.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the machine list: it shows what is registered, after a lag.
+//! Test double of the machine list, whose changes become visible after a configurable lag.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -17,17 +17,17 @@
 
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Faults of the stand-in; `POST /faults` replaces them all.
+/// Faults to inject; `POST /faults` replaces the whole set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct MachineListFaults {
-    /// Changes show this many milliseconds late.
+    /// Delay until a change becomes visible, in milliseconds.
     pub lag_ms: u64,
-    /// Every call is answered 503.
+    /// Every call is rejected with 503.
     pub outage: bool,
 }
 
-/// A change that may not show yet.
+/// A change that may not be visible yet.
 enum Change {
     Set(Machine),
     Remove(String),
@@ -41,13 +41,17 @@
 }
 
 impl State {
-    fn change(&mut self, change: Change) {
-        let shows = Instant::now() + Duration::from_millis(self.faults.lag_ms);
-        self.pending.push_back((shows, change));
+    fn enqueue(&mut self, change: Change) {
+        let visible_at = Instant::now() + Duration::from_millis(self.faults.lag_ms);
+        self.pending.push_back((visible_at, change));
     }
 
-    fn settle(&mut self, now: Instant) {
-        while self.pending.front().is_some_and(|(shows, _)| *shows <= now) {
+    fn apply_visible(&mut self, now: Instant) {
+        while self
+            .pending
+            .front()
+            .is_some_and(|(visible_at, _)| *visible_at <= now)
+        {
             match self.pending.pop_front() {
                 Some((_, Change::Set(machine))) => {
                     self.visible.insert(machine.name.clone(), machine);
@@ -61,8 +65,8 @@
     }
 }
 
-/// Serves the machine list on `listener`: `GET` reads, `POST` sets one machine, `DELETE` with the
-/// name as last part of the path removes one.
+/// Serves the machine list on `listener`: `GET` returns it, `POST` adds or replaces a machine, and
+/// `DELETE` removes the one named by the last path segment.
 pub async fn serve_machine_list(listener: TcpListener) {
     let state = Rc::new(RefCell::new(State::default()));
     serve(
@@ -92,7 +96,7 @@
     }
     if request.method() == Method::DELETE {
         let name = path.rsplit('/').next().unwrap_or_default().to_owned();
-        state.borrow_mut().change(Change::Remove(name));
+        state.borrow_mut().enqueue(Change::Remove(name));
         return Ok(json_answer(StatusCode::OK, &Empty {}));
     }
     if path != MACHINES {
@@ -100,11 +104,11 @@
     }
     if request.method() == Method::POST {
         let machine: Machine = read_json(request, MAX_BODY_BYTES).await?;
-        state.borrow_mut().change(Change::Set(machine));
+        state.borrow_mut().enqueue(Change::Set(machine));
         return Ok(json_answer(StatusCode::OK, &Empty {}));
     }
     let mut state = state.borrow_mut();
-    state.settle(Instant::now());
+    state.apply_visible(Instant::now());
     let machines = state.visible.values().cloned().collect();
     Ok(json_answer(StatusCode::OK, &MachinesResponse { machines }))
 }
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,37 +1,37 @@
-//! A token bucket, for stand-ins that limit their callers.
+//! A token bucket for test doubles that limit the call rate.
 
 use std::time::{Duration, Instant};
 
-/// A bucket that holds at most one second's worth of calls.
+/// A token bucket with a capacity of one second's worth of calls, at least one.
 #[derive(Debug)]
 pub struct RateLimiter {
     per_second: f64,
-    available: f64,
-    refilled: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl RateLimiter {
-    /// A limiter of `per_second` calls a second.
+    /// Creates a full bucket that refills at `per_second` calls per second.
     pub fn new(per_second: f64, now: Instant) -> Self {
         Self {
             per_second,
-            available: per_second.max(1.0),
-            refilled: now,
+            tokens: per_second.max(1.0),
+            refilled_at: now,
         }
     }
 
-    /// Takes one call, or yields how long until the next is allowed.
-    pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
-        let passed = now.duration_since(self.refilled).as_secs_f64();
-        self.refilled = now;
-        let limit = self.per_second.max(1.0);
-        self.available = (self.available + passed * self.per_second).min(limit);
-        if self.available >= 1.0 {
-            self.available -= 1.0;
+    /// Acquires one call, or returns the time until the next one is allowed.
+    pub fn try_acquire(&mut self, now: Instant) -> Result<(), Duration> {
+        let elapsed = now.duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        let capacity = self.per_second.max(1.0);
+        self.tokens = (self.tokens + elapsed * self.per_second).min(capacity);
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
         Err(Duration::from_secs_f64(
-            (1.0 - self.available) / self.per_second.max(0.001),
+            (1.0 - self.tokens) / self.per_second.max(0.001),
         ))
     }
 }
--- a/crates/standin/tests/engine.rs
+++ b/crates/standin/tests/engine.rs
@@ -1,10 +1,10 @@
-//! The engine stand-in's prefix cache, its events and its lagging reports.
+//! The simulated engine's prefix cache, cache events and delayed reports.
 
 use std::time::Duration;
 
 use dalestand_edge::CacheChange;
 use dalestand_standin::engine::{
-    BLOCK_TOKENS, Batch, BatchSettings, Lagged, PrefixCache, prefixes,
+    BLOCK_TOKENS, Batch, BatchSettings, DelayedReports, PrefixCache, prefix_hashes,
 };
 use dalestand_types::{
     AttemptId, GenerationFrame, GenerationRequest, ModelName, MonotonicTime, Priority, RequestId,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Runs a request to its end; yields its cached prompt tokens and its steps.
+/// Runs a request to its end; returns its cached prompt tokens and the number of steps.
 fn run(batch: &mut Batch, attempt: u128, prompt: String) -> (u32, u32) {
     batch.add(request(attempt, prompt));
     batch.admit();
@@ -47,26 +47,26 @@
             }
         }
     }
-    unreachable!("a request ends");
+    unreachable!("the request finishes");
 }
 
 #[test]
-fn a_cached_prefix_makes_the_prompt_cheaper() {
+fn a_cached_prefix_shortens_the_prefill() {
     let mut batch = Batch::new(BatchSettings::default());
     let shared = words("s", 1_600);
     let (cold, cold_steps) = run(&mut batch, 1, format!("{shared} {}", words("a", 8)));
     let (warm, warm_steps) = run(&mut batch, 2, format!("{shared} {}", words("b", 8)));
     assert_eq!((cold, warm), (0, 1_600));
     assert!(warm_steps < cold_steps, "{warm_steps} {cold_steps}");
-    let other_model = prefixes("other", &shared);
+    let other_model = prefix_hashes("other", &shared);
     assert_eq!(batch.cache_mut().find(&other_model), 0);
 }
 
 #[test]
-fn the_cache_is_bounded_and_drops_what_was_used_least_recently() {
+fn the_cache_is_bounded_and_evicts_the_least_recently_used() {
     let mut cache = PrefixCache::new(u64::from(3 * BLOCK_TOKENS));
     let prompts: Vec<_> = ["a", "b", "c", "d"]
-        .map(|prefix| prefixes("m", &words(prefix, BLOCK_TOKENS)))
+        .map(|prefix| prefix_hashes("m", &words(prefix, BLOCK_TOKENS)))
         .to_vec();
     for prompt in &prompts[..3] {
         cache.store(prompt);
@@ -75,7 +75,7 @@
     cache.store(&prompts[3]);
     assert_eq!(cache.tokens(), u64::from(3 * BLOCK_TOKENS));
     assert_eq!(cache.find(&prompts[1]), 0);
-    let found = [0, 2, 3].map(|place| cache.find(&prompts[place]));
+    let found = [0, 2, 3].map(|index| cache.find(&prompts[index]));
     assert_eq!(found, [BLOCK_TOKENS; 3]);
     let events = cache.events_after(Sequence(3)).events;
     let changes: Vec<_> = events.iter().map(|event| event.change).collect();
@@ -84,11 +84,11 @@
 }
 
 #[test]
-fn a_lost_event_shows_as_a_gap() {
+fn a_lost_event_leaves_a_gap_in_the_sequence() {
     let mut cache = PrefixCache::new(1_000);
-    cache.store(&prefixes("m", &words("a", BLOCK_TOKENS)));
+    cache.store(&prefix_hashes("m", &words("a", BLOCK_TOKENS)));
     cache.lose_newest_event();
-    cache.store(&prefixes("m", &words("b", BLOCK_TOKENS)));
+    cache.store(&prefix_hashes("m", &words("b", BLOCK_TOKENS)));
     let events = cache.events_after(Sequence(0));
     let sequences: Vec<_> = events.events.iter().map(|event| event.sequence).collect();
     assert_eq!(sequences, [Sequence(2)]);
@@ -96,15 +96,15 @@
 }
 
 #[test]
-fn reports_are_seen_only_when_old_enough() {
-    let mut lagged = Lagged::default();
+fn reports_are_visible_only_after_the_lag() {
+    let mut reports = DelayedReports::default();
     let lag = Duration::from_millis(100);
-    let seen: Vec<u64> = (0..6)
-        .map(|report| lagged.report(MonotonicTime::from_millis(report * 50), lag, report))
+    let visible: Vec<u64> = (0..6)
+        .map(|report| reports.push(MonotonicTime::from_millis(report * 50), lag, report))
         .collect();
-    assert_eq!(seen, [0, 0, 0, 1, 2, 3]);
+    assert_eq!(visible, [0, 0, 0, 1, 2, 3]);
     assert_eq!(
-        lagged.report(MonotonicTime::from_millis(300), Duration::ZERO, 9),
+        reports.push(MonotonicTime::from_millis(300), Duration::ZERO, 9),
         9
     );
 }
