--- a/cmd/tests/soak.rs
+++ b/cmd/tests/soak.rs
@@ -79,7 +79,7 @@
         folder: folder.join(format!("seed-{seed}")),
     };
     let report = execute(&config).expect("a run");
-    assert!(!report.history.tries.is_empty());
+    assert!(!report.history.attempts.is_empty());
     assert!(
         report.violations.is_empty(),
         "logs in {}: {:#?}",
