--- a/crates/lab/src/error.rs
+++ b/crates/lab/src/error.rs
@@ -1,12 +1,12 @@
-//! Errors of experiments.
+//! Errors of the commands.
 
-/// Why an experiment could not be run.
+/// Error of a `dalestand-lab` command.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LabError {
-    /// A flag or a file is wrong; nothing was run.
+    /// A flag or a scenario file is invalid; nothing was run.
     #[error("{0}")]
     Usage(String),
-    /// The experiment could not be carried out.
+    /// The command failed while it ran.
     #[error("{0}")]
     Failed(String),
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! Experiments: simulator, load against a running fleet, reports.
+//! Experiments: a simulator, a load generator for a running fleet, and reports.
 //!
-//! Each command is one module with a `run` function, listed in [`COMMANDS`].
+//! Each command is a module with a `run` function, listed in [`COMMANDS`].
 
 mod error;
 mod load;
@@ -11,17 +11,16 @@
 
 pub use error::LabError;
 
-/// One command of `dalestand-lab`.
+/// A command of `dalestand-lab`.
 pub struct Command {
-    /// Its name.
     pub name: &'static str,
-    /// What it does, in one line.
+    /// One-line description.
     pub summary: &'static str,
-    /// Runs it with the arguments that follow its name.
+    /// Runs the command with the arguments after its name.
     pub run: fn(&[String]) -> Result<(), Report<LabError>>,
 }
 
-/// Every command.
+/// All commands.
 pub const COMMANDS: &[Command] = &[
     Command {
         name: "load",
--- a/crates/lab/src/load/measurement.rs
+++ b/crates/lab/src/load/measurement.rs
@@ -1,31 +1,31 @@
-//! What the streams of a run measured.
+//! Measurements of the streams of a run.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 
-/// Largest time recorded; longer ones count as this.
+/// Maximum time recorded; longer ones are clamped to it.
 const MAX_RECORDED: Duration = Duration::from_secs(120);
 
-/// Digits kept of each time.
+/// Significant decimal digits that the histograms keep.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times and counts, of one stream or of many.
+/// Times and counts of one or more streams.
 pub(super) struct Measurement {
-    /// Time from the request's sending to its first token, in microseconds.
+    /// Time from sending a request to its first token, in microseconds.
     pub(super) first_token: Histogram<u64>,
-    /// Time between two tokens that follow each other, in microseconds.
+    /// Time between consecutive tokens, in microseconds.
     pub(super) gap: Histogram<u64>,
     /// Tokens received.
     pub(super) tokens: u64,
-    /// Requests answered in whole.
+    /// Requests with a complete response.
     pub(super) complete: u64,
-    /// Requests refused or broken off.
+    /// Requests that were rejected or whose response was incomplete.
     pub(super) failed: u64,
 }
 
 impl Measurement {
-    /// Nothing measured.
+    /// Creates an empty measurement.
     pub(super) fn new() -> Self {
         Self {
             first_token: histogram(),
@@ -36,9 +36,9 @@
         }
     }
 
-    /// Adds what another stream measured.
+    /// Adds another measurement.
     pub(super) fn add(&mut self, other: &Self) {
-        // Both were made with the same bounds, so adding cannot fail.
+        // The histograms have the same bounds, so adding cannot fail.
         let _ = self.first_token.add(&other.first_token);
         let _ = self.gap.add(&other.gap);
         self.tokens += other.tokens;
@@ -47,13 +47,12 @@
     }
 }
 
-/// Records a time, in microseconds.
+/// Records a time in a histogram of microseconds.
 pub(super) fn record(histogram: &mut Histogram<u64>, time: Duration) {
     histogram.saturating_record(time.as_micros() as u64);
 }
 
 fn histogram() -> Histogram<u64> {
     let largest = MAX_RECORDED.as_micros() as u64;
-    // Fixed bounds that the library accepts.
     Histogram::new_with_max(largest, SIGNIFICANT_DIGITS).expect("fixed bounds are valid")
 }
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,5 +1,5 @@
-//! `dalestand-lab load`: a fixed number of streams against a node, straight against an engine, or
-//! both in the same run, so that what the node adds can be told.
+//! `dalestand-lab load`: runs a fixed number of streams against a node, directly against an engine,
+//! or against both one after the other, to measure the latency that the node adds.
 
 mod measurement;
 mod options;
@@ -16,15 +16,15 @@
 
 use crate::LabError;
 use measurement::Measurement;
-use options::{LoadOptions, Side};
+use options::{LoadOptions, Target};
 use process::ProcessUsage;
-use report::{Comparison, NodeUsage, SideReport};
+use report::{Comparison, NodeUsage, TargetReport};
 
-/// Time over which the streams of a run begin, so that their requests do not come at one moment.
+/// Period over which the streams of a run start, so that their requests do not arrive all at once.
 const START_SPREAD: Duration = Duration::from_secs(1);
 
-/// How long the node is watched without load.
-const IDLE_SAMPLE: Duration = Duration::from_secs(2);
+/// Time over which the idle node's processor time is measured.
+const IDLE_SAMPLE_TIME: Duration = Duration::from_secs(2);
 
 /// Runs the command.
 pub fn run(arguments: &[String]) -> Result<(), Report<LabError>> {
@@ -37,7 +37,7 @@
     comparison.print(json)
 }
 
-/// Measures each side at each number of streams, one after the other.
+/// Measures each target at each number of streams, one after the other.
 async fn compare(options: Arc<LoadOptions>) -> Result<Comparison, Report<LabError>> {
     let idle_share = match options.pid {
         Some(pid) => Some(idle_share(pid).await?),
@@ -45,8 +45,8 @@
     };
     let mut reports = Vec::new();
     for streams in &options.streams {
-        for side in options.sides() {
-            reports.push(measure(&options, side, *streams, idle_share).await?);
+        for target in options.targets() {
+            reports.push(measure(&options, target, *streams, idle_share).await?);
         }
     }
     Ok(Comparison {
@@ -55,26 +55,26 @@
     })
 }
 
-/// Share of a processor that the process uses without load.
+/// Share of a processor that the idle process uses.
 async fn idle_share(pid: u32) -> Result<f64, Report<LabError>> {
     let before = usage(pid)?;
     let started = Instant::now();
-    actix_rt::time::sleep(IDLE_SAMPLE).await;
-    let used = usage(pid)?.processor - before.processor;
+    actix_rt::time::sleep(IDLE_SAMPLE_TIME).await;
+    let used = usage(pid)?.cpu_time - before.cpu_time;
     Ok(used.as_secs_f64() / started.elapsed().as_secs_f64())
 }
 
 async fn measure(
     options: &Arc<LoadOptions>,
-    side: Side,
+    target: Target,
     streams: usize,
     idle_share: Option<f64>,
-) -> Result<SideReport, Report<LabError>> {
-    let pid = options.pid.filter(|_| side == Side::Node);
+) -> Result<TargetReport, Report<LabError>> {
+    let pid = options.pid.filter(|_| target == Target::Node);
     let before = pid.map(usage).transpose()?;
     let started = Instant::now();
     let arbiters: Vec<Arbiter> = (0..options.threads).map(|_| Arbiter::new()).collect();
-    let mut receiver = start_streams(options, side, streams, &arbiters);
+    let mut receiver = start_streams(options, target, streams, &arbiters);
     actix_rt::time::sleep(options.duration / 2).await;
     let during = pid.map(usage).transpose()?;
     let mut total = Measurement::new();
@@ -93,13 +93,13 @@
         during,
         after,
     });
-    Ok(SideReport::new(side, streams, &total, elapsed, node))
+    Ok(TargetReport::new(target, streams, &total, elapsed, node))
 }
 
-/// Starts the streams, spread over the arbiters; each sends what it measured once it is over.
+/// Starts the streams, distributed over the arbiters; each sends its measurement when it ends.
 fn start_streams(
     options: &Arc<LoadOptions>,
-    side: Side,
+    target: Target,
     streams: usize,
     arbiters: &[Arbiter],
 ) -> mpsc::UnboundedReceiver<Measurement> {
@@ -111,8 +111,8 @@
         let delay = START_SPREAD.mul_f64(number as f64 / streams as f64);
         arbiters[number % arbiters.len()].spawn_fn(move || {
             actix_rt::spawn(async move {
-                let measured = stream::run_until(&options, side, number, delay, deadline).await;
-                // The receiver lives until every sender is gone.
+                let measured = stream::run_until(&options, target, number, delay, deadline).await;
+                // The receiver is open until all senders are dropped.
                 let _ = sender.send(measured);
             });
         });
@@ -121,6 +121,7 @@
 }
 
 fn usage(pid: u32) -> Result<ProcessUsage, Report<LabError>> {
-    ProcessUsage::read(pid)
-        .change_context_lazy(|| LabError::Failed(format!("process {pid} cannot be read")))
+    ProcessUsage::read(pid).change_context_lazy(|| {
+        LabError::Failed(format!("cannot read the resource usage of process {pid}"))
+    })
 }
--- a/crates/lab/src/load/options.rs
+++ b/crates/lab/src/load/options.rs
@@ -1,4 +1,4 @@
-//! Flags of the load command.
+//! Flags of the `load` command.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -11,77 +11,77 @@
 
 const USAGE: &str = "usage: dalestand-lab load [--engine ADDRESS] [--node ADDRESS] [flags]";
 
-/// What a run is made against.
+/// Target of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Side {
-    /// An engine, straight.
+pub(super) enum Target {
+    /// An engine, called directly.
     Engine,
-    /// A node, as callers reach it.
+    /// A node, called through its caller API.
     Node,
 }
 
-/// Checked flags.
+/// Parsed and checked flags.
 #[derive(Clone, Debug)]
 pub(super) struct LoadOptions {
-    /// The engine to call straight.
+    /// Address of the engine to call directly.
     pub(super) engine: Option<SocketAddr>,
-    /// The node to call.
+    /// Address of the node to call.
     pub(super) node: Option<SocketAddr>,
-    /// Process id of the node, to read its processor time and memory.
+    /// Process id of the node, for its processor time and memory.
     pub(super) pid: Option<u32>,
-    /// Numbers of streams, one run each.
+    /// Numbers of concurrent streams; one run each.
     pub(super) streams: Vec<usize>,
-    /// Output tokens of each request.
+    /// Output tokens per request.
     pub(super) tokens: u32,
-    /// Words of each prompt.
+    /// Words per prompt.
     pub(super) prompt_words: usize,
-    /// How long new requests are begun, a run.
+    /// Time in which a run starts new requests.
     pub(super) duration: Duration,
-    /// Model asked for.
+    /// Requested model.
     pub(super) model: String,
-    /// Threads that read streams.
+    /// Number of threads that read streams.
     pub(super) threads: usize,
-    /// Whether the report is JSON.
+    /// Whether to print the report as JSON.
     pub(super) json: bool,
 }
 
 impl LoadOptions {
-    /// Reads the flags; `None` if only help was asked for.
+    /// Parses the flags; returns `None` after printing the help text.
     pub(super) fn parse(arguments: &[String]) -> Result<Option<Self>, Report<LabError>> {
         let options = flags();
         let matches = options
             .parse(arguments)
-            .map_err(|error| usage(error.to_string()))?;
+            .map_err(|error| usage_error(error.to_string()))?;
         if matches.opt_present("help") {
             println!("{}", options.usage(USAGE));
             return Ok(None);
         }
         let parsed = Self {
-            engine: value(&matches, "engine")?,
-            node: value(&matches, "node")?,
-            pid: value(&matches, "pid")?,
-            streams: numbers(&matches)?,
-            tokens: value(&matches, "tokens")?.unwrap_or(100),
-            prompt_words: value(&matches, "prompt-words")?.unwrap_or(16),
-            duration: Duration::from_secs(value(&matches, "seconds")?.unwrap_or(10)),
+            engine: parse_option(&matches, "engine")?,
+            node: parse_option(&matches, "node")?,
+            pid: parse_option(&matches, "pid")?,
+            streams: stream_counts(&matches)?,
+            tokens: parse_option(&matches, "tokens")?.unwrap_or(100),
+            prompt_words: parse_option(&matches, "prompt-words")?.unwrap_or(16),
+            duration: Duration::from_secs(parse_option(&matches, "seconds")?.unwrap_or(10)),
             model: matches.opt_str("model").unwrap_or_else(|| "m".to_owned()),
-            threads: value(&matches, "threads")?.unwrap_or(4),
+            threads: parse_option(&matches, "threads")?.unwrap_or(4),
             json: matches.opt_present("json"),
         };
         if parsed.engine.is_none() && parsed.node.is_none() {
-            return Err(usage("--engine or --node must be given".to_owned()));
+            return Err(usage_error("--engine or --node must be given".to_owned()));
         }
         if parsed.tokens == 0 || parsed.threads == 0 || parsed.streams.contains(&0) {
             let message = "--tokens, --threads and --streams must be above 0";
-            return Err(usage(message.to_owned()));
+            return Err(usage_error(message.to_owned()));
         }
         Ok(Some(parsed))
     }
 
-    /// The sides to measure.
-    pub(super) fn sides(&self) -> Vec<Side> {
-        let engine = self.engine.map(|_| Side::Engine);
-        let node = self.node.map(|_| Side::Node);
+    /// The targets to measure.
+    pub(super) fn targets(&self) -> Vec<Target> {
+        let engine = self.engine.map(|_| Target::Engine);
+        let node = self.node.map(|_| Target::Node);
         engine.into_iter().chain(node).collect()
     }
 }
@@ -112,28 +112,28 @@
     options
 }
 
-fn usage(message: String) -> Report<LabError> {
+fn usage_error(message: String) -> Report<LabError> {
     Report::new(LabError::Usage(message))
 }
 
-fn value<T: FromStr>(matches: &Matches, name: &str) -> Result<Option<T>, Report<LabError>> {
+fn parse_option<T: FromStr>(matches: &Matches, name: &str) -> Result<Option<T>, Report<LabError>> {
     let Some(text) = matches.opt_str(name) else {
         return Ok(None);
     };
     match text.parse() {
         Ok(value) => Ok(Some(value)),
-        Err(_) => Err(usage(format!("--{name} {text}: not understood"))),
+        Err(_) => Err(usage_error(format!("--{name}: invalid value {text}"))),
     }
 }
 
-fn numbers(matches: &Matches) -> Result<Vec<usize>, Report<LabError>> {
+fn stream_counts(matches: &Matches) -> Result<Vec<usize>, Report<LabError>> {
     let text = matches
         .opt_str("streams")
         .unwrap_or_else(|| "1,100,1000".to_owned());
     text.split(',')
         .map(|part| {
             part.parse()
-                .map_err(|_| usage(format!("--streams {text}: not understood")))
+                .map_err(|_| usage_error(format!("--streams: invalid list {text}")))
         })
         .collect()
 }
--- a/crates/lab/src/load/report.rs
+++ b/crates/lab/src/load/report.rs
@@ -9,10 +9,10 @@
 use crate::LabError;
 
 use super::measurement::Measurement;
-use super::options::Side;
+use super::options::Target;
 use super::process::ProcessUsage;
 
-/// Median and 99 in 100 of a time, in milliseconds.
+/// Median and 99th percentile of a time, in milliseconds.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Quantiles {
     pub(super) median_ms: f64,
@@ -20,7 +20,7 @@
 }
 
 impl Quantiles {
-    fn of(histogram: &Histogram<u64>) -> Self {
+    fn from_histogram(histogram: &Histogram<u64>) -> Self {
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         Self {
             median_ms: at(0.5),
@@ -28,7 +28,7 @@
         }
     }
 
-    fn minus(self, other: Self) -> Self {
+    fn difference(self, other: Self) -> Self {
         Self {
             median_ms: self.median_ms - other.median_ms,
             p99_ms: self.p99_ms - other.p99_ms,
@@ -36,23 +36,20 @@
     }
 }
 
-/// Usage of the node's process around a run.
+/// Resource usage of the node during a run.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct NodeUsage {
-    /// Share of a processor that the node uses without load.
+    /// Share of a processor that the idle node uses.
     pub(super) idle_share: f64,
-    /// Before the run.
     pub(super) before: ProcessUsage,
-    /// In the middle of the run.
     pub(super) during: ProcessUsage,
-    /// After the run.
     pub(super) after: ProcessUsage,
 }
 
 impl NodeUsage {
-    /// Processor time of the run, less what the node uses when idle.
-    fn processor(&self, elapsed: Duration) -> Duration {
-        let used = self.after.processor - self.before.processor;
+    /// Processor time of the run minus that of an idle node.
+    fn cpu_time(&self, elapsed: Duration) -> Duration {
+        let used = self.after.cpu_time - self.before.cpu_time;
         used.saturating_sub(elapsed.mul_f64(self.idle_share))
     }
 
@@ -61,11 +58,11 @@
     }
 }
 
-/// What one run gave.
+/// Result of one run.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct SideReport {
+pub(super) struct TargetReport {
     #[serde(skip)]
-    pub(super) side: Side,
+    pub(super) target: Target,
     /// `engine` or `node`.
     against: &'static str,
     streams: usize,
@@ -74,52 +71,52 @@
     tokens_per_s: f64,
     first_token: Quantiles,
     gap: Quantiles,
-    /// Processor time of the node a relayed token, in microseconds, less what it uses when idle.
+    /// The node's processor time per token in microseconds, minus that of an idle node.
     processor_us_per_token: Option<f64>,
-    /// Growth of the node's resident memory a stream, in KiB, in the middle of the run.
+    /// Growth of the node's resident memory per stream in KiB, from the start to the middle of the
+    /// run.
     memory_kib_per_stream: Option<f64>,
 }
 
-impl SideReport {
-    /// A report of what `total` measured.
+impl TargetReport {
+    /// Creates a report from the total of all streams.
     pub(super) fn new(
-        side: Side,
+        target: Target,
         streams: usize,
         total: &Measurement,
         elapsed: Duration,
         node: Option<NodeUsage>,
     ) -> Self {
-        let processor = node.map(|node| node.processor(elapsed));
+        let cpu_time = node.map(|node| node.cpu_time(elapsed));
         let memory = node.map(|node| node.memory_growth_kib() / streams as f64);
         let per_token = |time: Duration| time.as_secs_f64() * 1e6 / total.tokens.max(1) as f64;
         Self {
-            side,
-            against: match side {
-                Side::Engine => "engine",
-                Side::Node => "node",
+            target,
+            against: match target {
+                Target::Engine => "engine",
+                Target::Node => "node",
             },
             streams,
             complete: total.complete,
             failed: total.failed,
             tokens_per_s: total.tokens as f64 / elapsed.as_secs_f64(),
-            first_token: Quantiles::of(&total.first_token),
-            gap: Quantiles::of(&total.gap),
-            processor_us_per_token: processor.map(per_token),
+            first_token: Quantiles::from_histogram(&total.first_token),
+            gap: Quantiles::from_histogram(&total.gap),
+            processor_us_per_token: cpu_time.map(per_token),
             memory_kib_per_stream: memory,
         }
     }
 }
 
-/// All runs of one command.
+/// All runs of a command.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Comparison {
-    /// Share of a processor that the node uses without load.
+    /// Share of a processor that the idle node uses.
     pub(super) idle_share: Option<f64>,
-    /// The runs.
-    pub(super) reports: Vec<SideReport>,
+    pub(super) reports: Vec<TargetReport>,
 }
 
-/// What the node adds to an engine's own times at one number of streams.
+/// Latency that the node adds to that of the engine, at one number of streams.
 #[derive(Clone, Debug, Serialize)]
 struct Added {
     streams: usize,
@@ -130,12 +127,12 @@
 #[derive(Serialize)]
 struct JsonReport<'a> {
     idle_processor_share: Option<f64>,
-    runs: &'a [SideReport],
+    runs: &'a [TargetReport],
     added: Vec<Added>,
 }
 
 impl Comparison {
-    /// Prints the runs and what the node adds.
+    /// Prints the runs and the added latency.
     pub(super) fn print(&self, json: bool) -> Result<(), Report<LabError>> {
         if !json {
             self.print_text();
@@ -146,21 +143,22 @@
             runs: &self.reports,
             added: self.added(),
         };
-        let context = || LabError::Failed("the report cannot be encoded".to_owned());
+        let context = || LabError::Failed("cannot encode the report".to_owned());
         let text = serde_json::to_string_pretty(&report).change_context_lazy(context)?;
         println!("{text}");
         Ok(())
     }
 
     fn added(&self) -> Vec<Added> {
-        let of = |side| self.reports.iter().filter(move |one| one.side == side);
-        of(Side::Node)
+        let runs_against = |target| self.reports.iter().filter(move |run| run.target == target);
+        runs_against(Target::Node)
             .filter_map(|node| {
-                let engine = of(Side::Engine).find(|one| one.streams == node.streams)?;
+                let engine =
+                    runs_against(Target::Engine).find(|run| run.streams == node.streams)?;
                 Some(Added {
                     streams: node.streams,
-                    first_token: node.first_token.minus(engine.first_token),
-                    gap: node.gap.minus(engine.gap),
+                    first_token: node.first_token.difference(engine.first_token),
+                    gap: node.gap.difference(engine.gap),
                 })
             })
             .collect()
@@ -185,8 +183,8 @@
                 run.first_token.p99_ms,
                 run.gap.median_ms,
                 run.gap.p99_ms,
-                optional(run.processor_us_per_token),
-                optional(run.memory_kib_per_stream),
+                format_optional(run.processor_us_per_token),
+                format_optional(run.memory_kib_per_stream),
             );
         }
         for added in self.added() {
@@ -203,6 +201,6 @@
     }
 }
 
-fn optional(value: Option<f64>) -> String {
+fn format_optional(value: Option<f64>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| format!("{value:.2}"))
 }
--- a/crates/lab/src/load/stream.rs
+++ b/crates/lab/src/load/stream.rs
@@ -1,4 +1,4 @@
-//! One stream: requests one after the other, each token timed.
+//! One stream: sends requests one after the other and measures the time of each token.
 
 use std::time::{Duration, Instant};
 
@@ -10,21 +10,22 @@
 use serde_json::json;
 
 use super::measurement::{Measurement, record};
-use super::options::{LoadOptions, Side};
+use super::options::{LoadOptions, Target};
 
-/// Begin of a line that carries one token, as an engine sends it.
-const ENGINE_TOKEN: &[u8] = br#"{"frame":"token""#;
+/// Start of an engine's line that contains a token.
+const ENGINE_TOKEN_PREFIX: &[u8] = br#"{"frame":"token""#;
 
-/// Begin of a line that carries a chunk, as a node sends it.
-const NODE_CHUNK: &[u8] = b"data: {";
+/// Start of a node's line that contains a chunk.
+const NODE_CHUNK_PREFIX: &[u8] = b"data: {";
 
-/// Mark of a chunk that carries a token: it does not end the answer.
-const NODE_TOKEN_MARK: &[u8] = br#""finish_reason":null"#;
+/// Text in a chunk that contains a token, not the end of the response.
+const NODE_TOKEN_MARKER: &[u8] = br#""finish_reason":null"#;
 
-/// Sends requests from `delay` on until `deadline`; the last one is read to its end.
+/// Waits for `delay` and then sends requests until `deadline`. The last response is read to its
+/// end.
 pub(super) async fn run_until(
     options: &LoadOptions,
-    side: Side,
+    target: Target,
     number: usize,
     delay: Duration,
     deadline: Instant,
@@ -35,9 +36,9 @@
     let mut sent = 0;
     while Instant::now() < deadline {
         let prompt = prompt(options.prompt_words, number, sent);
-        let received = match side {
-            Side::Engine => request_engine(&client, options, prompt, &mut measured).await,
-            Side::Node => request_node(&client, options, prompt, &mut measured).await,
+        let received = match target {
+            Target::Engine => request_engine(&client, options, prompt, &mut measured).await,
+            Target::Node => request_node(&client, options, prompt, &mut measured).await,
         };
         if received == Some(options.tokens) {
             measured.complete += 1;
@@ -83,7 +84,7 @@
     let url = format!("http://{}{GENERATE}", options.engine?);
     let sent_at = Instant::now();
     let response = client.post(url).send_json(&body).await.ok()?;
-    read(response, Side::Engine, sent_at, measured).await
+    read(response, Target::Engine, sent_at, measured).await
 }
 
 async fn request_node(
@@ -98,13 +99,14 @@
     let url = format!("http://{}/v1/completions", options.node?);
     let sent_at = Instant::now();
     let response = client.post(url).send_json(&body).await.ok()?;
-    read(response, Side::Node, sent_at, measured).await
+    read(response, Target::Node, sent_at, measured).await
 }
 
-/// Reads an answer to its end; yields its tokens, or `None` if it was refused or broke off.
+/// Reads a response to its end; returns its number of tokens, or `None` if the request was rejected
+/// or the response incomplete.
 async fn read<S>(
     mut response: awc::ClientResponse<S>,
-    side: Side,
+    target: Target,
     sent_at: Instant,
     measured: &mut Measurement,
 ) -> Option<u32>
@@ -122,7 +124,7 @@
         buffer.extend_from_slice(&chunk.ok()?);
         while let Some(end) = buffer.iter().position(|byte| *byte == b'\n') {
             let line = buffer.split_to(end + 1);
-            if !is_token(side, &line) {
+            if !is_token(target, &line) {
                 continue;
             }
             tokens += 1;
@@ -137,12 +139,12 @@
     Some(tokens)
 }
 
-fn is_token(side: Side, line: &[u8]) -> bool {
-    match side {
-        Side::Engine => line.starts_with(ENGINE_TOKEN),
-        Side::Node => {
-            let mut windows = line.windows(NODE_TOKEN_MARK.len());
-            line.starts_with(NODE_CHUNK) && windows.any(|window| window == NODE_TOKEN_MARK)
+fn is_token(target: Target, line: &[u8]) -> bool {
+    match target {
+        Target::Engine => line.starts_with(ENGINE_TOKEN_PREFIX),
+        Target::Node => {
+            let mut windows = line.windows(NODE_TOKEN_MARKER.len());
+            line.starts_with(NODE_CHUNK_PREFIX) && windows.any(|window| window == NODE_TOKEN_MARKER)
         }
     }
 }
--- a/crates/lab/src/report/mod.rs
+++ b/crates/lab/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A page with the results of scenarios: a table and plots over time, each policy a line.
+//! An HTML page with a table and plots over time for each scenario.
 
 mod plot;
 
@@ -35,10 +35,11 @@
     }
     let page = page(&comparisons)?;
     let out = matches.opt_str("out").unwrap_or_default();
-    std::fs::write(&out, page).change_context_lazy(|| LabError::Failed(format!("write {out}")))
+    std::fs::write(&out, page)
+        .change_context_lazy(|| LabError::Failed(format!("cannot write {out}")))
 }
 
-/// The page.
+/// Renders the results of scenarios as an HTML page.
 pub fn page(comparisons: &[Comparison]) -> Result<String, Report<LabError>> {
     let mut text = String::from(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\">\
@@ -85,17 +86,17 @@
     text
 }
 
-/// Goodput of each policy, and the engines that run prompts only under each that changes roles.
+/// Plots of goodput and of the engines in each role over time, with a line for each policy.
 fn plots(comparison: &Comparison) -> Result<String, Report<LabError>> {
-    let drawn: Vec<&PolicyResult> = comparison
+    let plotted: Vec<&PolicyResult> = comparison
         .policies
         .iter()
         .filter(|policy| !policy.timeline.goodput_per_s.is_empty())
         .collect();
-    let interval_s = drawn
+    let interval_s = plotted
         .first()
         .map_or(1.0, |policy| policy.timeline.interval_s);
-    let goodput: Vec<Line> = drawn
+    let goodput: Vec<Line> = plotted
         .iter()
         .map(|policy| Line {
             name: policy.name.clone(),
@@ -103,11 +104,11 @@
         })
         .collect();
     let mut text = plot::draw("goodput per second", interval_s, &goodput)?;
-    for (place, title) in ["prefill engines", "decode engines", "mixed engines"]
+    for (index, title) in ["prefill engines", "decode engines", "mixed engines"]
         .iter()
         .enumerate()
     {
-        let lines: Vec<Line> = drawn
+        let lines: Vec<Line> = plotted
             .iter()
             .map(|policy| Line {
                 name: policy.name.clone(),
@@ -115,7 +116,7 @@
                     .timeline
                     .roles
                     .iter()
-                    .map(|counts| counts[place] as f64)
+                    .map(|counts| counts[index] as f64)
                     .collect(),
             })
             .collect();
--- a/crates/lab/src/report/plot.rs
+++ b/crates/lab/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of runs over time, as SVG text.
+//! SVG plots of runs over time.
 
 use error_stack::{Report, ResultExt as _};
 use plotters::prelude::{
@@ -8,13 +8,13 @@
 
 use crate::LabError;
 
-/// Size of a plot, in pixels.
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (900, 320);
 
-/// Space of the axes' labels, in pixels.
+/// Space for the axis labels in pixels.
 const LABEL_SPACE: u32 = 48;
 
-/// Colours of the lines, in turn.
+/// Colours of the lines, used in turn.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(127, 127, 127),
     RGBColor(188, 143, 143),
@@ -24,22 +24,22 @@
     RGBColor(214, 39, 40),
 ];
 
-/// One line: a value for each interval.
+/// A line with one value per interval.
 pub(crate) struct Line {
-    /// What it shows.
+    /// Name in the legend.
     pub(crate) name: String,
-    /// The values.
+    /// Values by interval.
     pub(crate) values: Vec<f64>,
 }
 
-/// Draws lines over time.
+/// Draws lines over time; returns an SVG document.
 pub(crate) fn draw(
     title: &str,
     interval_s: f64,
     lines: &[Line],
 ) -> Result<String, Report<LabError>> {
     let mut svg = String::new();
-    let failed = || LabError::Failed(format!("the plot {title} cannot be drawn"));
+    let failed = || LabError::Failed(format!("cannot draw the plot {title}"));
     draw_into(&mut svg, title, interval_s, lines)
         .map_err(|error| LabError::Failed(error.to_string()))
         .change_context_lazy(failed)?;
@@ -52,13 +52,13 @@
     interval_s: f64,
     lines: &[Line],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let longest = lines
+    let interval_count = lines
         .iter()
         .map(|line| line.values.len())
         .max()
         .unwrap_or(0);
     let all = lines.iter().flat_map(|line| &line.values);
-    let highest = all.copied().fold(1.0, f64::max);
+    let max_value = all.copied().fold(1.0, f64::max);
     let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -66,11 +66,14 @@
         .margin(8)
         .x_label_area_size(LABEL_SPACE)
         .y_label_area_size(LABEL_SPACE)
-        .build_cartesian_2d(0.0..longest as f64 * interval_s, 0.0..highest * 1.1)?;
+        .build_cartesian_2d(
+            0.0..interval_count as f64 * interval_s,
+            0.0..max_value * 1.1,
+        )?;
     chart.configure_mesh().x_desc("seconds").draw()?;
     for (line, colour) in lines.iter().zip(COLOURS.iter().cycle()) {
         let points = line.values.iter().enumerate();
-        let points = points.map(|(place, value)| (place as f64 * interval_s, *value));
+        let points = points.map(|(index, value)| (index as f64 * interval_s, *value));
         chart
             .draw_series(LineSeries::new(points, colour))?
             .label(&*line.name)
--- a/crates/lab/src/simulate/compare.rs
+++ b/crates/lab/src/simulate/compare.rs
@@ -1,4 +1,4 @@
-//! All policies on the same requests.
+//! Runs all policies on the same requests.
 
 use dalestand_planner::Composition;
 use serde::Serialize;
@@ -8,46 +8,46 @@
 use super::outcome::PolicyResult;
 use super::policy::Policy;
 use super::scenario::Scenario;
+use super::simulation;
 use super::workload::{OfferedRequest, offered_requests};
-use super::world;
 
-/// Runs of one policy at the same time.
+/// Number of threads that run policies in parallel.
 const WORKERS: usize = 4;
 
-/// Most fixed splits that are tried for the best one.
-const MOST_SPLITS: usize = 24;
+/// Maximum number of fixed splits tried to find the best one.
+const MAX_SPLITS: usize = 24;
 
-/// Requests above which fewer splits are tried.
-const LARGE_RUN: usize = 150_000;
+/// Number of requests above which fewer splits are tried.
+const LARGE_RUN_REQUESTS: usize = 150_000;
 
-/// Fixed splits tried in a large run.
-const LARGE_RUN_SPLITS: usize = 5;
+/// Maximum number of fixed splits tried in a large run.
+const MAX_LARGE_RUN_SPLITS: usize = 5;
 
-/// The results of one scenario.
+/// Results of a scenario.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Comparison {
-    /// The scenario.
+    /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Length of the phases, in seconds.
+    /// Total duration of the phases, in seconds.
     pub duration_s: f64,
-    /// Requests offered.
+    /// Number of offered requests.
     pub offered: usize,
-    /// The policies.
+    /// Results by policy.
     pub policies: Vec<PolicyResult>,
 }
 
-/// Runs every policy.
+/// Runs all policies.
 pub fn compare(scenario: &Scenario, seed: u64) -> Comparison {
     let fleet = Fleet::new(scenario);
     let offered = offered_requests(scenario, seed);
-    let run = |policy: &Policy| world::run(scenario, &fleet, &offered, seed, *policy);
+    let run = |policy: &Policy| simulation::run(scenario, &fleet, &offered, seed, *policy);
     let simple = [Policy::ROUND_ROBIN, Policy::LEAST_LOADED];
     let mut policies = in_parallel(&simple, run);
     policies.push(best_split(scenario, &fleet, &offered, seed));
     policies.extend(in_parallel(&[Policy::THRESHOLD], run));
-    policies.push(oracle::bound(scenario, &offered));
+    policies.push(oracle::upper_bound(scenario, &offered));
     policies.extend(in_parallel(&[Policy::DALESTAND], run));
     Comparison {
         scenario: scenario.name.clone(),
@@ -58,24 +58,24 @@
     }
 }
 
-/// The fixed split that turns out best, known only afterwards.
+/// Result of the fixed split with the highest goodput, chosen in hindsight.
 fn best_split(
     scenario: &Scenario,
     fleet: &Fleet,
     offered: &[OfferedRequest],
     seed: u64,
 ) -> PolicyResult {
-    let most = if offered.len() > LARGE_RUN {
-        LARGE_RUN_SPLITS
+    let limit = if offered.len() > LARGE_RUN_REQUESTS {
+        MAX_LARGE_RUN_SPLITS
     } else {
-        MOST_SPLITS
+        MAX_SPLITS
     };
-    let splits: Vec<Policy> = splits(scenario, most)
+    let splits: Vec<Policy> = splits(scenario, limit)
         .into_iter()
         .map(Policy::fixed)
         .collect();
     let results = in_parallel(&splits, |policy| {
-        world::run(scenario, fleet, offered, seed, *policy)
+        simulation::run(scenario, fleet, offered, seed, *policy)
     });
     let best = results.into_iter().reduce(|best, other| {
         if other.goodput_share > best.goodput_share {
@@ -84,40 +84,42 @@
             best
         }
     });
-    best.unwrap_or_else(|| world::run(scenario, fleet, offered, seed, Policy::ROUND_ROBIN))
+    best.unwrap_or_else(|| simulation::run(scenario, fleet, offered, seed, Policy::ROUND_ROBIN))
 }
 
-/// Splits of the first pool that may be split, evenly chosen among all if there are many.
-fn splits(scenario: &Scenario, most: usize) -> Vec<Composition> {
+/// At most `limit` splits of the first pool with more than one role. If there are more, only splits
+/// without mixed, without decode or with only mixed engines are considered, and sampled evenly.
+fn splits(scenario: &Scenario, limit: usize) -> Vec<Composition> {
     let pool = scenario.pools.iter().find(|pool| pool.roles.len() > 1);
     let Some(pool) = pool else {
         return vec![Composition::default()];
     };
     let engines = pool.engines.values().sum();
     let all = Composition::all(engines, &pool.roles);
-    let pure = all
+    let extremes = all
         .iter()
         .filter(|split| split.mixed == 0 || split.mixed == engines || split.decode == 0)
         .copied();
     let others = all.iter().copied();
-    let wanted: Vec<Composition> = if all.len() <= most {
+    let candidates: Vec<Composition> = if all.len() <= limit {
         others.collect()
     } else {
-        pure.collect()
+        extremes.collect()
     };
-    let step = wanted.len().div_ceil(most).max(1);
-    wanted.into_iter().step_by(step).collect()
+    let step = candidates.len().div_ceil(limit).max(1);
+    candidates.into_iter().step_by(step).collect()
 }
 
-/// Runs each item on one of a few threads; results stand in the order of the items.
+/// Runs the items on up to [`WORKERS`] threads; returns the results in the order of the items.
 fn in_parallel<T: Sync, R: Send>(items: &[T], run: impl Fn(&T) -> R + Sync) -> Vec<R> {
     let run = &run;
     let mut results: Vec<(usize, R)> = std::thread::scope(|scope| {
         let workers: Vec<_> = (0..WORKERS.min(items.len()))
             .map(|worker| {
                 scope.spawn(move || {
-                    let own = items.iter().enumerate().skip(worker).step_by(WORKERS);
-                    own.map(|(place, item)| (place, run(item)))
+                    let assigned = items.iter().enumerate().skip(worker).step_by(WORKERS);
+                    assigned
+                        .map(|(index, item)| (index, run(item)))
                         .collect::<Vec<_>>()
                 })
             })
@@ -130,6 +132,6 @@
             })
             .collect()
     });
-    results.sort_by_key(|(place, _)| *place);
+    results.sort_by_key(|(index, _)| *index);
     results.into_iter().map(|(_, result)| result).collect()
 }
--- a/crates/lab/src/simulate/engine.rs
+++ b/crates/lab/src/simulate/engine.rs
@@ -1,4 +1,4 @@
-//! A simulated engine: continuous batching, a bounded KV cache, refusals and role changes.
+//! Simulated engine with continuous batching, a bounded KV cache, rejections and role changes.
 
 use std::collections::VecDeque;
 
@@ -9,26 +9,26 @@
 use super::scenario::EngineSettings;
 use super::workload::Prefix;
 
-/// A waiting request counts as one priority higher after each of these.
-const AGEING_US: u64 = 4_000_000;
+/// Waiting time that raises a request's priority by one.
+const PRIORITY_AGEING_US: u64 = 4_000_000;
 
-/// Share of the chunk bound that holds for an engine that runs prompts only.
+/// Factor by which the prefill chunk of a prefill-only engine is larger.
 const PREFILL_ROLE_CHUNK_FACTOR: u32 = 4;
 
-/// Whether and how an engine serves.
+/// Service state of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Service {
-    /// It takes work.
+    /// Accepts requests.
     Serving,
-    /// It finishes what it holds and then changes its role.
+    /// Finishes its requests before it changes its role.
     Draining { to: Role },
-    /// It changes its role.
-    Changing { to: Role },
-    /// It has crashed or loads its weights.
+    /// Changes its role.
+    ChangingRole { to: Role },
+    /// Has crashed or is loading its weights.
     Down,
 }
 
-/// A request that an engine holds.
+/// A request at an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Sequence {
     pub(crate) attempt: usize,
@@ -37,26 +37,26 @@
     pub(crate) output_tokens: u32,
     pub(crate) prefix: Option<Prefix>,
     pub(crate) priority: u8,
-    pub(crate) queued_us: u64,
-    prompt_left: u32,
+    pub(crate) queued_at_us: u64,
+    remaining_prompt: u32,
     generated: u32,
     cached: u32,
     chunk: u32,
-    last_token_us: u64,
+    last_token_at_us: u64,
 }
 
 impl Sequence {
-    /// A request as it reaches an engine.
+    /// Creates a request that has just arrived; `tokens` is prompt and output tokens.
     pub(crate) fn new(
         attempt: usize,
         placement: Placement,
         tokens: (u32, u32),
         prefix: Option<Prefix>,
         priority: u8,
-        queued_us: u64,
+        queued_at_us: u64,
     ) -> Self {
         let (prompt_tokens, output_tokens) = tokens;
-        let prompt_left = match placement {
+        let remaining_prompt = match placement {
             Placement::DecodeOnly => 0,
             Placement::Whole | Placement::PrefillOnly => prompt_tokens,
         };
@@ -67,12 +67,12 @@
             output_tokens,
             prefix,
             priority,
-            queued_us,
-            prompt_left,
+            queued_at_us,
+            remaining_prompt,
             generated: 0,
             cached: 0,
             chunk: 0,
-            last_token_us: 0,
+            last_token_at_us: 0,
         }
     }
 
@@ -85,20 +85,20 @@
     }
 
     fn effective_priority(&self, now_us: u64) -> u64 {
-        u64::from(self.priority) + now_us.saturating_sub(self.queued_us) / AGEING_US
+        u64::from(self.priority) + now_us.saturating_sub(self.queued_at_us) / PRIORITY_AGEING_US
     }
 }
 
-/// What a step brought.
+/// Output of a step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StepOutput {
-    /// The first token of an answer; how many prompt tokens were in the prefix cache.
+    /// The first token of a response; `cached` prompt tokens were in the prefix cache.
     FirstToken { attempt: usize, cached: u32 },
-    /// A later token, so long after the one before.
+    /// A later token, generated `gap_us` after the previous one.
     Token { gap_us: u64 },
-    /// The whole answer.
+    /// The response is complete.
     Finished { attempt: usize },
-    /// The prompt of a request whose output runs elsewhere.
+    /// The prompt of a disaggregated request is prefilled.
     Prefilled { attempt: usize, cached: u32 },
 }
 
@@ -109,13 +109,14 @@
     pub(crate) role: Role,
     pub(crate) service: Service,
     pub(crate) incarnation: u64,
-    /// Counts steps and changes, so that an event of the past is known as such.
+    /// Incremented by each step and crash, so that events scheduled before can be recognised as
+    /// stale.
     pub(crate) generation: u64,
-    pub(crate) exports: u32,
-    pub(crate) export_free_us: u64,
+    pub(crate) pending_exports: u32,
+    pub(crate) export_free_at_us: u64,
     pub(crate) prefill_tokens: u64,
     pub(crate) decode_tokens: u64,
-    stepping: bool,
+    is_stepping: bool,
     waiting: VecDeque<Sequence>,
     running: Vec<Sequence>,
     importing: Vec<Sequence>,
@@ -124,7 +125,7 @@
 }
 
 impl Engine {
-    /// An empty engine.
+    /// Creates an idle engine.
     pub(crate) fn new(settings: EngineSettings, role: Role) -> Self {
         let prefixes = PrefixCache::new(settings.prefix_tokens);
         Self {
@@ -133,11 +134,11 @@
             service: Service::Serving,
             incarnation: 1,
             generation: 0,
-            exports: 0,
-            export_free_us: 0,
+            pending_exports: 0,
+            export_free_at_us: 0,
             prefill_tokens: 0,
             decode_tokens: 0,
-            stepping: false,
+            is_stepping: false,
             waiting: VecDeque::new(),
             running: Vec::new(),
             importing: Vec::new(),
@@ -146,51 +147,52 @@
         }
     }
 
-    /// Its settings.
     pub(crate) fn settings(&self) -> &EngineSettings {
         &self.settings
     }
 
-    /// Requests in the batch.
+    /// Number of requests in the batch.
     pub(crate) fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Requests taken that are not in the batch.
+    /// Number of accepted requests that are not in the batch, including those importing a KV cache.
     pub(crate) fn waiting(&self) -> u32 {
         (self.waiting.len() + self.importing.len()) as u32
     }
 
-    /// Prompt tokens not yet run.
+    /// Prompt tokens that are not yet prefilled.
     pub(crate) fn queued_prefill_tokens(&self) -> u64 {
-        let held = self.running.iter().chain(&self.waiting);
-        held.map(|one| u64::from(one.prompt_left)).sum()
+        let sequences = self.running.iter().chain(&self.waiting);
+        sequences
+            .map(|sequence| u64::from(sequence.remaining_prompt))
+            .sum()
     }
 
-    /// KV cache in use, in tokens.
+    /// KV cache reserved for running requests, in tokens.
     pub(crate) fn reserved_tokens(&self) -> u64 {
         self.reserved_tokens
     }
 
-    /// Whether nothing is held that a change of role would cut.
-    pub(crate) fn drained(&self) -> bool {
+    /// Whether no request or export would be interrupted by a role change.
+    pub(crate) fn is_drained(&self) -> bool {
         self.running.is_empty()
             && self.waiting.is_empty()
             && self.importing.is_empty()
-            && self.exports == 0
+            && self.pending_exports == 0
     }
 
-    /// Takes a request; yields whether it did.
-    pub(crate) fn offer(&mut self, sequence: Sequence) -> bool {
+    /// Accepts a request if the state, role and capacity allow it; returns whether it did.
+    pub(crate) fn try_accept(&mut self, sequence: Sequence) -> bool {
         if self.service != Service::Serving {
             return false;
         }
-        let fits = match sequence.placement {
+        let role_fits = match sequence.placement {
             Placement::Whole => self.role == Role::Mixed,
             Placement::PrefillOnly => self.role.runs_prefill(),
             Placement::DecodeOnly => self.role.runs_decode(),
         };
-        if !fits {
+        if !role_fits {
             return false;
         }
         if self.running() + self.waiting() >= self.settings.capacity {
@@ -204,15 +206,19 @@
         true
     }
 
-    /// The KV cache of a request has come in.
-    pub(crate) fn imported(&mut self, attempt: usize) {
-        if let Some(place) = self.importing.iter().position(|one| one.attempt == attempt) {
-            let sequence = self.importing.swap_remove(place);
+    /// Queues a request whose KV cache import is complete.
+    pub(crate) fn finish_import(&mut self, attempt: usize) {
+        if let Some(index) = self
+            .importing
+            .iter()
+            .position(|sequence| sequence.attempt == attempt)
+        {
+            let sequence = self.importing.swap_remove(index);
             self.waiting.push_back(sequence);
         }
     }
 
-    /// Loses everything; yields the attempts it held.
+    /// Discards all requests and caches; returns the attempts that were lost.
     pub(crate) fn crash(&mut self) -> Vec<usize> {
         let held = self.waiting.drain(..).chain(self.running.drain(..));
         let attempts = held
@@ -221,25 +227,25 @@
             .collect();
         self.prefixes.clear();
         self.reserved_tokens = 0;
-        self.exports = 0;
+        self.pending_exports = 0;
         self.prefill_tokens = 0;
         self.decode_tokens = 0;
-        self.stepping = false;
+        self.is_stepping = false;
         self.service = Service::Down;
         self.generation += 1;
         attempts
     }
 
-    /// Begins a step if none runs and there is work; yields its length in microseconds.
+    /// Starts a step if none is running and there is work; returns its duration in microseconds.
     pub(crate) fn begin_step(&mut self, now_us: u64) -> Option<u64> {
-        if self.stepping {
+        if self.is_stepping {
             return None;
         }
         self.admit(now_us);
         if self.running.is_empty() {
             return None;
         }
-        self.stepping = true;
+        self.is_stepping = true;
         self.generation += 1;
         let mut budget = self.settings.prefill_chunk;
         if self.role == Role::Prefill {
@@ -247,9 +253,9 @@
         }
         let (mut prefill, mut decoding, mut context) = (0_u32, 0_u32, 0_u64);
         for sequence in &mut self.running {
-            sequence.chunk = sequence.prompt_left.min(budget - prefill);
+            sequence.chunk = sequence.remaining_prompt.min(budget - prefill);
             prefill += sequence.chunk;
-            if sequence.prompt_left == 0 {
+            if sequence.remaining_prompt == 0 {
                 decoding += 1;
                 context += u64::from(sequence.prompt_tokens + sequence.generated);
             }
@@ -270,22 +276,22 @@
         ((settings.step_us + output + prompt) * overhead) as u64
     }
 
-    /// Ends a step.
+    /// Finishes the running step and appends its outputs.
     pub(crate) fn finish_step(&mut self, now_us: u64, outputs: &mut Vec<StepOutput>) {
-        self.stepping = false;
+        self.is_stepping = false;
         let mut freed = 0;
         let mut prefilled = 0;
         let mut generated = 0;
         let prefixes = &mut self.prefixes;
         self.running.retain_mut(|sequence| {
-            if sequence.prompt_left > 0 {
+            if sequence.remaining_prompt > 0 {
                 prefilled += u64::from(sequence.chunk);
-                sequence.prompt_left -= sequence.chunk;
-                if sequence.prompt_left > 0 {
+                sequence.remaining_prompt -= sequence.chunk;
+                if sequence.remaining_prompt > 0 {
                     return true;
                 }
                 if let Some(prefix) = sequence.prefix {
-                    prefixes.keep(prefix.id, prefix.tokens);
+                    prefixes.store(prefix.id, prefix.tokens);
                 }
                 if sequence.placement == Placement::PrefillOnly {
                     freed += sequence.reserved_tokens();
@@ -301,10 +307,10 @@
                 let cached = sequence.cached;
                 outputs.push(StepOutput::FirstToken { attempt, cached });
             } else {
-                let gap_us = now_us - sequence.last_token_us;
+                let gap_us = now_us - sequence.last_token_at_us;
                 outputs.push(StepOutput::Token { gap_us });
             }
-            sequence.last_token_us = now_us;
+            sequence.last_token_at_us = now_us;
             if sequence.generated < sequence.output_tokens {
                 return true;
             }
@@ -317,36 +323,37 @@
         self.decode_tokens += generated;
     }
 
-    /// Moves waiting requests into the batch, the most important first.
+    /// Moves waiting requests into the batch, those of the highest effective priority first.
     fn admit(&mut self, now_us: u64) {
         while self.running() < self.settings.max_running {
-            let places = 0..self.waiting.len();
-            let first = places.max_by_key(|place| {
-                let sequence = &self.waiting[*place];
-                let order = std::cmp::Reverse((sequence.queued_us, sequence.attempt));
+            let indices = 0..self.waiting.len();
+            let first = indices.max_by_key(|index| {
+                let sequence = &self.waiting[*index];
+                let order = std::cmp::Reverse((sequence.queued_at_us, sequence.attempt));
                 (sequence.effective_priority(now_us), order)
             });
-            let Some(place) = first else {
+            let Some(index) = first else {
                 return;
             };
-            let needed = self.waiting[place].reserved_tokens();
+            let needed = self.waiting[index].reserved_tokens();
             let fits = self.reserved_tokens + needed <= self.settings.cache_tokens;
             if !fits && !self.running.is_empty() {
                 return;
             }
-            let Some(mut sequence) = self.waiting.remove(place) else {
+            let Some(mut sequence) = self.waiting.remove(index) else {
                 return;
             };
             self.reserved_tokens += needed;
-            if sequence.prompt_left > 0
+            if sequence.remaining_prompt > 0
                 && let Some(prefix) = sequence.prefix
             {
-                // The last token is run again, as its output is needed.
+                // The last prompt token is always prefilled, since it produces the first output
+                // token.
                 sequence.cached = self
                     .prefixes
                     .find(prefix.id)
                     .min(sequence.prompt_tokens - 1);
-                sequence.prompt_left -= sequence.cached;
+                sequence.remaining_prompt -= sequence.cached;
             }
             self.running.push(sequence);
         }
--- a/crates/lab/src/simulate/event.rs
+++ b/crates/lab/src/simulate/event.rs
@@ -1,4 +1,4 @@
-//! Events of virtual time, in an order that depends on nothing else.
+//! Events in virtual time, in a deterministic order.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -8,71 +8,74 @@
 
 use super::node::TokenRates;
 
-/// What a node hears of an attempt.
+/// Feedback that a node receives about an attempt.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Signal {
-    /// The first token; how many prompt tokens were in the prefix cache.
+pub(crate) enum AttemptSignal {
+    /// The first token was generated; `cached` prompt tokens were in the prefix cache.
     FirstToken { cached: u32 },
-    /// The whole answer.
+    /// The response is complete.
     Finished,
-    /// The prompt of a request whose output runs elsewhere is done.
+    /// The prompt of a disaggregated request is prefilled.
     Prefilled { cached: u32 },
-    /// The engine took nothing.
+    /// The engine rejected the attempt.
     Refused,
-    /// No connection could be made: nothing was sent.
-    NotReached,
-    /// The connection broke.
-    Broken,
-    /// The KV cache to import was gone: nothing of the answer ran.
+    /// The engine could not be reached; nothing was sent.
+    Unreachable,
+    /// The connection broke; the attempt may have run.
+    ConnectionLost,
+    /// The KV cache to import no longer exists; no output was generated.
     ImportFailed,
 }
 
-/// Something that happens.
+/// A simulation event.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// A caller's request comes to its node.
-    Arrive { request: usize },
-    /// A node looks for an engine again.
+    /// A request arrives at its node.
+    RequestArrive { request: usize },
+    /// A node tries again to find an engine for a request.
     Redispatch { request: usize },
-    /// A refused caller comes back.
-    Return { request: usize },
-    /// An attempt comes to its engine.
-    Receive { attempt: usize },
+    /// A rejected caller sends its request again.
+    CallerRetry { request: usize },
+    /// An attempt arrives at its engine.
+    AttemptArrive { attempt: usize },
     /// An engine's step ends.
     StepEnd { engine: usize, generation: u64 },
-    /// A KV cache has come in.
-    Imported {
+    /// The import of a KV cache is complete.
+    ImportEnd {
         attempt: usize,
         exporter: (usize, u64),
     },
-    /// A node hears of an attempt.
-    Hear { attempt: usize, signal: Signal },
+    /// A signal about an attempt arrives at its node.
+    SignalArrive {
+        attempt: usize,
+        signal: AttemptSignal,
+    },
     /// A group's digest is due.
     DigestDue { group: usize },
-    /// A digest comes to a node.
-    Digest {
+    /// A digest arrives at a node.
+    NodeDigest {
         node: usize,
         group: usize,
         digest: Rc<GroupDigest>,
         rates: Rc<[TokenRates]>,
     },
-    /// A digest comes to the holder of a group's lease.
+    /// A digest arrives at the lease holder of a group.
     HolderDigest {
         holder: usize,
         digest: Rc<GroupDigest>,
     },
     /// A group's plan is due.
     PlanDue { group: usize },
-    /// A role order comes to an engine.
-    Order { engine: usize, role: Role },
+    /// A role order arrives at an engine.
+    RoleOrder { engine: usize, role: Role },
     /// A role change ends.
-    ChangeEnd { engine: usize, generation: u64 },
+    RoleChangeEnd { engine: usize, generation: u64 },
     /// An engine crashes.
-    Crash { engine: usize, out_us: u64 },
+    Crash { engine: usize, downtime_us: u64 },
     /// A crashed engine starts to load its weights.
     Restart { engine: usize },
-    /// It serves again.
-    Loaded { engine: usize, generation: u64 },
+    /// A restarted engine has loaded its weights and serves again.
+    WeightsLoaded { engine: usize, generation: u64 },
 }
 
 #[derive(Clone, Debug)]
@@ -102,7 +105,7 @@
     }
 }
 
-/// Events to come; those of the same time happen in the order in which they were scheduled.
+/// Queue of scheduled events; events at the same time are ordered by when they were scheduled.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
--- a/crates/lab/src/simulate/fleet.rs
+++ b/crates/lab/src/simulate/fleet.rs
@@ -1,4 +1,4 @@
-//! The fixed fleet of a scenario: engines, groups and nodes by number.
+//! Static topology of a scenario: engines, groups and nodes, addressed by index.
 
 use std::collections::HashMap;
 
@@ -8,9 +8,9 @@
 };
 
 use super::scenario::{Fault, Pool, Scenario};
-use super::workload::SECOND_US;
+use super::workload::MICROS_PER_SECOND;
 
-/// One engine.
+/// An engine of the fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct EngineInfo {
     pub(crate) id: EngineId,
@@ -19,7 +19,7 @@
     pub(crate) group: usize,
 }
 
-/// One group: the engines of a pool in a zone.
+/// A group: the engines of a pool in a zone.
 #[derive(Clone, Debug)]
 pub(crate) struct GroupInfo {
     pub(crate) id: GroupId,
@@ -28,15 +28,15 @@
     pub(crate) engines: Vec<usize>,
 }
 
-/// A zone that is cut off for a time, in microseconds.
+/// A network partition that isolates a zone for a time.
 #[derive(Clone, Copy, Debug)]
-struct Cut {
+struct Partition {
     zone: usize,
     from_us: u64,
     until_us: u64,
 }
 
-/// The fleet.
+/// The topology of the fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct Fleet {
     pub(crate) engines: Vec<EngineInfo>,
@@ -48,11 +48,11 @@
     by_id: HashMap<EngineId, usize>,
     /// One-way delay between zones, in microseconds.
     delays_us: Vec<Vec<u64>>,
-    cuts: Vec<Cut>,
+    partitions: Vec<Partition>,
 }
 
 impl Fleet {
-    /// The fleet of a checked scenario.
+    /// Creates the fleet of a checked scenario.
     pub(crate) fn new(scenario: &Scenario) -> Self {
         let zone_names: Vec<ZoneName> = scenario
             .zones
@@ -70,7 +70,7 @@
                 .collect(),
             by_id: HashMap::new(),
             delays_us: delays(scenario),
-            cuts: Vec::new(),
+            partitions: Vec::new(),
             zone_names,
         };
         for (number, pool) in scenario.pools.iter().enumerate() {
@@ -79,7 +79,7 @@
         for (number, zone) in scenario.zones.iter().enumerate() {
             fleet.nodes.extend(std::iter::repeat_n(number, zone.nodes));
         }
-        fleet.cuts = cuts(scenario);
+        fleet.partitions = partitions(scenario);
         fleet
     }
 
@@ -91,10 +91,14 @@
             }
             let group = self.groups.len();
             let first = self.engines.len();
-            for place in first..first + count {
-                let of_pool = self.engines.iter().filter(|one| one.pool == number).count();
-                let id = EngineId::from(format!("{}-{}", pool.name, of_pool + 1));
-                self.by_id.insert(id.clone(), place);
+            for index in first..first + count {
+                let pool_engines = self
+                    .engines
+                    .iter()
+                    .filter(|engine| engine.pool == number)
+                    .count();
+                let id = EngineId::from(format!("{}-{}", pool.name, pool_engines + 1));
+                self.by_id.insert(id.clone(), index);
                 self.engines.push(EngineInfo {
                     id,
                     pool: number,
@@ -111,12 +115,12 @@
         }
     }
 
-    /// The number of an engine.
-    pub(crate) fn engine(&self, id: &EngineId) -> Option<usize> {
+    /// Index of the engine with this id.
+    pub(crate) fn engine_index(&self, id: &EngineId) -> Option<usize> {
         self.by_id.get(id).copied()
     }
 
-    /// Models of a pool's engines.
+    /// Models that the engines of a pool have loaded.
     pub(crate) fn models(&self, pool: usize) -> Vec<LoadedModel> {
         vec![LoadedModel {
             model: ModelName::from(self.pool_names[pool].as_str()),
@@ -125,8 +129,9 @@
         }]
     }
 
-    /// Roles of a fixed split, with the engines of each role spread over the zones.
-    pub(crate) fn split(&self, pool: usize, split: Composition) -> Vec<(usize, Role)> {
+    /// Assigns the roles of a fixed split to the engines of a pool, distributing each role over the
+    /// zones.
+    pub(crate) fn assign_roles(&self, pool: usize, split: Composition) -> Vec<(usize, Role)> {
         let mut members: Vec<(usize, usize)> = self
             .groups
             .iter()
@@ -146,15 +151,16 @@
         self.delays_us[from][to]
     }
 
-    /// When a cut between two zones ends, if there is one now.
-    pub(crate) fn cut_until_us(&self, from: usize, to: usize, now_us: u64) -> Option<u64> {
+    /// When the current partition between two zones ends; `None` if there is none.
+    pub(crate) fn partitioned_until_us(&self, from: usize, to: usize, now_us: u64) -> Option<u64> {
         if from == to {
             return None;
         }
-        let cuts = self.cuts.iter();
-        let between = cuts.filter(|cut| cut.zone == from || cut.zone == to);
-        let now = between.filter(|cut| (cut.from_us..cut.until_us).contains(&now_us));
-        now.map(|cut| cut.until_us).max()
+        let partitions = self.partitions.iter();
+        let between = partitions.filter(|partition| partition.zone == from || partition.zone == to);
+        let current =
+            between.filter(|partition| (partition.from_us..partition.until_us).contains(&now_us));
+        current.map(|partition| partition.until_us).max()
     }
 }
 
@@ -175,7 +181,7 @@
         .collect()
 }
 
-fn cuts(scenario: &Scenario) -> Vec<Cut> {
+fn partitions(scenario: &Scenario) -> Vec<Partition> {
     scenario
         .faults
         .iter()
@@ -184,10 +190,13 @@
                 zone,
                 at_s,
                 length_s,
-            } => Some(Cut {
-                zone: scenario.zones.iter().position(|one| one.name == *zone)?,
-                from_us: (at_s * SECOND_US) as u64,
-                until_us: ((at_s + length_s) * SECOND_US) as u64,
+            } => Some(Partition {
+                zone: scenario
+                    .zones
+                    .iter()
+                    .position(|known| known.name == *zone)?,
+                from_us: (at_s * MICROS_PER_SECOND) as u64,
+                until_us: ((at_s + length_s) * MICROS_PER_SECOND) as u64,
             }),
             _ => None,
         })
--- a/crates/lab/src/simulate/mod.rs
+++ b/crates/lab/src/simulate/mod.rs
@@ -1,10 +1,12 @@
-//! The emulator: virtual time, the product's own decision code, and baselines beside it.
+//! Discrete-event simulator in virtual time, which compares the product's own decision code with
+//! baseline policies.
 //!
-//! Same scenario and seed, same output, byte for byte.
+//! The same scenario and seed give byte-identical output.
 
 mod check;
 mod compare;
 mod engine;
+mod engine_events;
 mod event;
 mod fleet;
 mod node;
@@ -13,12 +15,11 @@
 mod policy;
 mod prefix_cache;
 mod request;
+mod request_events;
 mod role_control;
 mod scenario;
+mod simulation;
 mod workload;
-mod world;
-mod world_engines;
-mod world_requests;
 
 use std::path::Path;
 
@@ -65,7 +66,7 @@
     let comparison = compare(&scenario, seed);
     if matches.opt_present("json") {
         let text = serde_json::to_string(&comparison)
-            .change_context_lazy(|| LabError::Failed("the results cannot be written".to_owned()))?;
+            .change_context_lazy(|| LabError::Failed("cannot encode the results".to_owned()))?;
         println!("{text}");
     } else {
         print!("{}", table(&comparison));
@@ -85,7 +86,7 @@
     Ok(scenario)
 }
 
-/// The results as text for people.
+/// Formats the results as a text table.
 pub fn table(comparison: &Comparison) -> String {
     let mut text = format!(
         "{}, seed {}: {} requests in {} s\n{:<13}{:>10}{:>8}{:>9}{:>9}{:>6}{:>9}{:>7}{:>10}{:>8}{:>7}\n",
@@ -124,18 +125,18 @@
     text
 }
 
-/// Goodput and roles over time as text.
+/// Formats goodput and roles over time as text.
 fn timelines(comparison: &Comparison) -> String {
     let mut text = String::new();
     for policy in &comparison.policies {
         let timeline = &policy.timeline;
-        for (place, roles) in timeline.roles.iter().enumerate() {
+        for (interval, roles) in timeline.roles.iter().enumerate() {
             let [prefill, decode, mixed] = roles;
             text.push_str(&format!(
                 "{:<13}{:>8.0} s {:>10.2}/s  {prefill} prefill, {decode} decode, {mixed} mixed\n",
                 policy.name,
-                (place + 1) as f64 * timeline.interval_s,
-                timeline.goodput_per_s.get(place).copied().unwrap_or(0.0),
+                (interval + 1) as f64 * timeline.interval_s,
+                timeline.goodput_per_s.get(interval).copied().unwrap_or(0.0),
             ));
         }
     }
--- a/crates/lab/src/simulate/node.rs
+++ b/crates/lab/src/simulate/node.rs
@@ -1,4 +1,4 @@
-//! A simulated node: its own stale view of the fleet and the policy's routing.
+//! Simulated node with its own, stale view of the fleet and the routing of a policy.
 
 use std::time::Duration;
 
@@ -12,39 +12,39 @@
 use super::fleet::Fleet;
 use super::policy::Routing;
 
-/// Wait told to callers by the policies that know none better.
-const USUAL_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Retry delay of policies that compute none.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Retries of a request by the policies that have no budget.
-const USUAL_RETRIES: u32 = 2;
+/// Maximum retries of a request under policies without a retry budget.
+const MAX_RETRIES_WITHOUT_BUDGET: u32 = 2;
 
-/// Tokens an engine runs in a second, as a group's holder measures them.
+/// Token rates of an engine, as measured by the lease holder of its group.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct TokenRates {
     pub(crate) prefill_per_s: f64,
     pub(crate) decode_per_s: f64,
 }
 
-/// What a node does with a request.
-pub(crate) enum Choice {
-    /// Send it to this engine.
+/// Routing decision of a node for a request.
+pub(crate) enum RouteChoice {
+    /// Send the request to this engine.
     Send { engine: usize, placement: Placement },
-    /// Refuse it.
-    Refuse { retry_after: Duration },
+    /// Reject the request.
+    Reject { retry_after: Duration },
 }
 
-/// A node.
+/// A simulated node.
 pub(crate) struct Node {
     routing: Routing,
     view: FleetView,
     router: Router,
     retries: RetryBudget,
     random: ChaCha8Rng,
-    turn: usize,
+    round_robin_turn: usize,
 }
 
 impl Node {
-    /// A node that knows the fleet as it starts.
+    /// Creates a node whose view is the initial state of the fleet.
     pub(crate) fn new(
         routing: Routing,
         fleet: &Fleet,
@@ -80,20 +80,20 @@
             router: Router::new(RouterConfig::default()),
             retries: RetryBudget::new(RetryBudgetConfig::default()),
             random,
-            turn: 0,
+            round_robin_turn: 0,
         }
     }
 
-    /// Takes a digest in.
-    pub(crate) fn receive(
+    /// Updates the view from a group's digest; `engines` are the indices of the group's engines.
+    pub(crate) fn apply_digest(
         &mut self,
         now: MonotonicTime,
         digest: &GroupDigest,
         rates: &[TokenRates],
         engines: &[usize],
     ) {
-        for ((place, report), rates) in engines.iter().zip(&digest.engines).zip(rates) {
-            let view = &mut self.view.engines[*place];
+        for ((index, report), rates) in engines.iter().zip(&digest.engines).zip(rates) {
+            let view = &mut self.view.engines[*index];
             let load = &report.load;
             view.incarnation = load.incarnation;
             view.role = load.role;
@@ -108,29 +108,29 @@
         }
     }
 
-    /// Chooses an engine.
+    /// Chooses an engine for a request by the policy's routing.
     pub(crate) fn choose(
         &mut self,
         now: MonotonicTime,
         fleet: &Fleet,
         request: &RouteRequest,
-    ) -> Choice {
+    ) -> RouteChoice {
         match self.routing {
             Routing::Dalestand => self.choose_by_router(now, fleet, request),
             Routing::RoundRobin => {
-                let usable = self.usable(request);
-                self.turn += 1;
-                let turn = self.turn;
+                let usable = self.usable_engines(request);
+                self.round_robin_turn += 1;
+                let turn = self.round_robin_turn;
                 let engine = (!usable.is_empty()).then(|| usable[turn % usable.len()]);
-                send_whole(engine)
+                send_colocated(engine)
             }
             Routing::LeastLoaded => {
-                let usable = self.usable(request);
-                let held = |place: &usize| {
-                    let view = &self.view.engines[*place];
+                let usable = self.usable_engines(request);
+                let request_count = |index: &usize| {
+                    let view = &self.view.engines[*index];
                     view.running + view.waiting
                 };
-                send_whole(usable.into_iter().min_by_key(held))
+                send_colocated(usable.into_iter().min_by_key(request_count))
             }
         }
     }
@@ -140,24 +140,24 @@
         now: MonotonicTime,
         fleet: &Fleet,
         request: &RouteRequest,
-    ) -> Choice {
+    ) -> RouteChoice {
         let decision = self
             .router
             .decide(now, &self.view, request, &mut self.random);
         match decision {
             RouteDecision::Send {
                 engine, placement, ..
-            } => match fleet.engine(&engine.engine) {
-                Some(engine) => Choice::Send { engine, placement },
-                None => Choice::Refuse {
-                    retry_after: USUAL_RETRY_AFTER,
+            } => match fleet.engine_index(&engine.engine) {
+                Some(engine) => RouteChoice::Send { engine, placement },
+                None => RouteChoice::Reject {
+                    retry_after: DEFAULT_RETRY_AFTER,
                 },
             },
-            RouteDecision::Refuse { retry_after, .. } => Choice::Refuse { retry_after },
+            RouteDecision::Refuse { retry_after, .. } => RouteChoice::Reject { retry_after },
         }
     }
 
-    fn usable(&self, request: &RouteRequest) -> Vec<usize> {
+    fn usable_engines(&self, request: &RouteRequest) -> Vec<usize> {
         let engines = self.view.engines.iter().enumerate();
         engines
             .filter(|(_, view)| {
@@ -166,12 +166,12 @@
                     && view.serves(&request.model, None)
                     && !request.tried.contains(&view.engine)
             })
-            .map(|(place, _)| place)
+            .map(|(index, _)| index)
             .collect()
     }
 
-    /// Notes that a request was sent.
-    pub(crate) fn sent(
+    /// Records that a request was sent to an engine.
+    pub(crate) fn record_sent(
         &mut self,
         now: MonotonicTime,
         engine: usize,
@@ -182,15 +182,15 @@
         self.router.record_sent(now, view, request, placement)
     }
 
-    /// Notes a request's first attempt.
-    pub(crate) fn first_attempt(&mut self) {
+    /// Records the first attempt at a request.
+    pub(crate) fn record_first_attempt(&mut self) {
         self.retries.record_first_attempt();
     }
 
-    /// Whether a request that an engine refused is sent to another one.
+    /// Whether a request that an engine rejected may be sent to another one.
     pub(crate) fn may_retry(&mut self, retries: u32, repeatable: bool) -> bool {
         if self.routing != Routing::Dalestand {
-            return retries < USUAL_RETRIES;
+            return retries < MAX_RETRIES_WITHOUT_BUDGET;
         }
         let attempt = FailedAttempt {
             kind: FailureKind::Refused,
@@ -200,25 +200,30 @@
         self.retries.decide(&attempt) == RetryDecision::Retry
     }
 
-    /// Notes a first token.
-    pub(crate) fn first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
+    /// Records the first token of a request.
+    pub(crate) fn record_first_token(&mut self, now: MonotonicTime, ticket: &mut Ticket) {
         self.router.record_first_token(now, ticket);
     }
 
-    /// Notes that a request is over.
-    pub(crate) fn finished(&mut self, now: MonotonicTime, ticket: &Ticket, completion: Completion) {
+    /// Records the end of a request.
+    pub(crate) fn record_finished(
+        &mut self,
+        now: MonotonicTime,
+        ticket: &Ticket,
+        completion: Completion,
+    ) {
         self.router.record_finished(now, ticket, completion);
     }
 }
 
-fn send_whole(engine: Option<usize>) -> Choice {
+fn send_colocated(engine: Option<usize>) -> RouteChoice {
     match engine {
-        Some(engine) => Choice::Send {
+        Some(engine) => RouteChoice::Send {
             engine,
             placement: Placement::Whole,
         },
-        None => Choice::Refuse {
-            retry_after: USUAL_RETRY_AFTER,
+        None => RouteChoice::Reject {
+            retry_after: DEFAULT_RETRY_AFTER,
         },
     }
 }
--- a/crates/lab/src/simulate/oracle.rs
+++ b/crates/lab/src/simulate/oracle.rs
@@ -1,51 +1,61 @@
 //! An upper bound on goodput that no policy can beat.
 //!
-//! All engines are taken for one server of their joint speed that changes between prompts and
-//! output at once and at no cost, knows every request beforehand, works on any part of any request
-//! at any moment between its arrival and its deadline, finds every prefix that any request before
-//! has had, and decodes at the cost a token has in a full batch. Of this relaxed problem an upper
-//! bound is taken by weak duality: for every price of engine time by second, no schedule serves
-//! more than the price of all engine time plus what each request is worth above the cheapest price
-//! of its work. The prices are improved by steps against the load they leave, and the lowest bound
-//! seen counts. Each relaxation can only raise the bound, and each price gives a valid one.
+//! The scheduling problem is relaxed: the engines of a pool form one server with their total speed,
+//! which
+//!
+//! * switches between prefill and decode without cost and knows all requests in advance,
+//! * can work on any part of a request at any time between its arrival and its deadline,
+//! * finds every prefix that an earlier request had in its cache,
+//! * decodes at the per-token cost of a full batch.
+//!
+//! Weak duality then gives an upper bound: for any prices of engine time per second, no schedule
+//! serves more requests than the price of all engine time plus, for each request, the part of its
+//! value of 1 that exceeds the cheapest price of its work. A subgradient method adjusts the prices,
+//! and the lowest bound found is used. Relaxation only raises the bound, and all prices give a
+//! valid one.
 
 use std::collections::BTreeSet;
 
-use super::outcome::{PolicyResult, Timeline, rounded};
+use super::outcome::{PolicyResult, Timeline, round_to_micro};
 use super::scenario::{Class, Scenario};
-use super::workload::{OfferedRequest, SECOND_US};
+use super::workload::{MICROS_PER_SECOND, OfferedRequest};
 
-/// Rounds in which the prices are improved.
-const ROUNDS: usize = 300;
+/// Number of iterations that adjust the prices.
+const ITERATIONS: usize = 300;
 
-/// Step of the first round, as a share of the mean price.
-const FIRST_STEP: f64 = 0.5;
+/// Step size of the first iteration, as a fraction of the mean price.
+const INITIAL_STEP: f64 = 0.5;
 
-/// One request as the bound sees it.
+/// A request in the relaxed problem.
 struct Job {
     pool: usize,
-    /// Least engine time it needs, in seconds.
+    /// Minimum engine time, in seconds.
     work_s: f64,
-    /// Seconds within which the work must be done.
-    first: usize,
-    last: usize,
+    /// First second in which the work may be done.
+    first_second: usize,
+    /// Last second in which the work may be done.
+    last_second: usize,
 }
 
-/// The bound as a result to set beside those of the policies.
-pub(crate) fn bound(scenario: &Scenario, offered: &[OfferedRequest]) -> PolicyResult {
+/// The bound in the form of a policy result.
+pub(crate) fn upper_bound(scenario: &Scenario, offered: &[OfferedRequest]) -> PolicyResult {
     let jobs = jobs(scenario, offered);
-    let seconds = jobs.iter().map(|job| job.last + 1).max().unwrap_or(1);
+    let seconds = jobs
+        .iter()
+        .map(|job| job.last_second + 1)
+        .max()
+        .unwrap_or(1);
     let mut served = 0.0;
-    for (place, pool) in scenario.pools.iter().enumerate() {
+    for (index, pool) in scenario.pools.iter().enumerate() {
         let engines = pool.engines.values().sum::<usize>() as f64;
-        let of_pool: Vec<&Job> = jobs.iter().filter(|job| job.pool == place).collect();
+        let of_pool: Vec<&Job> = jobs.iter().filter(|job| job.pool == index).collect();
         served += pool_bound(&of_pool, engines, seconds);
     }
     let duration_s = scenario.duration_s();
     PolicyResult {
         name: "oracle".to_owned(),
-        goodput_per_s: rounded(served / duration_s),
-        goodput_share: rounded(served / offered.len().max(1) as f64),
+        goodput_per_s: round_to_micro(served / duration_s),
+        goodput_share: round_to_micro(served / offered.len().max(1) as f64),
         role_changes: 0,
         not_run: 0,
         lost: 0,
@@ -60,13 +70,16 @@
     }
 }
 
-/// Requests that some engine could answer in time if it had nothing else to do.
+/// Jobs for the requests that an idle engine could serve in time.
 fn jobs(scenario: &Scenario, offered: &[OfferedRequest]) -> Vec<Job> {
     let mut seen = BTreeSet::new();
     let mut jobs = Vec::new();
     for request in offered {
         let class = &scenario.classes[request.class];
-        let pool = scenario.pools.iter().position(|one| one.name == class.pool);
+        let pool = scenario
+            .pools
+            .iter()
+            .position(|pool| pool.name == class.pool);
         let cached = request.prefix.map_or(0, |prefix| {
             if seen.insert(prefix.id) {
                 0
@@ -75,23 +88,24 @@
             }
         });
         let prompt = f64::from(request.prompt_tokens.saturating_sub(cached).max(1));
-        let (Some(pool), true) = (pool, possible(scenario, class, request, prompt)) else {
+        let (Some(pool), true) = (pool, is_feasible(scenario, class, request, prompt)) else {
             continue;
         };
-        let delay_s = scenario.network.caller_us as f64 / SECOND_US;
-        let sent_s = request.sent_us as f64 / SECOND_US;
+        let delay_s = scenario.network.caller_us as f64 / MICROS_PER_SECOND;
+        let sent_s = request.sent_us as f64 / MICROS_PER_SECOND;
         let end_s = sent_s + class.deadline_ms as f64 / 1_000.0 - delay_s;
         jobs.push(Job {
             pool,
             work_s: work_s(scenario, request, prompt),
-            first: (sent_s + delay_s) as usize,
-            last: end_s as usize,
+            first_second: (sent_s + delay_s) as usize,
+            last_second: end_s as usize,
         });
     }
     jobs
 }
 
-/// Engine time of a request: its prompt, and its share of full decode steps.
+/// Engine time of a request in seconds: its prefill and its share of decode steps with a full
+/// batch.
 fn work_s(scenario: &Scenario, request: &OfferedRequest, prompt: f64) -> f64 {
     let engine = &scenario.engine;
     let output = f64::from(request.output_tokens) - 1.0;
@@ -99,63 +113,63 @@
     let token_us = engine.step_us / f64::from(engine.max_running)
         + engine.step_per_sequence_us
         + engine.step_per_context_us * context / 1_000.0;
-    (prompt * engine.prefill_token_us + output * token_us) / SECOND_US
+    (prompt * engine.prefill_token_us + output * token_us) / MICROS_PER_SECOND
 }
 
-/// Whether one idle engine would make both deadlines.
-fn possible(scenario: &Scenario, class: &Class, request: &OfferedRequest, prompt: f64) -> bool {
+/// Whether an idle engine would meet both deadlines.
+fn is_feasible(scenario: &Scenario, class: &Class, request: &OfferedRequest, prompt: f64) -> bool {
     let engine = &scenario.engine;
     let first_us = prompt * engine.prefill_token_us + 2.0 * scenario.network.caller_us as f64;
     let output = f64::from(request.output_tokens) - 1.0;
     let context = f64::from(request.prompt_tokens) / 1_000.0;
     let step_us =
         engine.step_us + engine.step_per_sequence_us + engine.step_per_context_us * context;
-    let whole_us = first_us + output * step_us;
+    let total_us = first_us + output * step_us;
     let within = |limit_ms: u64, needed_us: f64| needed_us <= limit_ms as f64 * 1_000.0;
     class
         .first_token_ms
         .is_none_or(|limit| within(limit, first_us))
-        && within(class.deadline_ms, whole_us)
+        && within(class.deadline_ms, total_us)
 }
 
-/// The lowest bound found for one pool's requests.
+/// Lowest upper bound found for the requests of one pool.
 fn pool_bound(jobs: &[&Job], engines: f64, seconds: usize) -> f64 {
-    let worth: f64 = jobs.len() as f64;
+    let total_value: f64 = jobs.len() as f64;
     let work: f64 = jobs.iter().map(|job| job.work_s).sum();
     if jobs.is_empty() {
         return 0.0;
     }
     let mut prices = vec![0.0; seconds];
-    let mut lowest = worth;
-    let mean_price = worth / work;
-    for round in 0..ROUNDS {
+    let mut lowest_bound = total_value;
+    let mean_price = total_value / work;
+    for iteration in 0..ITERATIONS {
         let cheapest = CheapestSecond::new(&prices);
         let mut load = vec![0.0; seconds];
         let mut bound: f64 = prices.iter().sum::<f64>() * engines;
         for job in jobs {
-            let second = cheapest.within(job.first, job.last);
+            let second = cheapest.within(job.first_second, job.last_second);
             let gain = 1.0 - job.work_s * prices[second];
             if gain > 0.0 {
                 bound += gain;
-                spread(&mut load, &prices, job, prices[second]);
+                distribute_work(&mut load, &prices, job, prices[second]);
             }
         }
-        lowest = lowest.min(bound);
-        let step = FIRST_STEP * mean_price / (1.0 + round as f64).sqrt();
+        lowest_bound = lowest_bound.min(bound);
+        let step = INITIAL_STEP * mean_price / (1.0 + iteration as f64).sqrt();
         for (price, load) in prices.iter_mut().zip(&load) {
             let excess = (load / engines - 1.0).clamp(-1.0, 1.0);
             *price = (*price + step * excess).max(0.0);
         }
     }
-    lowest
+    lowest_bound
 }
 
-/// Spreads a job's work evenly over the seconds of its window that cost no more than the cheapest.
-fn spread(load: &mut [f64], prices: &[f64], job: &Job, cheapest: f64) {
+/// Distributes a job's work evenly over the cheapest seconds of its window.
+fn distribute_work(load: &mut [f64], prices: &[f64], job: &Job, cheapest: f64) {
     let limit = cheapest * (1.0 + 1e-9);
-    let window = job.first..=job.last;
-    let equal = window.clone().filter(|second| prices[*second] <= limit);
-    let share = job.work_s / equal.count().max(1) as f64;
+    let window = job.first_second..=job.last_second;
+    let cheapest_seconds = window.clone().filter(|second| prices[*second] <= limit);
+    let share = job.work_s / cheapest_seconds.count().max(1) as f64;
     for second in window {
         if prices[second] <= limit {
             load[second] += share;
@@ -163,7 +177,7 @@
     }
 }
 
-/// Finds the cheapest second of a window: a table of minima over power-of-two windows.
+/// Finds the cheapest second of a window, by a sparse table of minima over power-of-two windows.
 struct CheapestSecond<'a> {
     prices: &'a [f64],
     levels: Vec<Vec<usize>>,
--- a/crates/lab/src/simulate/outcome.rs
+++ b/crates/lab/src/simulate/outcome.rs
@@ -1,16 +1,16 @@
-//! What came of the requests of one run.
+//! Outcomes and metrics of one run.
 
 use serde::Serialize;
 
-use super::workload::SECOND_US;
+use super::workload::MICROS_PER_SECOND;
 
-/// Resolution of the histograms, in microseconds.
+/// Bucket width of the histograms, in microseconds.
 const BUCKET_US: u64 = 500;
 
-/// Buckets; longer times fall into the last one.
+/// Number of buckets; longer times are counted in the last one.
 const BUCKETS: usize = 400_000;
 
-/// Counts times in buckets.
+/// A histogram of times.
 #[derive(Clone, Debug)]
 pub(crate) struct Histogram {
     buckets: Vec<u64>,
@@ -18,7 +18,7 @@
 }
 
 impl Histogram {
-    /// An empty histogram.
+    /// Creates an empty histogram.
     pub(crate) fn new() -> Self {
         Self {
             buckets: vec![0; BUCKETS],
@@ -33,9 +33,9 @@
         self.count += 1;
     }
 
-    /// The time that `share` of the counted ones do not exceed, in milliseconds.
-    pub(crate) fn quantile_ms(&self, share: f64) -> f64 {
-        let rank = (self.count as f64 * share).ceil() as u64;
+    /// Quantile in milliseconds, rounded up to the end of its bucket; 0 if the histogram is empty.
+    pub(crate) fn quantile_ms(&self, quantile: f64) -> f64 {
+        let rank = (self.count as f64 * quantile).ceil() as u64;
         let mut seen = 0;
         for (bucket, count) in self.buckets.iter().enumerate() {
             seen += count;
@@ -47,68 +47,68 @@
     }
 }
 
-/// The final answer to a request.
+/// Final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// The whole answer came, in time or not.
+    /// The response is complete; `in_time` if it met all deadlines.
     Complete { in_time: bool },
-    /// Refused, and not run.
+    /// The request was rejected and did not run.
     NotRun,
-    /// It may have run.
+    /// It is unknown whether the request ran.
     Unknown,
 }
 
-/// Measures of one policy over one run.
+/// Metrics of one policy in one run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct PolicyResult {
-    /// The policy.
+    /// Name of the policy.
     pub name: String,
-    /// Whole answers in time, a second.
+    /// Complete responses in time, per second.
     pub goodput_per_s: f64,
-    /// Share of the requests offered that got one.
+    /// Share of the offered requests with a complete response in time.
     pub goodput_share: f64,
-    /// Role changes begun.
+    /// Number of role changes started.
     pub role_changes: u64,
-    /// Requests refused that did not run.
+    /// Requests that were rejected and did not run.
     pub not_run: u64,
-    /// Requests without a final answer.
+    /// Requests without a final outcome.
     pub lost: u64,
-    /// Requests of which it is not known whether they ran.
+    /// Requests that may or may not have run.
     pub unknown: u64,
-    /// Requests that may not be repeated and ran more than once.
+    /// Times that a request that may not be repeated ran again.
     pub ran_twice: u64,
-    /// Time to the first token that 95 in 100 do not exceed.
+    /// 95th percentile of the time to first token, in milliseconds.
     pub p95_first_token_ms: f64,
-    /// Time between tokens that 95 in 100 do not exceed.
+    /// 95th percentile of the time between tokens, in milliseconds.
     pub p95_between_tokens_ms: f64,
-    /// Share of the prompt tokens found in a prefix cache.
+    /// Share of prompt tokens found in a prefix cache.
     pub prefix_hit_share: f64,
-    /// Refused callers who came back when they were told to.
+    /// Retries of rejected callers after the delay they were told.
     pub returned: u64,
-    /// Those of them that were admitted.
+    /// Those retries that got a complete response.
     pub returned_admitted: u64,
-    /// The course of the run; not part of the JSON output.
+    /// Metrics over time; not part of the JSON output.
     #[serde(skip)]
     pub timeline: Timeline,
 }
 
-/// The course of a run.
+/// Metrics of a run over time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Timeline {
-    /// Length of one interval, in seconds.
+    /// Duration of an interval, in seconds.
     pub interval_s: f64,
-    /// Requests sent in an interval that got a whole answer in time, a second.
+    /// Goodput per second by interval, counted for the interval in which a request was sent.
     pub goodput_per_s: Vec<f64>,
-    /// Engines that run prompts only, output only, and both, at the end of each interval.
+    /// Number of prefill, decode and mixed engines at the end of each interval.
     pub roles: Vec<[usize; 3]>,
 }
 
-/// Length of an interval of the timeline, in seconds.
+/// Duration of a timeline interval, in seconds.
 const TIMELINE_INTERVAL_S: f64 = 5.0;
 
-/// Gathers the measures of a run.
+/// Collects the metrics of a run.
 #[derive(Debug)]
-pub(crate) struct Measures {
+pub(crate) struct Metrics {
     duration_s: f64,
     offered: u64,
     in_time: u64,
@@ -127,8 +127,8 @@
     pub(crate) roles: Vec<[usize; 3]>,
 }
 
-impl Measures {
-    /// Nothing measured yet.
+impl Metrics {
+    /// Creates empty metrics.
     pub(crate) fn new(duration_s: f64, offered: u64) -> Self {
         let intervals = (duration_s / TIMELINE_INTERVAL_S).ceil() as usize;
         Self {
@@ -151,14 +151,14 @@
         }
     }
 
-    /// Whether the time has come to note the roles.
-    pub(crate) fn interval_ended(&self, now_us: u64) -> bool {
-        let ended = (now_us as f64 / SECOND_US / TIMELINE_INTERVAL_S) as usize;
+    /// Whether an interval has ended whose roles are not recorded yet.
+    pub(crate) fn is_roles_sample_due(&self, now_us: u64) -> bool {
+        let ended = (now_us as f64 / MICROS_PER_SECOND / TIMELINE_INTERVAL_S) as usize;
         self.roles.len() < ended.min(self.in_time_by_interval.len())
     }
 
-    /// Counts a final answer.
-    pub(crate) fn answered(&mut self, sent_us: u64, outcome: Outcome) {
+    /// Counts the final outcome of a request.
+    pub(crate) fn record_outcome(&mut self, sent_us: u64, outcome: Outcome) {
         match outcome {
             Outcome::NotRun => self.not_run += 1,
             Outcome::Unknown => self.unknown += 1,
@@ -166,7 +166,8 @@
                 self.complete += 1;
                 if in_time {
                     self.in_time += 1;
-                    let interval = (sent_us as f64 / SECOND_US / TIMELINE_INTERVAL_S) as usize;
+                    let interval =
+                        (sent_us as f64 / MICROS_PER_SECOND / TIMELINE_INTERVAL_S) as usize;
                     if let Some(count) = self.in_time_by_interval.get_mut(interval) {
                         *count += 1;
                     }
@@ -175,22 +176,24 @@
         }
     }
 
-    /// The result.
+    /// Computes the result of the policy.
     pub(crate) fn result(&self, name: &str) -> PolicyResult {
-        let answered = self.complete + self.not_run + self.unknown;
+        let resolved = self.complete + self.not_run + self.unknown;
         let goodput = self.in_time_by_interval.iter();
         PolicyResult {
             name: name.to_owned(),
-            goodput_per_s: rounded(self.in_time as f64 / self.duration_s),
-            goodput_share: rounded(self.in_time as f64 / self.offered.max(1) as f64),
+            goodput_per_s: round_to_micro(self.in_time as f64 / self.duration_s),
+            goodput_share: round_to_micro(self.in_time as f64 / self.offered.max(1) as f64),
             role_changes: self.role_changes,
             not_run: self.not_run,
-            lost: self.offered - answered,
+            lost: self.offered - resolved,
             unknown: self.unknown,
             ran_twice: self.ran_twice,
             p95_first_token_ms: self.first_token.quantile_ms(0.95),
             p95_between_tokens_ms: self.between_tokens.quantile_ms(0.95),
-            prefix_hit_share: rounded(self.cached_tokens as f64 / self.prompt_tokens.max(1) as f64),
+            prefix_hit_share: round_to_micro(
+                self.cached_tokens as f64 / self.prompt_tokens.max(1) as f64,
+            ),
             returned: self.returned,
             returned_admitted: self.returned_admitted,
             timeline: Timeline {
@@ -204,7 +207,7 @@
     }
 }
 
-/// Rounded to six decimals, so that output stays short.
-pub(crate) fn rounded(value: f64) -> f64 {
+/// Rounds to six decimals, to keep the output short.
+pub(crate) fn round_to_micro(value: f64) -> f64 {
     (value * 1e6).round() / 1e6
 }
--- a/crates/lab/src/simulate/prefix_cache.rs
+++ b/crates/lab/src/simulate/prefix_cache.rs
@@ -1,71 +1,71 @@
-//! An engine's bounded cache of prompt prefixes; the least recently used go first.
+//! Bounded prefix cache of an engine, with LRU eviction.
 
 use std::collections::BTreeMap;
 
-/// Prefixes by last use.
+/// An LRU cache of prompt prefixes.
 #[derive(Clone, Debug)]
 pub(crate) struct PrefixCache {
     capacity_tokens: u64,
-    held_tokens: u64,
-    clock: u64,
+    cached_tokens: u64,
+    use_counter: u64,
     by_key: BTreeMap<u64, Entry>,
-    by_use: BTreeMap<u64, u64>,
+    lru_order: BTreeMap<u64, u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     tokens: u32,
-    used: u64,
+    last_used: u64,
 }
 
 impl PrefixCache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub(crate) fn new(capacity_tokens: u64) -> Self {
         Self {
             capacity_tokens,
-            held_tokens: 0,
-            clock: 0,
+            cached_tokens: 0,
+            use_counter: 0,
             by_key: BTreeMap::new(),
-            by_use: BTreeMap::new(),
+            lru_order: BTreeMap::new(),
         }
     }
 
-    /// Tokens of the prefix that are held; counts as a use.
+    /// Cached tokens of the prefix, 0 if it is not cached; marks it as used.
     pub(crate) fn find(&mut self, key: u64) -> u32 {
-        self.clock += 1;
+        self.use_counter += 1;
         let Some(entry) = self.by_key.get_mut(&key) else {
             return 0;
         };
-        self.by_use.remove(&entry.used);
-        entry.used = self.clock;
-        self.by_use.insert(self.clock, key);
+        self.lru_order.remove(&entry.last_used);
+        entry.last_used = self.use_counter;
+        self.lru_order.insert(self.use_counter, key);
         entry.tokens
     }
 
-    /// Keeps a prefix that has just been run.
-    pub(crate) fn keep(&mut self, key: u64, tokens: u32) {
+    /// Stores a prefix unless it is cached already or exceeds the capacity.
+    pub(crate) fn store(&mut self, key: u64, tokens: u32) {
         if self.find(key) > 0 || u64::from(tokens) > self.capacity_tokens {
             return;
         }
-        let used = self.clock;
-        self.by_key.insert(key, Entry { tokens, used });
-        self.by_use.insert(used, key);
-        self.held_tokens += u64::from(tokens);
-        while self.held_tokens > self.capacity_tokens {
-            self.drop_oldest();
+        let last_used = self.use_counter;
+        self.by_key.insert(key, Entry { tokens, last_used });
+        self.lru_order.insert(last_used, key);
+        self.cached_tokens += u64::from(tokens);
+        while self.cached_tokens > self.capacity_tokens {
+            self.evict_oldest();
         }
     }
 
-    /// Forgets everything.
+    /// Removes all prefixes.
     pub(crate) fn clear(&mut self) {
         *self = Self::new(self.capacity_tokens);
     }
 
-    fn drop_oldest(&mut self) {
-        if let Some((_, key)) = self.by_use.pop_first()
+    fn evict_oldest(&mut self) {
+        if let Some((_, key)) = self.lru_order.pop_first()
             && let Some(entry) = self.by_key.remove(&key)
         {
-            self.held_tokens -= u64::from(entry.tokens);
+            self.cached_tokens -= u64::from(entry.tokens);
         }
     }
 }
--- a/crates/lab/src/simulate/request.rs
+++ b/crates/lab/src/simulate/request.rs
@@ -5,56 +5,56 @@
 
 use super::workload::OfferedRequest;
 
-/// A request as its node sees it.
+/// State of a request at its node.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// Place among the offered requests.
+    /// Index in the offered requests.
     pub(crate) offered: usize,
-    /// When its caller sent it.
+    /// When the caller sent it, in microseconds.
     pub(crate) sent_us: u64,
-    /// Whether it is a refused caller who has come back; such are counted apart.
-    pub(crate) returned: bool,
-    /// Engines that refused it.
+    /// Whether it is the retry of a rejected caller, which is counted separately.
+    pub(crate) is_caller_retry: bool,
+    /// Engines that rejected it.
     pub(crate) tried: Vec<EngineId>,
-    /// Refusals so far.
-    pub(crate) refusals: u32,
-    /// Times it was started again after an engine broke.
+    /// Number of rejections by engines.
+    pub(crate) rejections: u32,
+    /// Number of restarts after an engine failure.
     pub(crate) restarts: u32,
-    /// Times an engine took it for its answer.
+    /// Number of times an engine accepted it to generate its output.
     pub(crate) starts: u32,
-    /// Engine that holds its KV cache, with the run of that engine.
+    /// Engine that has its KV cache, and the incarnation of that engine.
     pub(crate) prefilled: Option<(usize, u64)>,
-    /// When its first token came to the caller.
-    pub(crate) first_token_us: Option<u64>,
+    /// When the caller received the first token, in microseconds.
+    pub(crate) first_token_at_us: Option<u64>,
 }
 
 impl Request {
-    /// A request that has just been sent.
-    pub(crate) fn new(place: usize, offered: &OfferedRequest) -> Self {
+    /// Creates a request for `offered`, which has this index in the offered requests.
+    pub(crate) fn new(index: usize, offered: &OfferedRequest) -> Self {
         Self {
-            offered: place,
+            offered: index,
             sent_us: offered.sent_us,
-            returned: false,
+            is_caller_retry: false,
             tried: Vec::new(),
-            refusals: 0,
+            rejections: 0,
             restarts: 0,
             starts: 0,
             prefilled: None,
-            first_token_us: None,
+            first_token_at_us: None,
         }
     }
 
-    /// The same request sent again by a refused caller.
-    pub(crate) fn sent_again(&self, now_us: u64, offered: &OfferedRequest) -> Self {
+    /// Creates the retry of a rejected caller.
+    pub(crate) fn caller_retry(&self, now_us: u64, offered: &OfferedRequest) -> Self {
         Self {
             sent_us: now_us,
-            returned: true,
+            is_caller_retry: true,
             ..Self::new(self.offered, offered)
         }
     }
 }
 
-/// An attempt at an engine.
+/// An attempt at a request on one engine.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) request: usize,
@@ -63,5 +63,6 @@
     pub(crate) incarnation: u64,
     pub(crate) placement: Placement,
     pub(crate) ticket: Ticket,
-    pub(crate) open: bool,
+    /// Whether the node still waits for signals about it.
+    pub(crate) is_open: bool,
 }
--- a/crates/lab/src/simulate/role_control.rs
+++ b/crates/lab/src/simulate/role_control.rs
@@ -1,4 +1,4 @@
-//! How each policy gives roles: the planners of the groups, or a utilization threshold.
+//! Role assignment of each policy: the product's planners or a utilization threshold.
 
 use std::time::Duration;
 
@@ -6,42 +6,42 @@
 use dalestand_types::{EngineDigest, GroupDigest, MonotonicTime, Role};
 
 use super::fleet::Fleet;
-use super::policy::{Policy, Roles};
+use super::policy::{Policy, RoleAssignment};
 use super::scenario::Scenario;
 
-/// Drain expected of an engine before a change.
-const EXPECTED_DRAIN: Duration = Duration::from_secs(4);
+/// Expected drain time of an engine before a role change.
+const EXPECTED_DRAIN_TIME: Duration = Duration::from_secs(4);
 
-/// Utilization from which the threshold policy helps a side.
-const BUSY: f64 = 0.8;
+/// Mean utilization above which the threshold policy adds an engine to a role.
+const BUSY_UTILIZATION: f64 = 0.8;
 
-/// Utilization up to which it takes an engine from the other side.
-const IDLE: f64 = 0.6;
+/// Mean utilization below which it removes an engine from the other role.
+const IDLE_UTILIZATION: f64 = 0.6;
 
-/// Shortest time between two changes of a pool by the threshold policy.
-const THRESHOLD_PAUSE: Duration = Duration::from_secs(10);
+/// Minimum time between two role changes in a pool by the threshold policy.
+const THRESHOLD_COOLDOWN: Duration = Duration::from_secs(10);
 
-/// Queue of prompt tokens at which the threshold policy counts an engine as busy, in seconds.
-const BUSY_QUEUE_S: f64 = 1.0;
+/// Prefill queue, in seconds of work, that the threshold policy counts as full utilization.
+const FULL_QUEUE_S: f64 = 1.0;
 
-/// An engine that is to change its role.
+/// An order for an engine to change its role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RoleOrder {
     pub(crate) engine: usize,
     pub(crate) role: Role,
 }
 
-/// Gives roles under one policy.
+/// Assigns roles under one policy.
 pub(crate) struct RoleControl {
     policy: Policy,
     planners: Vec<Option<RolePlanner>>,
-    thresholds: Vec<Threshold>,
+    thresholds: Vec<ThresholdPolicy>,
     plan_whole_pool: bool,
 }
 
 /// State of the threshold policy for one pool.
 #[derive(Clone, Debug)]
-struct Threshold {
+struct ThresholdPolicy {
     changed_at: MonotonicTime,
     loads: Vec<(usize, EngineDigest)>,
     prefill_token_s: f64,
@@ -49,11 +49,11 @@
 }
 
 impl RoleControl {
-    /// Control under `policy`.
+    /// Creates the role control for `policy`.
     pub(crate) fn new(policy: Policy, fleet: &Fleet, scenario: &Scenario) -> Self {
         let planners = fleet.groups.iter().map(|group| {
             let pool = &scenario.pools[group.pool];
-            if policy.roles != Roles::Dalestand || pool.roles.len() < 2 {
+            if policy.roles != RoleAssignment::Dalestand || pool.roles.len() < 2 {
                 return None;
             }
             let change = Duration::from_millis(scenario.engine.role_change_ms);
@@ -61,12 +61,12 @@
                 change_weight: scenario.roles.change_weight,
                 max_changes_at_once: scenario.roles.max_changes_at_once,
                 allowed_roles: pool.roles.clone(),
-                change_duration: change + EXPECTED_DRAIN,
+                change_duration: change + EXPECTED_DRAIN_TIME,
                 ..PlannerConfig::default()
             };
             Some(RolePlanner::new(group.id.clone(), config))
         });
-        let thresholds = scenario.pools.iter().map(|_| Threshold {
+        let thresholds = scenario.pools.iter().map(|_| ThresholdPolicy {
             changed_at: MonotonicTime::ZERO,
             loads: Vec::new(),
             prefill_token_s: scenario.engine.prefill_token_us / 1e6,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Roles at the start.
+    /// Initial roles by engine index.
     pub(crate) fn initial_roles(&self, fleet: &Fleet, scenario: &Scenario) -> Vec<Role> {
         let mut roles = vec![Role::Mixed; fleet.engines.len()];
         for (number, pool) in scenario.pools.iter().enumerate() {
@@ -94,45 +94,45 @@
                 mixed: 0,
             };
             let split = match self.policy.roles {
-                Roles::Mixed => continue,
-                Roles::Dalestand if pool.roles.contains(&Role::Mixed) => continue,
-                Roles::Fixed(split) => split,
-                Roles::Threshold | Roles::Dalestand => half,
+                RoleAssignment::Mixed => continue,
+                RoleAssignment::Dalestand if pool.roles.contains(&Role::Mixed) => continue,
+                RoleAssignment::Fixed(split) => split,
+                RoleAssignment::Threshold | RoleAssignment::Dalestand => half,
             };
-            for (engine, role) in fleet.split(number, split) {
+            for (engine, role) in fleet.assign_roles(number, split) {
                 roles[engine] = role;
             }
         }
         roles
     }
 
-    /// Groups whose planner wants the digests of `group`.
-    pub(crate) fn listeners(&self, fleet: &Fleet, group: usize) -> Vec<usize> {
+    /// Groups whose planner receives the digests of `group`.
+    pub(crate) fn digest_receivers(&self, fleet: &Fleet, group: usize) -> Vec<usize> {
         let pool = fleet.groups[group].pool;
         let groups = 0..fleet.groups.len();
         groups
             .filter(|other| {
-                let together = self.plan_whole_pool && fleet.groups[*other].pool == pool;
-                self.planners[*other].is_some() && (*other == group || together)
+                let is_planned_together = self.plan_whole_pool && fleet.groups[*other].pool == pool;
+                self.planners[*other].is_some() && (*other == group || is_planned_together)
             })
             .collect()
     }
 
-    /// A digest comes to the holder of a group's lease.
+    /// Passes a digest to the planner of the group `holder`.
     pub(crate) fn observe(&mut self, now: MonotonicTime, holder: usize, digest: &GroupDigest) {
         if let Some(planner) = &mut self.planners[holder] {
             planner.observe(now, digest);
         }
     }
 
-    /// The threshold policy sees every digest at once.
+    /// Passes a digest to the threshold policy, which receives it without delay.
     pub(crate) fn observe_for_threshold(
         &mut self,
         fleet: &Fleet,
         group: usize,
         digest: &GroupDigest,
     ) {
-        if self.policy.roles != Roles::Threshold {
+        if self.policy.roles != RoleAssignment::Threshold {
             return;
         }
         let info = &fleet.groups[group];
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Changes that the group's planner orders.
+    /// Role orders of the group's planner.
     pub(crate) fn plan(
         &mut self,
         now: MonotonicTime,
@@ -157,7 +157,7 @@
         let roles = plan.roles.iter();
         roles
             .filter_map(|(id, role)| {
-                let engine = fleet.engine(id)?;
+                let engine = fleet.engine_index(id)?;
                 Some(RoleOrder {
                     engine,
                     role: *role,
@@ -166,40 +166,46 @@
             .collect()
     }
 
-    /// A change that the threshold policy orders.
+    /// Role order of the threshold policy, if any.
     pub(crate) fn threshold_change(
         &mut self,
         now: MonotonicTime,
         pool: usize,
     ) -> Option<RoleOrder> {
-        if self.policy.roles != Roles::Threshold {
+        if self.policy.roles != RoleAssignment::Threshold {
             return None;
         }
         self.thresholds[pool].change(now)
     }
 }
 
-impl Threshold {
+impl ThresholdPolicy {
     fn change(&mut self, now: MonotonicTime) -> Option<RoleOrder> {
-        if now.since(self.changed_at) < THRESHOLD_PAUSE {
+        if now.since(self.changed_at) < THRESHOLD_COOLDOWN {
             return None;
         }
-        let (prefill_engines, prefill) = self.side(Role::Prefill);
-        let (decode_engines, decode) = self.side(Role::Decode);
-        let (from, role) = if prefill > BUSY && decode < IDLE && decode_engines.len() > 1 {
+        let (prefill_engines, prefill) = self.engines_in_role(Role::Prefill);
+        let (decode_engines, decode) = self.engines_in_role(Role::Decode);
+        let (candidates, role) = if prefill > BUSY_UTILIZATION
+            && decode < IDLE_UTILIZATION
+            && decode_engines.len() > 1
+        {
             (decode_engines, Role::Prefill)
-        } else if decode > BUSY && prefill < IDLE && prefill_engines.len() > 1 {
+        } else if decode > BUSY_UTILIZATION
+            && prefill < IDLE_UTILIZATION
+            && prefill_engines.len() > 1
+        {
             (prefill_engines, Role::Decode)
         } else {
             return None;
         };
         self.changed_at = now;
-        let engine = from.into_iter().min()?;
+        let engine = candidates.into_iter().min()?;
         Some(RoleOrder { engine, role })
     }
 
-    /// The engines of a side that serve, and their mean utilization.
-    fn side(&self, role: Role) -> (Vec<usize>, f64) {
+    /// Engines that accept requests in `role`, and their mean utilization.
+    fn engines_in_role(&self, role: Role) -> (Vec<usize>, f64) {
         let serving = self
             .loads
             .iter()
@@ -210,7 +216,7 @@
                 let load = &report.load;
                 if role == Role::Prefill {
                     let queue_s = load.queued_prefill_tokens as f64 * self.prefill_token_s;
-                    (queue_s / BUSY_QUEUE_S).min(1.0)
+                    (queue_s / FULL_QUEUE_S).min(1.0)
                 } else {
                     (f64::from(load.running + load.waiting) / self.batch).min(1.0)
                 }
--- a/crates/lab/src/simulate/scenario.rs
+++ b/crates/lab/src/simulate/scenario.rs
@@ -1,46 +1,46 @@
-//! Scenario files: fleet, network, classes of requests, phases, faults and the seed.
+//! Scenario files: fleet, network, request classes, phases, faults and seed.
 
 use std::collections::BTreeMap;
 
 use dalestand_types::Role;
 use serde::Deserialize;
 
-/// A checked scenario file. Unknown keys are refused.
+/// A scenario file. Unknown keys are rejected.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Name, for people.
+    /// Name for display.
     pub name: String,
-    /// Seed of everything random; `--seed` takes its place.
+    /// Seed of all random streams; overridden by `--seed`.
     pub seed: u64,
     /// Rules for role changes.
     #[serde(default)]
     pub roles: RoleRules,
-    /// Delays.
+    /// Network delays.
     #[serde(default)]
     pub network: Network,
-    /// Digests of load.
+    /// Load digests.
     #[serde(default)]
     pub digests: Digests,
-    /// What an engine costs and holds.
+    /// Step costs and limits of the engines.
     #[serde(default)]
     pub engine: EngineSettings,
-    /// Zones.
+    /// Zones of the fleet.
     #[serde(rename = "zone")]
     pub zones: Vec<Zone>,
     /// Pools of engines.
     #[serde(rename = "pool")]
     pub pools: Vec<Pool>,
-    /// Classes of requests.
+    /// Request classes.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Phases, one after the other.
+    /// Consecutive phases.
     #[serde(rename = "phase")]
     pub phases: Vec<Phase>,
-    /// Faults.
+    /// Faults to inject.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// Whether a refused caller comes back once, when it was told to.
+    /// Whether a rejected caller retries once after the delay it was told.
     #[serde(default)]
     pub refused_callers_return: bool,
 }
@@ -49,9 +49,9 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoleRules {
-    /// Weight of role changes against goodput.
+    /// Weight of role changes relative to goodput.
     pub change_weight: f64,
-    /// Most engines out of service for a change at once.
+    /// Maximum number of engines out of service for a role change at once.
     pub max_changes_at_once: usize,
     /// Whether the groups of a pool are planned together.
     pub plan_whole_pool: bool,
@@ -67,7 +67,7 @@
     }
 }
 
-/// One-way delays.
+/// One-way delays and KV cache transfer rate.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
@@ -79,7 +79,7 @@
     pub other_region_us: u64,
     /// Between a caller and its node, in microseconds.
     pub caller_us: u64,
-    /// KV cache moved by one engine in a second, in GB.
+    /// KV cache export rate of an engine, in GB/s.
     pub kv_gigabytes_per_s: f64,
 }
 
@@ -95,15 +95,15 @@
     }
 }
 
-/// Digests of load: late, and some are lost.
+/// Delivery of load digests, which are delayed and may be lost.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Digests {
-    /// Time between two digests of a group, in milliseconds.
+    /// Interval between two digests of a group, in milliseconds.
     pub interval_ms: u64,
-    /// Longest added delay on the way to a node, in milliseconds.
+    /// Maximum additional delay of a digest, in milliseconds.
     pub jitter_ms: u64,
-    /// Share lost on the way to a node.
+    /// Probability that a digest is lost.
     pub loss: f64,
 }
 
@@ -117,35 +117,35 @@
     }
 }
 
-/// What an engine costs and holds.
+/// Step costs and limits of an engine.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct EngineSettings {
-    /// Most requests held.
+    /// Maximum number of requests in the batch and waiting.
     pub capacity: u32,
-    /// Most requests in the batch.
+    /// Maximum number of requests in the batch.
     pub max_running: u32,
-    /// Time of a step, in microseconds.
+    /// Base time of a step, in microseconds.
     pub step_us: f64,
-    /// Added time for each sequence that decodes, in microseconds.
+    /// Additional time per decoding sequence, in microseconds.
     pub step_per_sequence_us: f64,
-    /// Added time for each thousand tokens of context of those, in microseconds.
+    /// Additional time per thousand context tokens of the decoding sequences, in microseconds.
     pub step_per_context_us: f64,
-    /// Added time for each prompt token, in microseconds.
+    /// Additional time per prefilled prompt token, in microseconds.
     pub prefill_token_us: f64,
-    /// Most prompt tokens of one step.
+    /// Maximum number of prompt tokens prefilled in one step.
     pub prefill_chunk: u32,
-    /// Share by which a step that runs prompts and output together is slower.
+    /// Fraction by which a step with both prefill and decode is slower.
     pub mixed_overhead: f64,
-    /// KV cache, in tokens.
+    /// KV cache capacity, in tokens.
     pub cache_tokens: u64,
-    /// Part of it that is kept for prefixes of past requests, in tokens.
+    /// Capacity of the prefix cache, in tokens.
     pub prefix_tokens: u64,
-    /// KV cache of one token, in bytes.
+    /// KV cache size per token, in bytes.
     pub kv_bytes_per_token: u64,
     /// Time out of service for a role change, in milliseconds.
     pub role_change_ms: u64,
-    /// Weights fetched when an engine starts, in GB.
+    /// Size of the weights loaded at an engine start, in GB.
     pub weights_gigabytes: f64,
 }
 
@@ -173,36 +173,36 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name.
+    /// Name of the zone.
     pub name: String,
-    /// Its region.
+    /// Region of the zone.
     #[serde(default)]
     pub region: String,
-    /// Its nodes.
+    /// Number of nodes.
     #[serde(default = "one")]
     pub nodes: usize,
 }
 
-/// A pool of engines that serve one model of the same name.
+/// A pool of engines that serve one model.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pool {
-    /// Its name and that of its model.
+    /// Name of the pool and of its model.
     pub name: String,
-    /// Whether a request may run again.
+    /// Whether a request may run more than once.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// Engines by zone.
+    /// Number of engines by zone.
     pub engines: BTreeMap<String, usize>,
-    /// Roles its engines may have.
+    /// Allowed roles of the engines.
     #[serde(default = "all_roles")]
     pub roles: Vec<Role>,
-    /// Rate at which the weight store serves all its engines, in GB a second.
+    /// Rate at which the weight store serves all engines of the pool together, in GB/s.
     #[serde(default = "weight_rate")]
     pub weight_store_gigabytes_per_s: f64,
 }
 
-/// Lengths in tokens: log-normal, cut at both ends.
+/// Log-normal distribution of a length in tokens, clamped to 1 to `max`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Length {
@@ -210,19 +210,19 @@
     pub median: f64,
     /// Standard deviation of the logarithm.
     pub sigma: f64,
-    /// Longest.
+    /// Maximum.
     pub max: u32,
 }
 
-/// Leading parts that prompts share.
+/// Prefixes that prompts share.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct SharedPrefix {
-    /// Different ones.
+    /// Number of different prefixes.
     pub count: u32,
-    /// Tokens of each.
+    /// Tokens per prefix.
     pub tokens: u32,
-    /// Share of the requests that have one.
+    /// Share of the requests with a shared prefix.
     pub share: f64,
 }
 
@@ -230,79 +230,79 @@
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// The pool that serves it.
+    /// Pool that serves the class.
     pub pool: String,
     /// Prompt lengths.
     pub prompt: Length,
-    /// Answer lengths; callers ask for at most `max`.
+    /// Output lengths; callers request at most `max` tokens.
     pub output: Length,
-    /// Shared leading parts.
+    /// Shared prefixes, if any.
     pub prefix: Option<SharedPrefix>,
-    /// Time to the first token, in milliseconds.
+    /// Deadline for the first token, in milliseconds.
     pub first_token_ms: Option<u64>,
-    /// Time to the end of the answer, in milliseconds.
+    /// Deadline for the complete response, in milliseconds.
     pub deadline_ms: u64,
-    /// Importance; a higher number goes first.
+    /// Priority; higher numbers are served first.
     #[serde(default)]
     pub priority: u8,
 }
 
-/// How the rates move within a phase.
+/// Course of the request rates within a phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Shape {
-    /// They stay.
+    /// Constant at `rates`.
     #[default]
     Steady,
-    /// They go to `to` in a line.
+    /// Linear from `rates` to `to`.
     Ramp,
-    /// They swing to `to` and back within each period.
+    /// Sinusoidal from `rates` to `to` and back in each period.
     Swing,
-    /// They are `to` for the first part of each period.
+    /// At `to` for the first `burst_s` of each period, else at `rates`.
     Burst,
 }
 
-/// A phase.
+/// A phase of the load.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Phase {
-    /// Its length, in seconds.
+    /// Duration, in seconds.
     pub duration_s: f64,
-    /// Requests a second by class.
+    /// Requests per second by class.
     pub rates: BTreeMap<String, f64>,
-    /// How they move.
+    /// Course of the rates.
     #[serde(default)]
     pub shape: Shape,
-    /// Where they move to.
+    /// Target rates by class.
     #[serde(default)]
     pub to: BTreeMap<String, f64>,
     /// Period of a swing or burst, in seconds.
     #[serde(default)]
     pub period_s: f64,
-    /// Length of a burst, in seconds.
+    /// Duration of a burst, in seconds.
     #[serde(default)]
     pub burst_s: f64,
 }
 
-/// A fault.
+/// A fault to inject.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// An engine is gone with all it holds, and starts again later.
+    /// An engine crashes, loses all its requests, and restarts after `out_s`.
     Crash {
         engine: String,
         at_s: f64,
         out_s: f64,
     },
-    /// A zone is cut off from the others.
+    /// A network partition isolates a zone from the others.
     Cut {
         zone: String,
         at_s: f64,
         length_s: f64,
     },
-    /// The next engine of a pool to change its role after this time crashes while it does.
+    /// The first engine of a pool to change its role after `at_s` crashes during the change.
     CrashInChange { pool: String, at_s: f64, out_s: f64 },
 }
 
@@ -317,7 +317,7 @@
         }
     }
 
-    /// Length of all phases, in seconds.
+    /// Total duration of the phases, in seconds.
     pub fn duration_s(&self) -> f64 {
         self.phases.iter().map(|phase| phase.duration_s).sum()
     }
@@ -332,8 +332,8 @@
             Shape::Steady => 0.0,
             Shape::Ramp => second / self.duration_s,
             Shape::Swing => {
-                let turn = second / self.period_s * std::f64::consts::TAU;
-                (1.0 - turn.cos()) / 2.0
+                let angle = second / self.period_s * std::f64::consts::TAU;
+                (1.0 - angle.cos()) / 2.0
             }
             Shape::Burst if second % self.period_s < self.burst_s => 1.0,
             Shape::Burst => 0.0,
@@ -341,8 +341,8 @@
         from + (to - from) * share
     }
 
-    /// Highest rate of a class.
-    pub fn highest_rate(&self, class: &str) -> f64 {
+    /// Maximum rate of a class in the phase.
+    pub fn max_rate(&self, class: &str) -> f64 {
         let from = self.rates.get(class).copied().unwrap_or(0.0);
         from.max(self.to.get(class).copied().unwrap_or(from))
     }
--- a/crates/lab/tests/simulate.rs
+++ b/crates/lab/tests/simulate.rs
@@ -1,4 +1,4 @@
-//! The emulator: repeatable, nothing lost under faults, scenario files checked.
+//! The simulator is reproducible, loses no request under faults and rejects invalid scenarios.
 
 use dalestand_lab::report;
 use dalestand_lab::simulate::{Comparison, PolicyResult, compare, parse};
@@ -7,19 +7,19 @@
 const SMALL: &str = include_str!("data/small.toml");
 
 fn run(text: &str, seed: u64) -> Comparison {
-    let scenario = parse(text).expect("the scenario is right");
+    let scenario = parse(text).expect("a valid scenario");
     compare(&scenario, seed)
 }
 
 fn json(comparison: &Comparison) -> String {
-    serde_json::to_string(comparison).expect("results can be written")
+    serde_json::to_string(comparison).expect("serialisable results")
 }
 
 fn policy<'a>(comparison: &'a Comparison, name: &str) -> &'a PolicyResult {
     let mut policies = comparison.policies.iter();
     policies
         .find(|policy| policy.name == name)
-        .expect("the policy was run")
+        .expect("a result of the policy")
 }
 
 #[test]
@@ -30,13 +30,14 @@
 }
 
 #[test]
-fn no_request_is_lost_or_run_twice_under_crashes_and_cuts() {
+fn no_request_is_lost_or_run_twice_under_crashes_and_partitions() {
     let results = run(SMALL, 5);
     for policy in &results.policies {
         assert_eq!(policy.lost, 0, "{}", policy.name);
         assert_eq!(policy.ran_twice, 0, "{}", policy.name);
     }
-    // The crash of an engine whose requests may not be repeated leaves some in doubt.
+    // After the crash of an engine in a pool that is not repeatable, it is unknown whether its
+    // requests ran.
     assert!(policy(&results, "dalestand").unknown > 0);
 }
 
@@ -91,28 +92,28 @@
 #[case::unknown_class("rates = { long = 4, order = 30 }", "rates = { short = 4 }", "short")]
 #[case::unknown_pool("pool = \"orders\"", "pool = \"others\"", "others")]
 #[case::negative_rate("long = 4", "long = -4", "negative")]
-#[case::split_of_what_runs_once(
+#[case::split_of_an_unrepeatable_pool(
     "roles = [\"mixed\"]",
     "roles = [\"prefill\", \"decode\"]",
     "mixed"
 )]
 #[case::unknown_engine("engine = \"text-3\"", "engine = \"text-9\"", "text-9")]
-fn a_wrong_scenario_is_refused_with_the_place(
-    #[case] right: &str,
-    #[case] wrong: &str,
-    #[case] named: &str,
+fn an_invalid_scenario_is_rejected_with_its_location(
+    #[case] valid: &str,
+    #[case] invalid: &str,
+    #[case] expected: &str,
 ) {
-    let error = parse(&SMALL.replace(right, wrong)).expect_err("refused");
-    assert!(error.to_string().contains(named), "{error}");
+    let error = parse(&SMALL.replace(valid, invalid)).expect_err("an invalid scenario");
+    assert!(error.to_string().contains(expected), "{error}");
 }
 
 #[test]
-fn every_scenario_of_the_project_is_right() {
+fn every_scenario_of_the_repository_is_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
-    let files = std::fs::read_dir(folder).expect("the folder is there");
+    let files = std::fs::read_dir(folder).expect("the scenarios folder");
     for file in files {
-        let path = file.expect("it can be listed").path();
-        let text = std::fs::read_to_string(&path).expect("it can be read");
+        let path = file.expect("a folder entry").path();
+        let text = std::fs::read_to_string(&path).expect("a readable scenario");
         if let Err(error) = parse(&text) {
             panic!("{}: {error}", path.display());
         }
@@ -121,7 +122,7 @@
 
 #[test]
 fn the_page_has_a_plot_with_a_line_for_each_policy() {
-    let page = report::page(&[run(SMALL, 5)]).expect("it can be drawn");
+    let page = report::page(&[run(SMALL, 5)]).expect("a page");
     assert_eq!(page.matches("<svg").count(), 4);
     assert_eq!(page.matches("goodput per second").count(), 1);
     for name in [
@@ -131,7 +132,7 @@
         "threshold",
         "dalestand",
     ] {
-        // Once in the table and once in each plot's legend.
+        // Once in the table and once in the legend of each of the four plots.
         assert_eq!(page.matches(name).count(), 5, "{name}");
     }
 }
