--- a/crates/standin/src/key_value/store.rs
+++ b/crates/standin/src/key_value/store.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Writes `key`, or deletes it if `value` is `None`, if the expectation holds. Returns `None` if
-    /// the lease is unknown.
+    /// Writes `key`, or deletes it if `value` is `None`, if the expectation holds. Returns `None`
+    /// if the lease is unknown.
     pub fn compare_and_swap(
         &mut self,
         key: &str,
