--- a/crates/lab/src/simulate/engine.rs
+++ b/crates/lab/src/simulate/engine.rs
@@ -220,8 +220,8 @@
 
     /// Discards all requests and caches; returns the attempts that were lost.
     pub(crate) fn crash(&mut self) -> Vec<usize> {
-        let held = self.waiting.drain(..).chain(self.running.drain(..));
-        let attempts = held
+        let sequences = self.waiting.drain(..).chain(self.running.drain(..));
+        let attempts = sequences
             .chain(self.importing.drain(..))
             .map(|sequence| sequence.attempt)
             .collect();
--- a/crates/lab/src/simulate/fleet.rs
+++ b/crates/lab/src/simulate/fleet.rs
@@ -194,7 +194,7 @@
                 zone: scenario
                     .zones
                     .iter()
-                    .position(|known| known.name == *zone)?,
+                    .position(|candidate| candidate.name == *zone)?,
                 from_us: (at_s * MICROS_PER_SECOND) as u64,
                 until_us: ((at_s + length_s) * MICROS_PER_SECOND) as u64,
             }),
--- a/crates/lab/src/simulate/outcome.rs
+++ b/crates/lab/src/simulate/outcome.rs
@@ -36,10 +36,10 @@
     /// Quantile in milliseconds, rounded up to the end of its bucket; 0 if the histogram is empty.
     pub(crate) fn quantile_ms(&self, quantile: f64) -> f64 {
         let rank = (self.count as f64 * quantile).ceil() as u64;
-        let mut seen = 0;
+        let mut cumulative_count = 0;
         for (bucket, count) in self.buckets.iter().enumerate() {
-            seen += count;
-            if seen >= rank.max(1) {
+            cumulative_count += count;
+            if cumulative_count >= rank.max(1) {
                 return (bucket as u64 + 1) as f64 * BUCKET_US as f64 / 1_000.0;
             }
         }
--- a/crates/lab/src/simulate/request.rs
+++ b/crates/lab/src/simulate/request.rs
@@ -29,7 +29,7 @@
 }
 
 impl Request {
-    /// Creates a request for `offered`, which has this index in the offered requests.
+    /// Creates the request for `offered`; `index` is its index in the offered requests.
     pub(crate) fn new(index: usize, offered: &OfferedRequest) -> Self {
         Self {
             offered: index,
--- a/crates/lab/src/simulate/simulation.rs
+++ b/crates/lab/src/simulate/simulation.rs
@@ -1,4 +1,4 @@
-//! One run of one policy in virtual time.
+//! Simulation of one policy in virtual time.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -166,7 +166,7 @@
             Fault::CrashInChange { pool, at_s, out_s } => {
                 let pools = self.scenario.pools.iter();
                 let armed_crashes = pools.zip(&mut self.crashes_in_change);
-                for (_, armed) in armed_crashes.filter(|(known, _)| known.name == *pool) {
+                for (_, armed) in armed_crashes.filter(|(candidate, _)| candidate.name == *pool) {
                     *armed = Some((to_micros(*at_s), to_micros(*out_s)));
                 }
             }
