--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use dalestand_edge::duty_calls::{
-    DutyAuthority, DutyCalls, DutyOutcome, EngineCountOrder, EngineTenure,
+    DutyAuthority, DutyCalls, DutyOutcome, EngineCountOrder, ProvisioningModel,
 };
 use dalestand_edge::{KeyValue, PlatformError};
 use dalestand_planner::{
@@ -169,7 +169,7 @@
 
 fn order_outcome(answered: &Result<DutyOutcome, Report<PlatformError>>) -> OrderOutcome {
     match answered {
-        Ok(DutyOutcome::Taken) => OrderOutcome::Accepted,
+        Ok(DutyOutcome::Accepted) => OrderOutcome::Accepted,
         Ok(DutyOutcome::Refused) => OrderOutcome::Refused,
         Err(error) if error.current_context().is_in_doubt() => OrderOutcome::InDoubt,
         Err(_) => OrderOutcome::NotSent,
@@ -298,7 +298,7 @@
             let spot = ZoneSpotEngines {
                 serving: serving.get(zone).map_or(0, |engines| engines.spot),
                 leaving: leaving.get(zone).copied().unwrap_or_default(),
-                ordered: holder.orders.ordered(zone, EngineTenure::Spot),
+                ordered: holder.orders.ordered(zone, ProvisioningModel::Spot),
             };
             (zone.clone(), spot)
         });
@@ -390,7 +390,7 @@
         let call = EngineCountOrder {
             pool: pool.clone(),
             zone: order.key.zone.clone(),
-            tenure: order.key.tenure,
+            provisioning: order.key.provisioning,
             count: order.count,
         };
         let sent = self.calls.set_engine_count(authority, &call);
@@ -424,16 +424,16 @@
         match answered {
             Ok(outcome) => {
                 let event = match outcome {
-                    DutyOutcome::Taken => Event::EngineCountOrdered,
+                    DutyOutcome::Accepted => Event::EngineCountOrdered,
                     DutyOutcome::Refused => Event::DutyRefused,
                 };
                 log_event!(logger, event, "duty" => "scaling", "pool" => %order.pool,
-                    "zone" => %order.zone, "tenure" => ?order.tenure, "count" => order.count,
+                    "zone" => %order.zone, "tenure" => ?order.provisioning, "count" => order.count,
                     "token" => token, "weighed" => %decision);
             }
             Err(error) => {
                 log_event!(logger, Event::EngineCountFailed, "pool" => %order.pool,
-                    "zone" => %order.zone, "tenure" => ?order.tenure, "count" => order.count,
+                    "zone" => %order.zone, "tenure" => ?order.provisioning, "count" => order.count,
                     "step" => "send", "error" => %error.current_context(), "weighed" => %decision);
             }
         }
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -7,7 +7,7 @@
 use actix_http::StatusCode;
 use actix_http::header::CONTENT_ENCODING;
 use dalestand_clock::{BootInstant, timeout};
-use dalestand_edge::routed::EngineTerms;
+use dalestand_edge::routed::EngineRequestOptions;
 use dalestand_engine_link::{Exchange, LinkTarget, ResponseBody, ResponseHead, SendError};
 use dalestand_quarantine::STOP_AFTER_CRASHES;
 use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
@@ -57,7 +57,7 @@
     pub(crate) purpose: CallPurpose,
     pub(crate) pool: &'a PoolName,
     pub(crate) choice: EngineChoice,
-    pub(crate) terms: EngineTerms<'a>,
+    pub(crate) terms: EngineRequestOptions<'a>,
     /// Time limit for the response head.
     pub(crate) timeout: Duration,
 }
@@ -121,7 +121,7 @@
     }
     count_prefill(context, progress, call.choice.unprefilled_tokens);
     let mut head = progress.request_head();
-    let terms = EngineTerms {
+    let terms = EngineRequestOptions {
         fetch_from: call
             .choice
             .fetch_from
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -8,7 +8,7 @@
 use actix_http::{Method, RequestHead, Uri};
 use bytes::Bytes;
 use dalestand_clock::BootInstant;
-use dalestand_edge::routed::RequestFacts;
+use dalestand_edge::routed::RequestMetadata;
 use dalestand_quarantine::RequestFingerprint;
 use dalestand_routes::{Caller, RouteConfig, RouteTable};
 use dalestand_routing::staged::{
@@ -139,7 +139,7 @@
 
 /// A request that has been accepted.
 pub(crate) struct AcceptedRequest {
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestMetadata,
     pub(crate) caller: Caller,
     pub(crate) forwarded: ForwardedRequest,
     pub(crate) table: Rc<RouteTable>,
@@ -152,7 +152,7 @@
 
 /// A request that is being served.
 pub(crate) struct Progress {
-    pub(crate) facts: RequestFacts,
+    pub(crate) facts: RequestMetadata,
     /// The caller.
     pub(crate) caller: Caller,
     pub(crate) forwarded: ForwardedRequest,
--- a/crates/node/src/caller_server.rs
+++ b/crates/node/src/caller_server.rs
@@ -8,7 +8,7 @@
 
 use actix_rt::Arbiter;
 use actix_rt::time::timeout;
-use dalestand_gateway::{CallerLimits, Shared, serve_callers};
+use dalestand_gateway::{CallerLimits, SharedState, serve_callers};
 use dalestand_http_server::Connections;
 use dalestand_telemetry::{Event, log_event};
 use error_stack::{Report, ResultExt as _};
@@ -37,7 +37,7 @@
 impl CallerServer {
     /// Starts serving callers on `listener`.
     pub(crate) fn start(
-        shared: &Arc<Shared>,
+        shared: &Arc<SharedState>,
         listener: std::net::TcpListener,
     ) -> Result<Self, Report<NodeError>> {
         let connections = Connections::default();
@@ -62,7 +62,7 @@
     /// Stops accepting connections and waits until the answers to all accepted requests are written
     /// completely. The end of an answer may still be in a connection's buffer after its request has
     /// finished.
-    pub(crate) async fn drain(&self, shared: &Shared) {
+    pub(crate) async fn drain(&self, shared: &SharedState) {
         self.connections.stop_accepting().await;
         actix_rt::time::sleep(LATE_REQUEST_WINDOW).await;
         if timeout(FLUSH_TIMEOUT, self.connections.drain())
@@ -82,7 +82,7 @@
 }
 
 fn start_arbiter(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     listener: std::net::TcpListener,
     connections: Connections,
 ) -> Arbiter {
--- a/crates/node/src/configuration/fetch.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::Revision;
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -49,7 +49,7 @@
 
 /// Fetches and applies announced configurations until dropped.
 pub(crate) async fn fetch_announced(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     link: Rc<PeerLink>,
     peers: PeerClient,
     store: Rc<ConfigurationStore>,
--- a/crates/node/src/control_plane.rs
+++ b/crates/node/src/control_plane.rs
@@ -9,7 +9,7 @@
 use dalestand_cluster::{Cluster, ClusterConfig, Member};
 use dalestand_config::NodeSettings;
 use dalestand_edge::KeyValue;
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_peer_seal::PeerSeal;
 use dalestand_types::Incarnation;
 use tokio::net::{TcpListener, UdpSocket};
@@ -33,7 +33,7 @@
     /// Settings of the node.
     pub settings: NodeSettings,
     /// State shared with the caller server.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     /// Addresses that the node listens on.
     pub addresses: NodeAddresses,
     /// Listener of the operator API.
@@ -52,7 +52,7 @@
 
 /// A running control plane.
 pub struct ControlPlane {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     link: Rc<PeerLink>,
     cluster: Rc<RefCell<Cluster>>,
     control: Rc<ControlDriver>,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,6 +1,6 @@
 //! A node: the caller server and the control plane, on separate arbiters.
 //!
-//! They share only [`dalestand_gateway::Shared`], so that a stalled control plane does not delay
+//! They share only [`dalestand_gateway::SharedState`], so that a stalled control plane does not delay
 //! the streams of callers.
 
 mod admin;
--- a/crates/node/src/machines.rs
+++ b/crates/node/src/machines.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use dalestand_cluster::{Cluster, Record, RecordKey, RecordVersion};
 use dalestand_edge::{HttpMachineList, MachineList as _};
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_telemetry::{Event, log_event};
 use dalestand_types::{EngineId, Machine, MachineKind, MachineState, MonotonicTime};
 use rand::RngExt as _;
@@ -131,7 +131,7 @@
 
 /// Polls the machine list until dropped. A failed read leaves the known machines unchanged.
 pub(crate) async fn poll_machines(
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     address: SocketAddr,
     interval: Duration,
     machines: Rc<RefCell<Machines>>,
@@ -163,7 +163,7 @@
     }
 }
 
-fn publish(shared: &Shared, cluster: &mut Cluster, changed: &[Machine]) {
+fn publish(shared: &SharedState, cluster: &mut Cluster, changed: &[Machine]) {
     for machine in changed {
         let published = rmp_serde::to_vec(machine).map(|payload| {
             cluster.publish(Record {
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -8,7 +8,7 @@
 use dalestand_config::NodeSettings;
 use dalestand_edge::HttpKeyValue;
 use dalestand_gateway::{
-    ClaimEnd, ClaimKey, ClaimOutcome, ClaimRequest, KeptAnswer, RequestFingerprint, Shared,
+    ClaimEnd, ClaimKey, ClaimOutcome, ClaimRequest, KeptAnswer, RequestFingerprint, SharedState,
 };
 use dalestand_node::{ControlPlane, ControlPlaneParts, NodeAddresses, start_control_plane};
 use dalestand_standin::key_value::{KeyValueFaults, serve_key_value};
@@ -28,7 +28,7 @@
 }
 
 struct TestNode {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     control: ControlPlane,
 }
 
@@ -67,7 +67,7 @@
         self.seeds.push(address);
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let metrics = Metrics::new().expect("metrics");
-        let shared = Shared::new(NodeId::from(name), ZoneName::from("z"), logger, metrics);
+        let shared = SharedState::new(NodeId::from(name), ZoneName::from("z"), logger, metrics);
         let shared = Arc::new(shared);
         let addresses = NodeAddresses {
             callers: address,
