--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -137,7 +137,7 @@
     }
 }
 
-/// Time in which an engine of usual speed prefills as many tokens as its memory holds; zero for engines
+/// Time in which an engine of usual speed prefills as many tokens as its KV cache holds; zero for engines
 /// without prompts.
 fn warm_up_time(context: &Context, pool: &PoolName) -> Duration {
     let table = context.table();
--- a/crates/forwarding/src/quarantine/engine_run_id.rs
+++ b/crates/forwarding/src/quarantine/engine_run_id.rs
@@ -10,6 +10,6 @@
 pub(super) fn engine_run_id(context: &Context, engine: EngineKey) -> EngineRunId {
     match context.router.borrow().signals.started_at_ms(engine) {
         0 => EngineRunId(engine.0),
-        born => EngineRunId(rendezvous_weight(engine.0, born)),
+        started_at_ms => EngineRunId(rendezvous_weight(engine.0, started_at_ms)),
     }
 }
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -188,10 +188,10 @@
         let of_stage = engines.iter().filter(|engine| stage(engine) == wanted);
         let queued: Vec<f64> = of_stage
             .map(|engine| {
-                let unread = router.work.total(engine.key).unprefilled_tokens as f64;
+                let unprefilled = router.work.total(engine.key).unprefilled_tokens as f64;
                 let prefill_s =
                     |tokens| router.prefill_speeds.expected_s(engine.key, wanted, tokens);
-                prefill_s(unread) - prefill_s(0.0)
+                prefill_s(unprefilled) - prefill_s(0.0)
             })
             .collect();
         queued.iter().sum::<f64>() / queued.len().max(1) as f64
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -94,7 +94,7 @@
 }
 
 impl PrefixMemory {
-    /// An empty memory of up to `capacity` prefixes.
+    /// An empty store of up to `capacity` prefixes.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             capacity,
