--- a/crates/dissemination/src/message.rs
+++ b/crates/dissemination/src/message.rs
@@ -99,7 +99,7 @@
     pub at_most_ms: u64,
 }
 
-/// Events observed by one node, each sent once.
+/// Events observed by one node. Each is sent once, except crashes.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize, Serialize)]
 pub struct News {
     /// The observing node, which ignores them when they are relayed back to it.
--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -7,8 +7,8 @@
 
 use dalestand_clock::BootInstant;
 use dalestand_dissemination::NodeNumber;
-use dalestand_edge::duty_calls::EngineTenure;
-use dalestand_edge::routed::{Dialect, EngineEntry, FleetForm};
+use dalestand_edge::duty_calls::ProvisioningModel;
+use dalestand_edge::routed::{Dialect, EngineEntry, StoreFormat};
 use dalestand_edge::unknown_headers::UnknownHeaders;
 use dalestand_engine_link::{EngineLink, LinkLimits};
 use dalestand_planner::{ScalingDecision, ZoneEngines};
@@ -43,7 +43,7 @@
 /// Parts of the context besides the settings.
 pub(crate) struct ContextParts {
     pub(crate) dialect: Rc<dyn Dialect>,
-    pub(crate) form: Rc<dyn FleetForm>,
+    pub(crate) store_format: Rc<dyn StoreFormat>,
     pub(crate) unknown_headers: UnknownHeaders,
     pub(crate) logger: Logger,
     pub(crate) metrics: ForwardingMetrics,
@@ -53,7 +53,7 @@
 pub(crate) struct Context {
     pub(crate) settings: ForwardingSettings,
     pub(crate) dialect: Rc<dyn Dialect>,
-    pub(crate) form: Rc<dyn FleetForm>,
+    pub(crate) store_format: Rc<dyn StoreFormat>,
     /// Headers in answers that this build does not know.
     pub(crate) unknown_headers: UnknownHeaders,
     pub(crate) link: EngineLink,
@@ -114,7 +114,7 @@
     pub(crate) fn new(settings: ForwardingSettings, parts: ContextParts) -> Self {
         let ContextParts {
             dialect,
-            form,
+            store_format,
             unknown_headers,
             logger,
             metrics,
@@ -122,7 +122,7 @@
         Self {
             metrics,
             dialect,
-            form,
+            store_format,
             unknown_headers,
             link: EngineLink::new(LinkLimits::default()),
             logger,
@@ -246,7 +246,7 @@
         if let Some(entry) = known.find(|entry| EngineKey::of(&entry.run) == engine) {
             let table = self.table();
             let entry = EngineEntry {
-                born: started_at_ms,
+                started_at_ms,
                 ..entry.clone()
             };
             let mut fleet = self.fleet.borrow_mut();
@@ -273,7 +273,7 @@
                 removed.insert(EngineKey::of(&previous.run));
             }
             if let Some(mut entry) = entry {
-                entry.born = self.started_at_ms(EngineKey::of(&entry.run));
+                entry.started_at_ms = self.started_at_ms(EngineKey::of(&entry.run));
                 fleet.set(&entry, table.as_deref(), |engine| self.is_draining(engine));
                 removed.remove(&EngineKey::of(&entry.run));
                 entries.insert(key, entry);
@@ -294,9 +294,9 @@
         });
         for entry in accepting {
             let engines = zones.entry(entry.zone.clone()).or_default();
-            match entry.tenure {
-                EngineTenure::OnDemand => engines.on_demand += 1,
-                EngineTenure::Spot => engines.spot += 1,
+            match entry.provisioning {
+                ProvisioningModel::OnDemand => engines.on_demand += 1,
+                ProvisioningModel::Spot => engines.spot += 1,
             }
         }
         zones
@@ -307,7 +307,7 @@
         let mut zones: BTreeMap<ZoneName, u32> = BTreeMap::new();
         let entries = self.entries.borrow();
         let leaving = entries.values().filter(|entry| {
-            let is_spot = entry.tenure == EngineTenure::Spot;
+            let is_spot = entry.provisioning == ProvisioningModel::Spot;
             let is_leaving = !entry.accepting || self.is_draining(EngineKey::of(&entry.run));
             entry.pool == *pool && is_spot && is_leaving
         });
@@ -405,7 +405,7 @@
 fn retry_budget(settings: &ForwardingSettings) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(settings.retry_limits());
     if settings.retries.former_life {
-        budget.note_restart(MonotonicTime::ZERO);
+        budget.record_restart(MonotonicTime::ZERO);
     }
     budget
 }
--- a/crates/forwarding/src/duties/mod.rs
+++ b/crates/forwarding/src/duties/mod.rs
@@ -16,7 +16,7 @@
 /// Metrics label for the outcome of a call.
 fn outcome_label(answered: &Result<DutyOutcome, Report<PlatformError>>) -> &'static str {
     match answered {
-        Ok(DutyOutcome::Taken) => "taken",
+        Ok(DutyOutcome::Accepted) => "taken",
         Ok(DutyOutcome::Refused) => "refused",
         Err(_) => "failed",
     }
--- a/crates/forwarding/src/duties/scaling/orders.rs
+++ b/crates/forwarding/src/duties/scaling/orders.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_planner::{EngineTargets, ZoneEngines};
 use dalestand_types::{MonotonicTime, ZoneName};
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(in crate::duties) struct OrderKey {
     pub(in crate::duties) zone: ZoneName,
-    pub(in crate::duties) tenure: EngineTenure,
+    pub(in crate::duties) provisioning: ProvisioningModel,
 }
 
 /// An order to send now.
@@ -87,12 +87,16 @@
         for (zone, target) in targets {
             let serving = serving.get(zone).copied().unwrap_or_default();
             let kinds = [
-                (EngineTenure::Spot, target.spot, serving.spot),
-                (EngineTenure::OnDemand, target.on_demand, serving.on_demand),
+                (ProvisioningModel::Spot, target.spot, serving.spot),
+                (
+                    ProvisioningModel::OnDemand,
+                    target.on_demand,
+                    serving.on_demand,
+                ),
             ];
-            for (tenure, count, serving) in kinds {
+            for (provisioning, count, serving) in kinds {
                 let zone = zone.clone();
-                let key = OrderKey { zone, tenure };
+                let key = OrderKey { zone, provisioning };
                 let last = self.last_orders.get(&key);
                 if is_due(now, last, count, serving) {
                     let from = last.map_or(serving, |last| last.count);
@@ -126,7 +130,7 @@
         let last_orders = self.last_orders.iter();
         let refused = last_orders.filter(|(key, last)| {
             let is_refused = last.outcome == OrderOutcome::Refused && !last.retry_is_due(now);
-            key.tenure == EngineTenure::Spot && is_refused
+            key.provisioning == ProvisioningModel::Spot && is_refused
         });
         refused.map(|(key, _)| key.zone.clone()).collect()
     }
@@ -139,7 +143,7 @@
     ) -> BTreeMap<ZoneName, u32> {
         let zones = baseline.keys().chain(serving.keys());
         let counts = zones.map(|zone| {
-            let ordered = self.ordered(zone, EngineTenure::OnDemand);
+            let ordered = self.ordered(zone, ProvisioningModel::OnDemand);
             let serving = serving.get(zone).map_or(0, |engines| engines.on_demand);
             (zone.clone(), serving.max(ordered.unwrap_or_default()))
         });
@@ -147,9 +151,13 @@
     }
 
     /// The engine count ordered last, if that order was accepted.
-    pub(in crate::duties) fn ordered(&self, zone: &ZoneName, tenure: EngineTenure) -> Option<u32> {
+    pub(in crate::duties) fn ordered(
+        &self,
+        zone: &ZoneName,
+        provisioning: ProvisioningModel,
+    ) -> Option<u32> {
         let zone = zone.clone();
-        let last = self.last_orders.get(&OrderKey { zone, tenure })?;
+        let last = self.last_orders.get(&OrderKey { zone, provisioning })?;
         (last.outcome == OrderOutcome::Accepted).then_some(last.count)
     }
 }
--- a/crates/forwarding/src/duties/tests.rs
+++ b/crates/forwarding/src/duties/tests.rs
@@ -6,7 +6,7 @@
 
 use async_trait::async_trait;
 use dalestand_duties::{ReportTiming, TenantCounts, UsageWindows, WindowIndex, WindowReport};
-use dalestand_edge::duty_calls::EngineTenure;
+use dalestand_edge::duty_calls::ProvisioningModel;
 use dalestand_edge::{
     CasOutcome, Entry, KeyValue, LeaseId, Listing, PlatformError, WatchBatch, WriteExpectation,
 };
@@ -241,9 +241,9 @@
 
 impl Platform {
     fn execute(&mut self, order: &DueOrder) {
-        match order.key.tenure {
-            EngineTenure::Spot => self.counts.spot = order.count,
-            EngineTenure::OnDemand => self.counts.on_demand = order.count,
+        match order.key.provisioning {
+            ProvisioningModel::Spot => self.counts.spot = order.count,
+            ProvisioningModel::OnDemand => self.counts.on_demand = order.count,
         }
     }
 
@@ -352,10 +352,10 @@
 fn booting_on_demand_engines_count_where_none_serve() {
     let zone = ZoneName::from("zone");
     let mut orders = EngineOrders::default();
-    let tenure = EngineTenure::OnDemand;
+    let provisioning = ProvisioningModel::OnDemand;
     let key = OrderKey {
         zone: zone.clone(),
-        tenure,
+        provisioning,
     };
     orders.record_outcome(
         MonotonicTime::ZERO,
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -83,7 +83,7 @@
         others.all(|other| weight(node) > weight(other.number.0))
     };
     let engines = fleet.engines();
-    let prompt_engines = engines.filter(|(_, engine)| engine.memory_tokens > 0);
+    let prompt_engines = engines.filter(|(_, engine)| engine.kv_cache_tokens > 0);
     prompt_engines
         .filter(|(_, engine)| is_assigned(engine))
         .map(|(pool, engine)| (pool.clone(), engine.clone()))
@@ -91,7 +91,7 @@
 }
 
 async fn recover_from_engine(context: Rc<Context>, pool: PoolName, engine: StagedEngine) {
-    let head = context.dialect.kept_parts_request();
+    let head = context.dialect.cached_parts_request();
     let answered = call_engine(&context, &pool, &engine, head, Bytes::new()).await;
     let Some((status, body)) = answered else {
         log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run);
@@ -100,7 +100,7 @@
     if !status.is_success() {
         return;
     }
-    let cached = context.dialect.read_kept_parts(&body);
+    let cached = context.dialect.read_cached_parts(&body);
     let long = cached
         .into_iter()
         .filter(|(_, tokens)| *tokens >= MIN_PART_TOKENS);
@@ -110,7 +110,7 @@
     let mut router = context.router.borrow_mut();
     router
         .parts
-        .record_sent(engine.key, engine.memory_tokens, &parts);
+        .record_sent(engine.key, engine.kv_cache_tokens, &parts);
     router.parts.confirm_cached(engine.key, &parts);
     let mut placements = context.placements.borrow_mut();
     for parts in parts.chunks(MAX_PARTS_PER_PLACEMENT) {
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use dalestand_edge::routed::{StageOrder, StageOrderOutcome};
+use dalestand_edge::routed::{RoleChangeOrder, RoleChangeOutcome};
 use dalestand_planner::{
     PendingChanges, StageBalancer, StageBalancerConfig, StageChange, StageCounts, StageDemand,
     StageQueueTimes, StageUtilization,
@@ -137,7 +137,7 @@
     let mut candidates: Vec<&StagedEngine> = candidates.collect();
     candidates.sort_by_cached_key(|engine| {
         let work = router.work.total(engine.key);
-        (work.unread_tokens, work.requests, engine.key)
+        (work.unprefilled_tokens, work.requests, engine.key)
     });
     candidates.truncate(shift.engines);
     let first = candidates.first()?;
@@ -188,7 +188,7 @@
         let of_stage = engines.iter().filter(|engine| stage(engine) == wanted);
         let queued: Vec<f64> = of_stage
             .map(|engine| {
-                let unread = router.work.total(engine.key).unread_tokens as f64;
+                let unread = router.work.total(engine.key).unprefilled_tokens as f64;
                 let prefill_s =
                     |tokens| router.prefill_speeds.expected_s(engine.key, wanted, tokens);
                 prefill_s(unread) - prefill_s(0.0)
@@ -218,7 +218,7 @@
     let Some(held) = fleet_lease.active(context.now()) else {
         return false;
     };
-    let order = StageOrder {
+    let order = RoleChangeOrder {
         holder: context.settings.node.as_str(),
         token: held.token,
         sequence,
@@ -228,20 +228,20 @@
             StageChange::ToDecode => Role::Decode,
         },
     };
-    let (head, body) = context.dialect.stage_order(&order);
+    let (head, body) = context.dialect.role_change_order(&order);
     let sent = call_engine(context, pool, engine, head, body);
     let answered = while_held(fleet_lease, held.token, || context.now(), sent).await;
     let answered = answered.flatten();
     // An order without an answer may be executed later, or never.
     let mut avoid_time = UNANSWERED_AVOID_TIME;
-    let outcome = answered.map(|(status, _)| context.dialect.read_stage_order(status));
+    let outcome = answered.map(|(status, _)| context.dialect.read_role_change_outcome(status));
     match outcome {
-        Some(StageOrderOutcome::Refused(status)) => {
+        Some(RoleChangeOutcome::Refused(status)) => {
             log_event!(context.logger, Event::OrderRefused, "engine" => &*engine.run,
                 "token" => held.token, "sequence" => sequence, "status" => status);
             return false;
         }
-        Some(StageOrderOutcome::Taken) => {
+        Some(RoleChangeOutcome::Accepted) => {
             avoid_time = MAX_EXECUTION_DELAY;
             log_event!(context.logger, Event::OrderGiven, "engine" => &*engine.run,
                 "token" => held.token, "sequence" => sequence, "role" => %order.role);
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -7,7 +7,7 @@
 use actix_http::StatusCode;
 use actix_http::header::CONTENT_ENCODING;
 use dalestand_clock::{BootInstant, timeout};
-use dalestand_edge::routed::EngineTerms;
+use dalestand_edge::routed::EngineRequestOptions;
 use dalestand_engine_link::{Exchange, LinkTarget, ResponseBody, ResponseHead, SendError};
 use dalestand_quarantine::STOP_AFTER_CRASHES;
 use dalestand_routing::staged::{AttemptResult, ClosedReason, EngineChoice, EngineKey};
@@ -57,7 +57,7 @@
     pub(crate) purpose: CallPurpose,
     pub(crate) pool: &'a PoolName,
     pub(crate) choice: EngineChoice,
-    pub(crate) terms: EngineTerms<'a>,
+    pub(crate) terms: EngineRequestOptions<'a>,
     /// Time limit for the response head.
     pub(crate) timeout: Duration,
 }
@@ -108,14 +108,20 @@
     let parts = progress.prompt_parts();
     let work_before = context.router.borrow().work.total(engine.key);
     let slot = BusySlot::occupy(&context.classes, &progress.class);
-    let mut work = WorkGuard::new(context, &engine, call.choice.unread_tokens, &parts, slot);
+    let mut work = WorkGuard::new(
+        context,
+        &engine,
+        call.choice.unprefilled_tokens,
+        &parts,
+        slot,
+    );
     if call.purpose == CallPurpose::Run {
         // From now on the request counts among those at engines, so its reservation ends.
         progress.reservation = None;
     }
-    count_prefill(context, progress, call.choice.unread_tokens);
+    count_prefill(context, progress, call.choice.unprefilled_tokens);
     let mut head = progress.request_head();
-    let terms = EngineTerms {
+    let terms = EngineRequestOptions {
         fetch_from: call
             .choice
             .fetch_from
@@ -303,11 +309,13 @@
 }
 
 /// Counts the prompt tokens that an engine has to prefill.
-fn count_prefill(context: &Context, progress: &Progress, unread_tokens: u32) {
-    if unread_tokens > 0 {
+fn count_prefill(context: &Context, progress: &Progress, unprefilled_tokens: u32) {
+    if unprefilled_tokens > 0 {
         let now = context.now();
         context.classes.update(&progress.class, |meter| {
-            meter.prefill_tokens.count(now, f64::from(unread_tokens));
+            meter
+                .prefill_tokens
+                .count(now, f64::from(unprefilled_tokens));
         });
     }
 }
--- a/crates/forwarding/src/serve/forward.rs
+++ b/crates/forwarding/src/serve/forward.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dalestand_clock::timeout_at;
-use dalestand_edge::routed::EngineTerms;
+use dalestand_edge::routed::EngineRequestOptions;
 use dalestand_engine_link::ResponseHead;
 use dalestand_http_server::{Answer, ConnectionType, Request};
 use dalestand_routing::CallPurpose;
@@ -116,7 +116,7 @@
     match (&progress.tenant, failure) {
         (Some(tenant), None) => {
             let shares = &context.tenant_shares;
-            shares.count_started(now, tenant, progress.unread_tokens);
+            shares.count_started(now, tenant, progress.unprefilled_tokens);
         }
         (Some(((pool, _), _)), Some(Failure::OverShare(_))) => context.metrics.over_share(pool),
         (Some(_), Some(failure)) if failure.retry_after().is_some() => on_shortage(context, now),
@@ -287,10 +287,10 @@
         purpose: CallPurpose::Run,
         pool,
         choice,
-        terms: EngineTerms {
-            memory: held.map(|held| (held.address(), &*held.memory.name)),
+        terms: EngineRequestOptions {
+            kv_cache: held.map(|held| (held.address(), &*held.kv_cache.name)),
             last_event,
-            ..EngineTerms::default()
+            ..EngineRequestOptions::default()
         },
         timeout,
     };
--- a/crates/forwarding/src/serve/prefill.rs
+++ b/crates/forwarding/src/serve/prefill.rs
@@ -6,7 +6,7 @@
 
 use actix_http::RequestHead;
 use bytes::Bytes;
-use dalestand_edge::routed::{EngineTerms, HeldMemory};
+use dalestand_edge::routed::{EngineRequestOptions, HeldKvCache};
 use dalestand_engine_link::LinkTarget;
 use dalestand_routing::CallPurpose;
 use dalestand_routing::staged::{AttemptResult, EngineChoice, StagedEngine};
@@ -38,7 +38,7 @@
     pool: PoolName,
     target: LinkTarget,
     pub(crate) engine: StagedEngine,
-    pub(crate) memory: HeldMemory,
+    pub(crate) kv_cache: HeldKvCache,
     fetched: bool,
 }
 
@@ -61,7 +61,7 @@
         }
         let context = Rc::clone(&self.context);
         let (pool, engine, target) = (self.pool.clone(), self.engine.clone(), self.target.clone());
-        let (method, path) = context.dialect.free_memory(&self.memory);
+        let (method, path) = context.dialect.free_kv_cache(&self.kv_cache);
         actix_rt::spawn(async move {
             let mut head = RequestHead::default();
             head.method = method;
@@ -104,16 +104,16 @@
     let tokens_ahead = {
         let router = context.router.borrow();
         let work = router.work.total(choice.engine.key);
-        work.unread_tokens as f64 + f64::from(choice.unread_tokens)
+        work.unprefilled_tokens as f64 + f64::from(choice.unprefilled_tokens)
     };
     let call = Call {
         purpose: CallPurpose::Prefill,
         pool,
         timeout: prefill_timeout(&choice).min(progress.time_left()),
         choice,
-        terms: EngineTerms {
+        terms: EngineRequestOptions {
             prefill_only: true,
-            ..EngineTerms::default()
+            ..EngineRequestOptions::default()
         },
     };
     match attempt(context, progress, call).await {
@@ -143,14 +143,14 @@
         Ok(_) => answer.watch.dismiss(),
         Err(_) => answer.watch.record_unfinished(UnfinishedReason::BrokenOff),
     }
-    let memory = match body {
-        Ok(body) if answer.head.status.is_success() => context.dialect.read_held_memory(&body),
+    let kv_cache = match body {
+        Ok(body) if answer.head.status.is_success() => context.dialect.read_held_kv_cache(&body),
         Ok(_) | Err(_) => None,
     };
     answer.work.record_prefilled();
     let now = context.now();
     let mut router = context.router.borrow_mut();
-    let Some(memory) = memory else {
+    let Some(kv_cache) = kv_cache else {
         router.health.record(now, engine.key, AttemptResult::Failed);
         return PrefillOutcome::Failed;
     };
@@ -163,7 +163,7 @@
         pool: pool.clone(),
         target: answer.target,
         engine,
-        memory,
+        kv_cache,
         fetched: false,
     }))
 }
--- a/crates/node/src/tenant_demand.rs
+++ b/crates/node/src/tenant_demand.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use dalestand_cluster::Cluster;
-use dalestand_gateway::Shared;
+use dalestand_gateway::SharedState;
 use dalestand_routing::{TenantDemand, TenantTotals, summing_node};
 use dalestand_types::NodeId;
 
@@ -28,7 +28,7 @@
 
 /// Reports the demand at this node, and adds up the reports that it receives.
 pub(crate) struct TenantDemandExchange {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     cluster: Rc<RefCell<Cluster>>,
     peers: PeerClient,
     totals: RefCell<TenantTotals>,
@@ -37,7 +37,7 @@
 impl TenantDemandExchange {
     /// An exchange without any reports.
     pub(crate) fn new(
-        shared: Arc<Shared>,
+        shared: Arc<SharedState>,
         cluster: Rc<RefCell<Cluster>>,
         peers: PeerClient,
     ) -> Rc<Self> {
--- a/crates/routing/src/staged/part_directory.rs
+++ b/crates/routing/src/staged/part_directory.rs
@@ -56,12 +56,12 @@
 }
 
 impl PartDirectory {
-    /// Records that a prompt was sent to an engine whose KV cache holds `memory_tokens`.
-    pub fn record_sent(&mut self, engine: EngineKey, memory_tokens: u64, parts: &[PromptPart]) {
+    /// Records that a prompt was sent to an engine whose KV cache holds `kv_cache_tokens`.
+    pub fn record_sent(&mut self, engine: EngineKey, kv_cache_tokens: u64, parts: &[PromptPart]) {
         for part in parts {
             self.use_part(engine, *part);
         }
-        let capacity = (memory_tokens as f64 * CACHED_SHARE) as u64;
+        let capacity = (kv_cache_tokens as f64 * CACHED_SHARE) as u64;
         while let Some(evicted) = self.part_to_evict(engine, capacity) {
             self.forget_part(engine, evicted);
         }
@@ -172,8 +172,8 @@
         confirmed.map(|part| part.tokens).sum()
     }
 
-    /// Engines that cache the last parts of the prompt that any engine caches. Engines with later parts
-    /// come first.
+    /// Engines that cache parts of the prompt, up to [`MAX_HOLDERS`]. Engines that cache later parts come
+    /// first.
     pub fn holders(&self, parts: &[PromptPart]) -> Vec<EngineKey> {
         let mut found = Vec::new();
         for (part, prefix_tokens) in parts_with_prefix(parts) {
