--- a/cmd/tests/at_most_once.rs
+++ b/cmd/tests/at_most_once.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use dalestand_history::checks::{at_most_once, not_run_did_not_run};
+use dalestand_history::checks::{at_most_once, refused_requests_did_not_run};
 use dalestand_history::{EngineLogEntry, Event, RequestEnd, RunLogEvent};
 use dalestand_standin::key_value::KeyValueFaults;
 use dalestand_types::Role;
@@ -50,7 +50,7 @@
 /// How often a request ran under any key.
 fn runs(fleet: &Fleet) -> usize {
     let history = fleet.recorder.history();
-    let accepted = history.engine_lines().filter(|(_, line)| {
+    let accepted = history.engine_log_lines().filter(|(_, line)| {
         matches!(&line.entry, EngineLogEntry::Run(run) if run.event == RunLogEvent::Accepted)
     });
     accepted.count()
@@ -59,7 +59,7 @@
 async fn check(fleet: &Fleet) {
     let history = fleet.history().await;
     assert_eq!(at_most_once(&history), Ok(()));
-    assert_eq!(not_run_did_not_run(&history), Ok(()));
+    assert_eq!(refused_requests_did_not_run(&history), Ok(()));
 }
 
 #[actix_rt::test]
--- a/cmd/tests/authority.rs
+++ b/cmd/tests/authority.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use dalestand_history::History;
-use dalestand_history::checks::{fenced, no_conflicting_orders};
+use dalestand_history::checks::{no_conflicting_orders, no_stale_orders};
 use dalestand_history::{EngineLogEntry, OrderLogEntry};
 use dalestand_node::EngineExplanation;
 use dalestand_standin::engine::EngineFaults;
@@ -21,13 +21,13 @@
 
 fn check(history: &History) {
     assert_eq!(no_conflicting_orders(history), Ok(()));
-    assert_eq!(fenced(history), Ok(()));
+    assert_eq!(no_stale_orders(history), Ok(()));
 }
 
 /// Epochs under which orders were taken, in the order they were first used.
 fn epochs_of_orders(history: &History) -> Vec<Epoch> {
     let mut epochs = Vec::new();
-    for (_, line) in history.engine_lines() {
+    for (_, line) in history.engine_log_lines() {
         if let EngineLogEntry::Order(OrderLogEntry::Taken { order, .. }) = &line.entry
             && !epochs.contains(&order.id.epoch)
         {
@@ -109,7 +109,7 @@
 
     let history = fleet.history().await;
     check(&history);
-    let changes = history.engine_lines().filter(|(_, line)| {
+    let changes = history.engine_log_lines().filter(|(_, line)| {
         line.incarnation == Incarnation(2)
             && matches!(&line.entry, EngineLogEntry::Order(OrderLogEntry::Done { order, .. })
                 if matches!(order.command, OrderCommand::AssumeRole { .. }))
--- a/cmd/tests/leaving.rs
+++ b/cmd/tests/leaving.rs
@@ -42,7 +42,7 @@
 
 /// When each request was accepted by `engine`.
 fn accepted(history: &History, engine: &str) -> Vec<MonotonicTime> {
-    let lines = history.engine_lines();
+    let lines = history.engine_log_lines();
     let lines = lines.filter(|(_, line)| {
         line.engine.as_str() == engine
             && matches!(&line.entry, EngineLogEntry::Run(run) if run.event == RunLogEvent::Accepted)
--- a/cmd/tests/leaving_under_load.rs
+++ b/cmd/tests/leaving_under_load.rs
@@ -5,7 +5,7 @@
 
 use std::time::{Duration, Instant};
 
-use dalestand_history::checks::{no_work_for_leaving_engines, whole_answers};
+use dalestand_history::checks::{answers_are_complete, no_work_for_leaving_engines};
 use dalestand_history::{EngineLogEntry, RunLogEvent};
 use support::callers::Callers;
 use support::fleet::Fleet;
@@ -37,11 +37,11 @@
     }
     callers.stop().await;
     let history = fleet.history().await;
-    let worked = history.engine_lines().any(|(_, line)| {
+    let worked = history.engine_log_lines().any(|(_, line)| {
         line.engine.as_str() == "e1"
             && matches!(&line.entry, EngineLogEntry::Run(run) if run.event == RunLogEvent::Accepted)
     });
     assert!(worked, "the engine had work before");
-    assert_eq!(whole_answers(&history), Ok(()));
+    assert_eq!(answers_are_complete(&history), Ok(()));
     assert_eq!(no_work_for_leaving_engines(&history, GRACE), Ok(()));
 }
--- a/cmd/tests/recovery.rs
+++ b/cmd/tests/recovery.rs
@@ -7,7 +7,8 @@
 
 use dalestand_history::History;
 use dalestand_history::checks::{
-    fenced, no_conflicting_orders, not_run_did_not_run, nothing_cut, whole_answers,
+    answers_are_complete, no_conflicting_orders, no_request_interrupted, no_stale_orders,
+    refused_requests_did_not_run,
 };
 use dalestand_standin::key_value::KeyValueFaults;
 use dalestand_types::Role;
@@ -27,15 +28,15 @@
 
 fn check_orders(history: &History) {
     assert_eq!(no_conflicting_orders(history), Ok(()));
-    assert_eq!(fenced(history), Ok(()));
+    assert_eq!(no_stale_orders(history), Ok(()));
 }
 
 /// What a planned change under load must leave behind: whole answers, and true words of the rest.
 fn check_planned(history: &History) {
     check_orders(history);
-    assert_eq!(whole_answers(history), Ok(()));
-    assert_eq!(nothing_cut(history), Ok(()));
-    assert_eq!(not_run_did_not_run(history), Ok(()));
+    assert_eq!(answers_are_complete(history), Ok(()));
+    assert_eq!(no_request_interrupted(history), Ok(()));
+    assert_eq!(refused_requests_did_not_run(history), Ok(()));
 }
 
 #[actix_rt::test]
--- a/crates/control/tests/model/world.rs
+++ b/crates/control/tests/model/world.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use dalestand_control::{Action, DesiredEngine, EngineObservation, GroupController};
-use dalestand_history::checks::{fenced, no_conflicting_orders};
+use dalestand_history::checks::{no_conflicting_orders, no_stale_orders};
 use dalestand_history::{
     EngineLogEntry, EngineLogLine, Event, History, OrderLogEntry, RecordedEvent,
 };
@@ -138,7 +138,7 @@
     /// Checks the history of the whole run.
     pub fn check_history(&self) {
         assert_eq!(no_conflicting_orders(&self.history), Ok(()));
-        assert_eq!(fenced(&self.history), Ok(()));
+        assert_eq!(no_stale_orders(&self.history), Ok(()));
     }
 
     /// Runs without faults and checks that every engine reaches its desired state.
--- a/crates/forwarding/src/dissemination/receive/table.rs
+++ b/crates/forwarding/src/dissemination/receive/table.rs
@@ -31,7 +31,7 @@
         return;
     }
     if was_silent {
-        log_event!(context.logger, Event::RelayFollowed, "relay" => table.node.0,
+        log_event!(context.logger, Event::RelaySubscribed, "relay" => table.node.0,
             "nodes" => table.node_count);
     }
     context.set_nodes(table.node_count as usize);
--- a/crates/forwarding/src/dissemination/send.rs
+++ b/crates/forwarding/src/dissemination/send.rs
@@ -68,7 +68,7 @@
 
 fn apply_role(context: &Context, role: DisseminationRole) {
     context.dissemination.apply_role(role);
-    log_event!(context.logger, Event::SpreadRoleTaken, "relay" => role.is_relay,
+    log_event!(context.logger, Event::DisseminationRoleChanged, "relay" => role.is_relay,
         "reads_store" => role.reads_store, "nodes" => context.node_count());
     if role.is_relay {
         // Replaced by the reports of its members and of the other relays.
--- a/crates/forwarding/src/duties/usage_report.rs
+++ b/crates/forwarding/src/duties/usage_report.rs
@@ -107,7 +107,7 @@
             }
             Ok(None) => Ok(None),
             Err(error) => {
-                log_event!(self.context.logger, Event::UsageUnreported, "window" => window.0,
+                log_event!(self.context.logger, Event::UsageReportFailed, "window" => window.0,
                     "step" => "write", "error" => %error.current_context());
                 Err(())
             }
@@ -147,7 +147,7 @@
                 false
             }
             Err(error) => {
-                log_event!(self.context.logger, Event::UsageUnreported, "window" => window.0,
+                log_event!(self.context.logger, Event::UsageReportFailed, "window" => window.0,
                     "step" => "send", "error" => %error.current_context());
                 false
             }
--- a/crates/forwarding/src/fleet/declaration.rs
+++ b/crates/forwarding/src/fleet/declaration.rs
@@ -24,7 +24,7 @@
     let table = match table {
         Ok(table) => table,
         Err(error) => {
-            log_event!(context.logger, Event::ConfigurationUnusable, "error" => error);
+            log_event!(context.logger, Event::ConfigurationInvalid, "error" => error);
             return;
         }
     };
--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -80,7 +80,7 @@
     for record in records {
         let Some(value) = &record.value else {
             if is_logged_each {
-                log_event!(context.logger, Event::EngineGone, "key" => &record.key,
+                log_event!(context.logger, Event::EngineRemoved, "key" => &record.key,
                     "revision" => record.revision, "source" => ?source);
             }
             if let Some(entry) = context.entry(&record.key).filter(|entry| entry.accepting) {
--- a/crates/forwarding/src/fleet/follow.rs
+++ b/crates/forwarding/src/fleet/follow.rs
@@ -121,7 +121,7 @@
             let next = followed.position;
             follower.confirm(called_at);
             if progress.failures > 0 {
-                log_event!(task.logger, Event::KeyValueRegained, "prefix" => prefix,
+                log_event!(task.logger, Event::KeyValueRecovered, "prefix" => prefix,
                     "failures" => progress.failures,
                     "revision" => next.map(|revision| revision.0));
                 task.recovery.notify();
--- a/crates/forwarding/src/fleet/part_recovery.rs
+++ b/crates/forwarding/src/fleet/part_recovery.rs
@@ -94,7 +94,7 @@
     let head = context.dialect.kept_parts_request();
     let answered = call_engine(&context, &pool, &engine, head, Bytes::new()).await;
     let Some((status, body)) = answered else {
-        log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run);
+        log_event!(context.logger, Event::EngineUnresponsive, "engine" => &*engine.run);
         return;
     };
     if !status.is_success() {
--- a/crates/forwarding/src/fleet/signals.rs
+++ b/crates/forwarding/src/fleet/signals.rs
@@ -21,7 +21,7 @@
     request_sent_at: Option<MonotonicTime>,
 ) {
     apply_limit(context, engine, announced.limit, request_sent_at);
-    if announced.drains {
+    if announced.draining {
         let started_at_ms = context.router.borrow().signals.started_at_ms(engine.key);
         apply_drain(context, engine.key, started_at_ms, NoticeSource::OwnAnswer);
     }
@@ -33,7 +33,7 @@
             .signals
             .record_backoff(now, engine.key, backoff, place)
         {
-            log_event!(context.logger, Event::EngineBacksOff, "engine" => &*engine.run,
+            log_event!(context.logger, Event::EngineBackoff, "engine" => &*engine.run,
                 "backoff_ms" => backoff.as_millis() as u64);
         }
     }
@@ -45,7 +45,7 @@
     announced: LimitSignal,
     request_sent_at: Option<MonotonicTime>,
 ) {
-    if announced == LimitSignal::Unreadable {
+    if announced == LimitSignal::Invalid {
         context.metrics.limit_unreadable();
     }
     let now = context.now();
@@ -139,7 +139,7 @@
     if !context.engine_drains(engine) {
         return;
     }
-    log_event!(context.logger, Event::EngineDrains, "engine" => run.as_deref().unwrap_or_default(),
+    log_event!(context.logger, Event::EngineDraining, "engine" => run.as_deref().unwrap_or_default(),
         "source" => ?source);
     let start = EngineStart {
         engine: engine.0,
--- a/crates/forwarding/src/node/era_store.rs
+++ b/crates/forwarding/src/node/era_store.rs
@@ -66,7 +66,7 @@
             match write_if_lost(&*store, &key, &write).await {
                 Ok(is_written) => {
                     if is_written {
-                        log_event!(context.logger, Event::KeyWrittenAgain, "key" => &key);
+                        log_event!(context.logger, Event::KeyRewritten, "key" => &key);
                     }
                     break;
                 }
--- a/crates/forwarding/src/node/reload.rs
+++ b/crates/forwarding/src/node/reload.rs
@@ -32,7 +32,7 @@
             }
             Err(error) => {
                 if asked || !unusable {
-                    log_event!(context.logger, Event::SettingsUnusable, "error" => error);
+                    log_event!(context.logger, Event::SettingsInvalid, "error" => error);
                 }
                 unusable = true;
             }
@@ -43,7 +43,7 @@
 fn take(context: &Context, settings: &ForwardingSettings) {
     let terms = settings.retry_terms();
     context.budget.borrow_mut().set_limits(terms);
-    log_event!(context.logger, Event::SettingsRead, "retry_ratio" => terms.ratio,
+    log_event!(context.logger, Event::SettingsReloaded, "retry_ratio" => terms.ratio,
         "retry_slack" => terms.slack,
         "retry_window_ms" => terms.window.as_millis() as u64);
 }
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -269,7 +269,7 @@
         let passed = last.elapsed();
         last = BootInstant::now();
         if passed > SWEEP_INTERVAL + PAUSE_NOTICED {
-            log_event!(context.logger, Event::PauseNoticed,
+            log_event!(context.logger, Event::ProcessPauseDetected,
                 "for_ms" => passed.as_millis() as u64);
         }
         for header in context.unknown_headers.take_new() {
--- a/crates/forwarding/src/node/stop.rs
+++ b/crates/forwarding/src/node/stop.rs
@@ -21,7 +21,7 @@
     let begun = BootInstant::now();
     let grace = context.settings.grace().saturating_sub(GRACE_MARGIN);
     context.begin_stop();
-    log_event!(context.logger, Event::StopBegun, "in_flight" => context.in_flight.count(),
+    log_event!(context.logger, Event::StopStarted, "in_flight" => context.in_flight.count(),
         "connections" => connections.open());
     sleep(NOTICE_TIME.min(grace / 3)).await;
     let ended = async {
@@ -31,9 +31,9 @@
     let left = grace.saturating_sub(begun.elapsed());
     let in_time = timeout(left, ended).await.is_ok();
     if !in_time {
-        log_event!(context.logger, Event::StopCutConnections,
+        log_event!(context.logger, Event::StopAbandonedConnections,
             "in_flight" => context.in_flight.count(), "connections" => connections.open());
     }
-    log_event!(context.logger, Event::StopDone,
+    log_event!(context.logger, Event::StopCompleted,
         "took_ms" => begun.elapsed().as_millis() as u64);
 }
--- a/crates/forwarding/src/quarantine/stopped_entries.rs
+++ b/crates/forwarding/src/quarantine/stopped_entries.rs
@@ -27,7 +27,7 @@
     let fingerprint = RequestFingerprint::parse(text);
     let stop = serde_json::from_str::<StoppedRequestEntry>(value);
     let (Ok(fingerprint), Ok(stop)) = (fingerprint, stop) else {
-        log_event!(context.logger, Event::StopUnreadable, "key" => key);
+        log_event!(context.logger, Event::StoppedRequestUnreadable, "key" => key);
         return Vec::new();
     };
     let records: Vec<CrashRecord> = stop.records(fingerprint, unix_time()).collect();
--- a/crates/forwarding/src/quarantine/trial.rs
+++ b/crates/forwarding/src/quarantine/trial.rs
@@ -46,7 +46,7 @@
     match granted {
         Ok(Ok(is_granted)) => {
             if is_granted {
-                log_event!(context.logger, Event::RequestTried, "fingerprint" => %fingerprint);
+                log_event!(context.logger, Event::StoppedRequestTried, "fingerprint" => %fingerprint);
             }
             is_granted
         }
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -210,7 +210,7 @@
     change: StageChange,
 ) -> bool {
     let Some(sequence) = read_sequence(context, pool, engine).await else {
-        log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run);
+        log_event!(context.logger, Event::EngineUnresponsive, "engine" => &*engine.run);
         return false;
     };
     // Looked at again right before the order goes out.
@@ -242,11 +242,11 @@
         }
         Some(StageOrderOutcome::Taken) => {
             avoided = IN_DOUBT;
-            log_event!(context.logger, Event::OrderGiven, "engine" => &*engine.run,
+            log_event!(context.logger, Event::OrderSent, "engine" => &*engine.run,
                 "token" => mandate.token, "sequence" => sequence, "role" => %order.role);
         }
         None => {
-            log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run,
+            log_event!(context.logger, Event::EngineUnresponsive, "engine" => &*engine.run,
                 "token" => mandate.token, "sequence" => sequence);
         }
     }
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -125,9 +125,9 @@
     let mut room = desk.room.borrow_mut();
     if room.update(now, &load) {
         let event = if room.is_short() {
-            Event::PoolShort
+            Event::PoolShortageStarted
         } else {
-            Event::PoolNotShort
+            Event::PoolShortageEnded
         };
         log_event!(context.logger, event, "pool" => %pool, "slots" => load.slots,
             "taken" => load.taken, "own_taken" => load.own_taken, "waiting" => room.waiting(),
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -90,7 +90,7 @@
             Some(ClosedReason::Limit(_)) => text.push_str(", no permit"),
             None => {}
         }
-        if self.said.drains {
+        if self.said.draining {
             text.push_str(", says it drains");
         }
         if let Some(backoff) = self.said.backoff {
@@ -100,8 +100,8 @@
             text.push_str(&format!(", limited to {limit}"));
         }
         match self.said.limit {
-            LimitSignal::Named(limit) => text.push_str(&format!(", names a limit of {limit}")),
-            LimitSignal::Unreadable => text.push_str(", names an unreadable limit"),
+            LimitSignal::Rate(limit) => text.push_str(&format!(", names a limit of {limit}")),
+            LimitSignal::Invalid => text.push_str(", names an unreadable limit"),
             LimitSignal::Absent => {}
         }
         text
--- a/crates/forwarding/tests/support/dialect.rs
+++ b/crates/forwarding/tests/support/dialect.rs
@@ -75,14 +75,14 @@
             refused: headers.contains_key(REFUSED),
             marked: true,
             signals: EngineSignals {
-                drains: headers.contains_key(DRAINS),
+                draining: headers.contains_key(DRAINS),
                 backoff: backoff_ms.map(Duration::from_millis),
                 limit: match text(&LIMIT).map(str::parse) {
                     None => LimitSignal::Absent,
                     Some(rate) => rate
                         .ok()
                         .and_then(RequestRate::per_second)
-                        .map_or(LimitSignal::Unreadable, LimitSignal::Named),
+                        .map_or(LimitSignal::Invalid, LimitSignal::Rate),
                 },
             },
         }
--- a/crates/history/src/checks/answers.rs
+++ b/crates/history/src/checks/answers.rs
@@ -13,9 +13,9 @@
 
 /// Checks that what a caller receives is always the start of the right answer, and all of it when
 /// the request is complete.
-pub fn whole_answers(history: &History) -> Result<(), Violation> {
+pub fn answers_are_complete(history: &History) -> Result<(), Violation> {
     let mut answers: HashMap<RequestId, Answer> = HashMap::new();
-    for (place, recorded) in history.events.iter().enumerate() {
+    for (index, recorded) in history.events.iter().enumerate() {
         match &recorded.event {
             Event::RequestSent { request, expected } => {
                 let received = String::new();
@@ -24,12 +24,12 @@
             Event::TextReceived { request, text } => {
                 let Some(answer) = answers.get_mut(request) else {
                     let message = format!("text for {request}, which was not sent");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 };
                 answer.received.push_str(text);
                 if !answer.expected.starts_with(&answer.received) {
                     let message = format!("{request} received {text:?}, not of its answer");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
             }
             Event::RequestEnded {
@@ -41,7 +41,7 @@
                     .is_some_and(|answer| answer.received == answer.expected);
                 if !whole {
                     let message = format!("{request} is called complete and is not");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
             }
             _ => {}
--- a/crates/history/src/checks/at_most_once.rs
+++ b/crates/history/src/checks/at_most_once.rs
@@ -10,7 +10,7 @@
 /// Checks that over all engines and all their runs one attempt at most was accepted under a key.
 pub fn at_most_once(history: &History) -> Result<(), Violation> {
     let mut accepted: HashMap<&str, AttemptId> = HashMap::new();
-    for (place, line) in history.engine_lines() {
+    for (index, line) in history.engine_log_lines() {
         let EngineLogEntry::Run(run) = &line.entry else {
             continue;
         };
@@ -19,7 +19,7 @@
         };
         if accepted.insert(key, run.attempt).is_some() {
             let message = format!("{} ran key {key} a second time", line.engine);
-            return Err(Violation::new(place, message));
+            return Err(Violation::new(index, message));
         }
     }
     Ok(())
--- a/crates/history/src/checks/configuration.rs
+++ b/crates/history/src/checks/configuration.rs
@@ -10,14 +10,14 @@
 /// Checks that no node is ever seen with a lower revision than before.
 pub fn configuration_never_reverts(history: &History) -> Result<(), Violation> {
     let mut in_force: HashMap<&NodeId, Revision> = HashMap::new();
-    for (place, recorded) in history.events.iter().enumerate() {
+    for (index, recorded) in history.events.iter().enumerate() {
         let Event::ConfigurationInForce { node, revision } = &recorded.event else {
             continue;
         };
         let highest = in_force.entry(node).or_default();
         if revision < highest {
             let message = format!("{node} went back from revision {highest} to {revision}");
-            return Err(Violation::new(place, message));
+            return Err(Violation::new(index, message));
         }
         *highest = *revision;
     }
@@ -28,7 +28,7 @@
 /// force. Times are the recorder's.
 pub fn configuration_in_force(history: &History, limit: Duration) -> Result<(), Violation> {
     let mut accepted: Vec<(MonotonicTime, Revision)> = Vec::new();
-    for (place, recorded) in history.events.iter().enumerate() {
+    for (index, recorded) in history.events.iter().enumerate() {
         match &recorded.event {
             Event::ConfigurationAccepted { revision } => accepted.push((recorded.at, *revision)),
             Event::ConfigurationInForce { node, revision } => {
@@ -37,7 +37,7 @@
                     .find(|(at, needed)| recorded.at.since(*at) > limit && revision < needed);
                 if let Some((_, needed)) = missed {
                     let message = format!("{node} has {revision} in force, {needed} was accepted");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
             }
             _ => {}
--- a/crates/history/src/checks/fencing.rs
+++ b/crates/history/src/checks/fencing.rs
@@ -9,10 +9,10 @@
 
 /// Checks that no epoch was granted twice, that every order taken carries a granted epoch, and
 /// that an engine takes no order under an epoch lower than one it has seen in any of its runs.
-pub fn fenced(history: &History) -> Result<(), Violation> {
+pub fn no_stale_orders(history: &History) -> Result<(), Violation> {
     let granted = granted_epochs(history)?;
     let mut highest: HashMap<&EngineId, Epoch> = HashMap::new();
-    for (place, line) in history.engine_lines() {
+    for (index, line) in history.engine_log_lines() {
         let engine = &line.engine;
         let EngineLogEntry::Order(entry) = &line.entry else {
             continue;
@@ -24,11 +24,11 @@
                 let id = order.id;
                 if id.epoch < *seen {
                     let message = format!("{engine} took {id} after it had seen epoch {seen}");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
                 if !granted.contains(&id.epoch) {
                     let message = format!("{engine} took {id}, whose epoch was never granted");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
                 *seen = id.epoch;
             }
@@ -40,12 +40,12 @@
 
 fn granted_epochs(history: &History) -> Result<HashSet<Epoch>, Violation> {
     let mut granted = HashSet::new();
-    for (place, recorded) in history.events.iter().enumerate() {
+    for (index, recorded) in history.events.iter().enumerate() {
         if let Event::LeaseGranted { epoch, .. } = &recorded.event
             && !granted.insert(*epoch)
         {
             let message = format!("epoch {epoch} was granted twice");
-            return Err(Violation::new(place, message));
+            return Err(Violation::new(index, message));
         }
     }
     Ok(granted)
--- a/crates/history/src/checks/leaving.rs
+++ b/crates/history/src/checks/leaving.rs
@@ -12,7 +12,7 @@
 /// it as leaving. Times are the recorder's.
 pub fn no_work_for_leaving_engines(history: &History, grace: Duration) -> Result<(), Violation> {
     let mut leaving: HashMap<&EngineId, MonotonicTime> = HashMap::new();
-    for (place, recorded) in history.events.iter().enumerate() {
+    for (index, recorded) in history.events.iter().enumerate() {
         match &recorded.event {
             Event::EngineLeaving { engine } => {
                 leaving.entry(engine).or_insert(recorded.at);
@@ -26,7 +26,7 @@
                     .is_some_and(|since| recorded.at.since(*since) > grace);
                 if late && run.event == RunLogEvent::Accepted {
                     let message = format!("{} got new work while it was leaving", line.engine);
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
             }
             _ => {}
--- a/crates/history/src/checks/mod.rs
+++ b/crates/history/src/checks/mod.rs
@@ -9,11 +9,11 @@
 mod orders;
 mod planned;
 
-pub use answers::whole_answers;
+pub use answers::answers_are_complete;
 pub use at_most_once::at_most_once;
 pub use configuration::{configuration_in_force, configuration_never_reverts};
-pub use fencing::fenced;
+pub use fencing::no_stale_orders;
 pub use leaving::no_work_for_leaving_engines;
-pub use not_run::not_run_did_not_run;
+pub use not_run::refused_requests_did_not_run;
 pub use orders::no_conflicting_orders;
-pub use planned::nothing_cut;
+pub use planned::no_request_interrupted;
--- a/crates/history/src/checks/not_run.rs
+++ b/crates/history/src/checks/not_run.rs
@@ -9,7 +9,7 @@
 
 /// Checks that no engine accepted a request whose caller was told that it did not run, before or
 /// after the caller was told.
-pub fn not_run_did_not_run(history: &History) -> Result<(), Violation> {
+pub fn refused_requests_did_not_run(history: &History) -> Result<(), Violation> {
     let refused: HashSet<RequestId> = history
         .events
         .iter()
@@ -21,12 +21,12 @@
             _ => None,
         })
         .collect();
-    for (place, line) in history.engine_lines() {
+    for (index, line) in history.engine_log_lines() {
         if let EngineLogEntry::Run(run) = &line.entry
             && refused.contains(&run.request)
         {
             let message = format!("{} ran {}, refused as not run", line.engine, run.request);
-            return Err(Violation::new(place, message));
+            return Err(Violation::new(index, message));
         }
     }
     Ok(())
--- a/crates/history/src/checks/orders.rs
+++ b/crates/history/src/checks/orders.rs
@@ -18,7 +18,7 @@
 /// finished, follows that one, and was meant for this run.
 pub fn no_conflicting_orders(history: &History) -> Result<(), Violation> {
     let mut runs: HashMap<(&EngineId, Incarnation), EngineRun> = HashMap::new();
-    for (place, line) in history.engine_lines() {
+    for (index, line) in history.engine_log_lines() {
         let EngineLogEntry::Order(entry) = &line.entry else {
             continue;
         };
@@ -29,15 +29,15 @@
                 let id = order.id;
                 if let Some(other) = run.unfinished {
                     let message = format!("{engine} took {id} while {other} was unfinished");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
                 if order.follows != run.last {
                     let message = format!("{engine} took {id}, which does not follow the last");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
                 if order.incarnation != line.incarnation {
                     let message = format!("{engine} took {id}, meant for another run of it");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
                 run.last = Some(id);
                 run.unfinished = Some(id);
@@ -47,7 +47,7 @@
             }
             OrderLogEntry::Done { order, .. } => {
                 let message = format!("{} finished {}, not held", line.engine, order.id);
-                return Err(Violation::new(place, message));
+                return Err(Violation::new(index, message));
             }
             OrderLogEntry::EpochRaised { .. } | OrderLogEntry::Refused { .. } => {}
         }
--- a/crates/history/src/checks/planned.rs
+++ b/crates/history/src/checks/planned.rs
@@ -8,10 +8,10 @@
 
 /// Checks a run whose only changes were planned ones: every request that was sent ended, none
 /// ended broken off, and none was refused after a part of its answer had come.
-pub fn nothing_cut(history: &History) -> Result<(), Violation> {
+pub fn no_request_interrupted(history: &History) -> Result<(), Violation> {
     let mut open: HashSet<RequestId> = HashSet::new();
     let mut begun: HashSet<RequestId> = HashSet::new();
-    for (place, recorded) in history.events.iter().enumerate() {
+    for (index, recorded) in history.events.iter().enumerate() {
         match &recorded.event {
             Event::RequestSent { request, .. } => {
                 open.insert(*request);
@@ -28,7 +28,7 @@
                 };
                 if cut {
                     let message = format!("{request} was cut by a planned change");
-                    return Err(Violation::new(place, message));
+                    return Err(Violation::new(index, message));
                 }
             }
             _ => {}
--- a/crates/history/src/event.rs
+++ b/crates/history/src/event.rs
@@ -60,11 +60,11 @@
 }
 
 impl History {
-    /// What the engines logged, with the place of each event in the history.
-    pub fn engine_lines(&self) -> impl Iterator<Item = (usize, &EngineLogLine)> {
+    /// What the engines logged, with the index of each event in the history.
+    pub fn engine_log_lines(&self) -> impl Iterator<Item = (usize, &EngineLogLine)> {
         let events = self.events.iter().enumerate();
-        events.filter_map(|(place, recorded)| match &recorded.event {
-            Event::Engine(line) => Some((place, line)),
+        events.filter_map(|(index, recorded)| match &recorded.event {
+            Event::Engine(line) => Some((index, line)),
             _ => None,
         })
     }
@@ -72,18 +72,18 @@
 
 /// The first event at which a rule did not hold.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("event {place}: {message}")]
+#[error("event {index}: {message}")]
 pub struct Violation {
     /// Place of the event in the history, counted from 0.
-    pub place: usize,
+    pub index: usize,
     /// The rule and how it was broken.
     pub message: String,
 }
 
 impl Violation {
-    /// A violation at `place`.
-    pub fn new(place: usize, message: impl Into<String>) -> Self {
+    /// A violation at `index`.
+    pub fn new(index: usize, message: impl Into<String>) -> Self {
         let message = message.into();
-        Self { place, message }
+        Self { index, message }
     }
 }
--- a/crates/history/tests/checks.rs
+++ b/crates/history/tests/checks.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use dalestand_history::checks::{
-    at_most_once, configuration_in_force, configuration_never_reverts, fenced,
-    no_conflicting_orders, no_work_for_leaving_engines, not_run_did_not_run, nothing_cut,
-    whole_answers,
+    answers_are_complete, at_most_once, configuration_in_force, configuration_never_reverts,
+    no_conflicting_orders, no_request_interrupted, no_stale_orders, no_work_for_leaving_engines,
+    refused_requests_did_not_run,
 };
 use dalestand_history::{
     EngineLogEntry, EngineLogLine, Event, History, OrderLogEntry, RecordedEvent, RequestEnd,
@@ -141,7 +141,7 @@
 }
 
 fn place(result: Result<(), Violation>) -> Option<usize> {
-    result.err().map(|violation| violation.place)
+    result.err().map(|violation| violation.index)
 }
 
 #[rstest]
@@ -161,7 +161,7 @@
 #[case::never_granted(vec![granted(5), taken(1, id(7, 0), None)], Some(1))]
 #[case::granted_twice(vec![granted(5), granted(5)], Some(1))]
 fn orders_are_fenced(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(fenced(&history(events))), found);
+    assert_eq!(place(no_stale_orders(&history(events))), found);
 }
 
 #[rstest]
@@ -176,7 +176,7 @@
 #[case::refused_and_run_later(vec![ended(1, RequestEnd::NotRun), accepted(1, 1, "a")], Some(1))]
 #[case::run_and_refused_later(vec![accepted(1, 1, "a"), ended(1, RequestEnd::NotRun)], Some(0))]
 fn a_refused_request_did_not_run(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(not_run_did_not_run(&history(events))), found);
+    assert_eq!(place(refused_requests_did_not_run(&history(events))), found);
 }
 
 #[rstest]
@@ -186,7 +186,7 @@
 #[case::cut(vec![sent(1), received(1, "answer "), ended(1, RequestEnd::Complete)], Some(2))]
 #[case::not_sent(vec![received(1, "answer ")], Some(0))]
 fn answers_are_whole(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(whole_answers(&history(events))), found);
+    assert_eq!(place(answers_are_complete(&history(events))), found);
 }
 
 #[rstest]
@@ -196,7 +196,7 @@
 #[case::refused_late(vec![sent(1), received(1, "a"), ended(1, RequestEnd::NotRun)], Some(2))]
 #[case::never_ended(vec![sent(1)], Some(1))]
 fn planned_changes_cut_nothing(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(nothing_cut(&history(events))), found);
+    assert_eq!(place(no_request_interrupted(&history(events))), found);
 }
 
 #[rstest]
--- a/crates/node/src/callers.rs
+++ b/crates/node/src/callers.rs
@@ -71,7 +71,7 @@
             .is_err()
         {
             let open = self.connections.open();
-            log_event!(shared.logger, Event::StopCutConnections, "connections" => open);
+            log_event!(shared.logger, Event::StopAbandonedConnections, "connections" => open);
         }
     }
 
--- a/crates/node/src/configuration/store.rs
+++ b/crates/node/src/configuration/store.rs
@@ -139,7 +139,7 @@
     }
 
     fn report_unusable(&self, revision: Revision, fault: &str) {
-        log_event!(self.shared.logger, Event::ConfigurationUnusable,
+        log_event!(self.shared.logger, Event::ConfigurationInvalid,
             "revision" => revision.0, "fault" => fault);
     }
 }
--- a/crates/node/src/control_driver/leases.rs
+++ b/crates/node/src/control_driver/leases.rs
@@ -168,7 +168,7 @@
         };
         self.shared.metrics.key_value_calls.inc();
         if let Err(error) = self.drains.restore(&engines).await {
-            log_event!(self.shared.logger, Event::DrainsUnread, "group" => %group,
+            log_event!(self.shared.logger, Event::DrainMarksUnreadable, "group" => %group,
                 "error" => %error);
         }
     }
--- a/crates/node/src/control_driver/orders.rs
+++ b/crates/node/src/control_driver/orders.rs
@@ -55,7 +55,7 @@
         };
         match &answer {
             Some(OrderOutcome::Accepted { .. }) => {
-                log_event!(self.shared.logger, Event::OrderGiven, "engine" => %engine,
+                log_event!(self.shared.logger, Event::OrderSent, "engine" => %engine,
                     "order" => %order.id, "command" => format!("{:?}", order.command));
                 self.record_role(group, engine, order);
             }
@@ -64,7 +64,7 @@
                     "order" => %order.id, "outcome" => format!("{outcome:?}"));
             }
             None => {
-                log_event!(self.shared.logger, Event::EngineSilent, "engine" => %engine,
+                log_event!(self.shared.logger, Event::EngineUnresponsive, "engine" => %engine,
                     "order" => %order.id);
             }
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -123,7 +123,7 @@
         () = stop_asked.notified() => {}
     }
     shared.begin_stop();
-    log_event!(shared.logger, Event::StopBegun, "in_flight" => shared.in_flight());
+    log_event!(shared.logger, Event::StopStarted, "in_flight" => shared.in_flight());
     // Further signals change nothing.
     actix_rt::spawn(async move { while terminate.recv().await.is_some() {} });
     // Given up before the requests in flight end, so that a long answer here leaves no group
@@ -135,7 +135,7 @@
     control.leave().await;
     callers.drain(&shared).await;
     callers.stop();
-    log_event!(shared.logger, Event::StopDone, "node" => %node);
+    log_event!(shared.logger, Event::StopCompleted, "node" => %node);
     Ok(())
 }
 
--- a/crates/routing/src/staged/engine_rate_limits.rs
+++ b/crates/routing/src/staged/engine_rate_limits.rs
@@ -53,7 +53,7 @@
         request_sent_at: Option<MonotonicTime>,
     ) -> Option<LimitChange> {
         match signal {
-            LimitSignal::Named(rate) => self.set(engine, Some(rate), now),
+            LimitSignal::Rate(rate) => self.set(engine, Some(rate), now),
             LimitSignal::Absent => {
                 let known = self.known.get(engine)?;
                 let is_newer = request_sent_at.is_some_and(|sent_at| sent_at >= known.received_at);
@@ -62,7 +62,7 @@
                 }
                 self.set(engine, None, now)
             }
-            LimitSignal::Unreadable => None,
+            LimitSignal::Invalid => None,
         }
     }
 
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -39,11 +39,11 @@
     /// A configuration is in force and callers are served.
     NodeReady = (1002, Info, "node ready");
     /// A planned stop has begun.
-    StopBegun = (1003, Info, "planned stop begun");
+    StopStarted = (1003, Info, "planned stop begun");
     /// The planned stop is over.
-    StopDone = (1004, Info, "planned stop done");
+    StopCompleted = (1004, Info, "planned stop done");
     /// Callers did not take the last bytes of their answers in time.
-    StopCutConnections = (1006, Warning, "planned stop left connections behind");
+    StopAbandonedConnections = (1006, Warning, "planned stop left connections behind");
     /// Lines of the log were dropped because the output was slow.
     LogLinesDropped = (1007, Warning, "log lines dropped");
     /// A listener failed.
@@ -51,7 +51,7 @@
     /// A configuration came into force.
     ConfigurationInForce = (1101, Info, "configuration in force");
     /// A configuration in the key-value service could not be used.
-    ConfigurationUnusable = (1102, Error, "configuration unusable");
+    ConfigurationInvalid = (1102, Error, "configuration unusable");
     /// A configuration could not be fetched from a peer that offered it.
     ConfigurationNotFetched = (1103, Warning, "configuration not fetched");
     /// The key-value service failed.
@@ -59,9 +59,9 @@
     /// The key-value service was restored from an older copy.
     KeyValueRestored = (1205, Warning, "key-value service restored");
     /// A key that the older copy lacked was written again.
-    KeyWrittenAgain = (1206, Info, "key written again");
+    KeyRewritten = (1206, Info, "key written again");
     /// Keys of the key-value service are followed again.
-    KeyValueRegained = (1203, Info, "key-value service regained");
+    KeyValueRecovered = (1203, Info, "key-value service regained");
     /// The node's own entry could not be written.
     RegistrationFailed = (1204, Warning, "registration failed");
     /// The machine list failed.
@@ -75,13 +75,13 @@
     /// A change of an engine's role is due.
     RoleDecided = (1315, Info, "role decided");
     /// An order was given to an engine.
-    OrderGiven = (1311, Info, "order given");
+    OrderSent = (1311, Info, "order given");
     /// An engine refused an order.
     OrderRefused = (1312, Warning, "order refused");
     /// An engine did not answer its controller.
-    EngineSilent = (1313, Warning, "engine did not answer");
+    EngineUnresponsive = (1313, Warning, "engine did not answer");
     /// The drain marks of a group that was taken over could not be read.
-    DrainsUnread = (1314, Warning, "drain marks unread");
+    DrainMarksUnreadable = (1314, Warning, "drain marks unread");
     /// A node came up.
     MemberUp = (1401, Info, "member up");
     /// A node went down.
@@ -89,9 +89,9 @@
     /// A datagram could not be read.
     DatagramUnreadable = (1403, Warning, "datagram unreadable");
     /// A node took or gave up a part in passing fleet-wide state on.
-    SpreadRoleTaken = (1404, Info, "spread role taken");
+    DisseminationRoleChanged = (1404, Info, "spread role taken");
     /// A node listens to a relay that it did not listen to before.
-    RelayFollowed = (1405, Info, "relay followed");
+    RelaySubscribed = (1405, Info, "relay followed");
     /// A node's entry in the key-value service could not be read.
     NodeUnreadable = (1406, Warning, "node entry unreadable");
     /// A request was answered in whole.
@@ -107,11 +107,11 @@
     /// An engine's own entry appeared or changed.
     EngineListed = (1601, Info, "engine listed");
     /// An engine's own entry went.
-    EngineGone = (1602, Info, "engine gone");
+    EngineRemoved = (1602, Info, "engine gone");
     /// An engine's entry could not be read.
     EngineUnreadable = (1603, Warning, "engine entry unreadable");
     /// The process stood still.
-    PauseNoticed = (1604, Warning, "process stood still");
+    ProcessPauseDetected = (1604, Warning, "process stood still");
     /// An engine told which parts of prompts it keeps.
     PartsRecovered = (1607, Info, "kept parts recovered");
     /// An engine's run has ended without having said that it leaves.
@@ -123,23 +123,23 @@
     /// A request may run again.
     RequestReleased = (1614, Info, "request released");
     /// A stopped request runs once.
-    RequestTried = (1616, Info, "stopped request tried");
+    StoppedRequestTried = (1616, Info, "stopped request tried");
     /// An engine said in an answer, to this node or to another, that it drains.
-    EngineDrains = (1621, Info, "engine drains");
+    EngineDraining = (1621, Info, "engine drains");
     /// An engine has started again under the name that it had.
     EngineRestarted = (1623, Info, "engine started again");
     /// An engine asked this node for a time without calls.
-    EngineBacksOff = (1622, Info, "engine asks for backoff");
+    EngineBackoff = (1622, Info, "engine asks for backoff");
     /// An engine named a limit of its requests, another one, or none any more.
     EngineLimit = (1624, Info, "engine names a limit");
     /// An engine or the key-value service sends a header that nothing here knows.
     HeaderUnknown = (1625, Warning, "unknown header");
     /// What the key-value service keeps of a stopped request could not be read.
-    StopUnreadable = (1615, Warning, "stopped request unreadable");
+    StoppedRequestUnreadable = (1615, Warning, "stopped request unreadable");
     /// The usage of a window was reported.
     UsageReported = (1701, Info, "usage reported");
     /// The usage of a window could not be reported yet.
-    UsageUnreported = (1702, Warning, "usage not reported yet");
+    UsageReportFailed = (1702, Warning, "usage not reported yet");
     /// The platform refused a call for a duty.
     DutyRefused = (1703, Warning, "duty call refused");
     /// The number of engines of a zone was ordered.
@@ -149,11 +149,11 @@
     /// Spot engines of one or more zones were taken away.
     SpotEnginesLost = (1713, Warning, "spot engines taken away");
     /// A pool has become short of places.
-    PoolShort = (1631, Info, "pool short");
+    PoolShortageStarted = (1631, Info, "pool short");
     /// A pool is no longer short of places.
-    PoolNotShort = (1632, Info, "pool not short");
+    PoolShortageEnded = (1632, Info, "pool not short");
     /// The settings file was read again.
-    SettingsRead = (1605, Info, "settings read again");
+    SettingsReloaded = (1605, Info, "settings read again");
     /// The settings file changed and cannot be used.
-    SettingsUnusable = (1606, Error, "settings unusable");
+    SettingsInvalid = (1606, Error, "settings unusable");
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -8,7 +8,7 @@
 
 pub use event::{EVENTS, Event};
 pub use line_queue::{LinePriority, LineQueue, LineQueueLimits, LogLine};
-pub use logger::{LogOutput, discard_logger, lines, logger};
+pub use logger::{LogOutput, discard_logger, json_logger, logger};
 pub use metrics::{Metrics, MetricsError};
 
 /// Logs a numbered event: `log_event!(logger, Event::NodeReady, "node" => %node)`.
--- a/crates/telemetry/src/line_queue.rs
+++ b/crates/telemetry/src/line_queue.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinePriority {
     /// One of many like it, such as a request that went well.
-    Sample,
+    Low,
     /// A failure or a change of what the process believes.
-    Finding,
+    High,
 }
 
 /// A line of the log, with its end.
@@ -60,8 +60,8 @@
     pub fn push(&mut self, line: LogLine) {
         while !self.has_room(&line) {
             let gives_way = match line.priority {
-                LinePriority::Sample => None,
-                LinePriority::Finding => self.samples.pop_front(),
+                LinePriority::Low => None,
+                LinePriority::High => self.samples.pop_front(),
             };
             let Some(sample) = gives_way else {
                 self.count_dropped(line);
@@ -72,8 +72,8 @@
         }
         self.bytes += line.bytes.len();
         match line.priority {
-            LinePriority::Sample => self.samples.push_back(line),
-            LinePriority::Finding => self.findings.push_back(line),
+            LinePriority::Low => self.samples.push_back(line),
+            LinePriority::High => self.findings.push_back(line),
         }
     }
 
--- a/crates/telemetry/src/logger.rs
+++ b/crates/telemetry/src/logger.rs
@@ -22,8 +22,8 @@
 /// A logger that writes from a thread of its own.
 pub fn logger(output: LogOutput) -> Logger {
     match output {
-        LogOutput::Json => lines(std::io::stderr()),
-        LogOutput::JsonOutput => lines(std::io::stdout()),
+        LogOutput::Json => json_logger(std::io::stderr()),
+        LogOutput::JsonOutput => json_logger(std::io::stdout()),
         LogOutput::Terminal => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
@@ -33,7 +33,7 @@
 }
 
 /// A logger that writes one JSON object a line to `output`, findings before samples.
-pub fn lines(output: impl std::io::Write + Send + 'static) -> Logger {
+pub fn json_logger(output: impl std::io::Write + Send + 'static) -> Logger {
     Logger::root(QueuedWriter::start(output), o!())
 }
 
--- a/crates/telemetry/src/queued_writer.rs
+++ b/crates/telemetry/src/queued_writer.rs
@@ -96,9 +96,9 @@
             return Ok(());
         };
         let priority = if record.level() == Level::Debug {
-            LinePriority::Sample
+            LinePriority::Low
         } else {
-            LinePriority::Finding
+            LinePriority::High
         };
         let line = LogLine {
             priority,
--- a/crates/telemetry/tests/log_lines.rs
+++ b/crates/telemetry/tests/log_lines.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use dalestand_telemetry::{
-    Event, LinePriority, LineQueue, LineQueueLimits, LogLine, lines, log_event,
+    Event, LinePriority, LineQueue, LineQueueLimits, LogLine, json_logger, log_event,
 };
 use proptest::prelude::*;
 
@@ -16,8 +16,8 @@
 
 fn line(priority: LinePriority, length: usize) -> LogLine {
     let message = match priority {
-        LinePriority::Sample => "sample",
-        LinePriority::Finding => "finding",
+        LinePriority::Low => "sample",
+        LinePriority::High => "finding",
     };
     LogLine {
         priority,
@@ -30,18 +30,18 @@
 fn findings_take_the_place_of_samples_and_are_written_first() {
     let mut queue = LineQueue::new(LIMITS);
     for _ in 0..10 {
-        queue.push(line(LinePriority::Sample, 10));
+        queue.push(line(LinePriority::Low, 10));
     }
     for _ in 0..3 {
-        queue.push(line(LinePriority::Finding, 10));
+        queue.push(line(LinePriority::High, 10));
     }
     assert_eq!(queue.len(), 8);
     assert_eq!(queue.take_dropped().get("sample"), Some(&5));
     let order: Vec<LinePriority> = std::iter::from_fn(|| queue.pop())
         .map(|line| line.priority)
         .collect();
-    assert_eq!(order[..3], [LinePriority::Finding; 3]);
-    assert_eq!(order[3..], [LinePriority::Sample; 5]);
+    assert_eq!(order[..3], [LinePriority::High; 3]);
+    assert_eq!(order[3..], [LinePriority::Low; 5]);
 }
 
 proptest! {
@@ -58,16 +58,16 @@
             if what == 0 {
                 if let Some(line) = queue.pop() {
                     written += 1;
-                    samples_waiting -= i64::from(line.priority == LinePriority::Sample);
+                    samples_waiting -= i64::from(line.priority == LinePriority::Low);
                 }
                 continue;
             }
-            let priority = if what == 1 { LinePriority::Sample } else { LinePriority::Finding };
+            let priority = if what == 1 { LinePriority::Low } else { LinePriority::High };
             pushed += 1;
             queue.push(line(priority, length));
             let lost = queue.take_dropped();
             let samples_lost = lost.get("sample").copied().unwrap_or_default();
-            samples_waiting += i64::from(priority == LinePriority::Sample) - samples_lost as i64;
+            samples_waiting += i64::from(priority == LinePriority::Low) - samples_lost as i64;
             dropped += lost.values().sum::<u64>();
             if lost.contains_key("finding") {
                 prop_assert_eq!(samples_waiting, 0);
@@ -100,7 +100,7 @@
 #[test]
 fn logging_does_not_wait_for_the_output_and_tells_what_was_dropped() {
     let output = SlowOutput::default();
-    let logger = lines(output.clone());
+    let logger = json_logger(output.clone());
     let held = output.held.lock().expect("no panic");
     let begun = Instant::now();
     for request in 0..20_000 {
--- a/crates/types/src/engine_signals.rs
+++ b/crates/types/src/engine_signals.rs
@@ -43,16 +43,16 @@
     #[default]
     Absent,
     /// No more than this from all nodes together.
-    Named(RequestRate),
+    Rate(RequestRate),
     /// Something that is no rate.
-    Unreadable,
+    Invalid,
 }
 
 /// What the head of one answer says of the engine that sent it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineSignals {
     /// It is about to end and wants no further requests.
-    pub drains: bool,
+    pub draining: bool,
     /// It wants no calls of the node that it answers for so long; never zero.
     pub backoff: Option<Duration>,
     /// How many requests it takes.
