--- a/crates/types/src/engine_signals.rs
+++ b/crates/types/src/engine_signals.rs
@@ -1,11 +1,12 @@
-//! What an engine says of itself beside its answers to requests.
+//! Signals about an engine's state that its responses carry.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Requests a second, kept in thousandths: figures of different nodes are compared, and travel in messages.
+/// Requests per second in fixed-point thousandths, so that rates of different nodes compare exactly and
+/// serialise compactly.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,18 +14,18 @@
 pub struct RequestRate(u32);
 
 impl RequestRate {
-    /// Thousandths in one request a second.
+    /// Units per request per second.
     const SCALE: f64 = 1_000.0;
 
-    /// A rate in requests a second. `None` for what is no number of zero or more; more than 4 million a second
-    /// count as that.
+    /// Converts a rate in requests per second. `None` if it is negative or not finite. Rates above about
+    /// 4.29 million saturate.
     pub fn per_second(rate: f64) -> Option<Self> {
         let is_rate = rate.is_finite() && rate >= 0.0;
-        // The conversion stays within the type's bounds.
+        // A float-to-integer `as` cast saturates.
         is_rate.then_some(Self((rate * Self::SCALE).round() as u32))
     }
 
-    /// Requests a second.
+    /// The rate in requests per second.
     pub fn as_per_second(self) -> f64 {
         f64::from(self.0) / Self::SCALE
     }
@@ -36,31 +37,31 @@
     }
 }
 
-/// What an answer says of the requests that its engine takes.
+/// The request rate limit that a response announces for its engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitSignal {
-    /// Nothing: it takes as many as its slots allow.
+    /// No limit: only the engine's slots bound its requests.
     #[default]
     Absent,
-    /// No more than this from all nodes together.
+    /// The limit over all nodes together.
     Rate(RequestRate),
-    /// Something that is no rate.
+    /// A value that is not a valid rate.
     Invalid,
 }
 
-/// What the head of one answer says of the engine that sent it.
+/// Signals in the headers of one response about the engine that sent it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineSignals {
-    /// It is about to end and wants no further requests.
+    /// Whether the engine is about to shut down and accepts no further requests.
     pub draining: bool,
-    /// It wants no calls of the node that it answers for so long; never zero.
+    /// How long the receiving node must send the engine no requests; never zero.
     pub backoff: Option<Duration>,
-    /// How many requests it takes.
+    /// The request rate limit.
     pub limit: LimitSignal,
 }
 
 impl EngineSignals {
-    /// Whether the answer says nothing of its engine.
+    /// Whether the response carries no signal.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
--- a/crates/types/src/generation.rs
+++ b/crates/types/src/generation.rs
@@ -1,4 +1,4 @@
-//! Requests for generation and what comes back.
+//! Generation requests and the frames, refusals and results that answer them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -45,7 +45,8 @@
     };
 }
 
-/// Reads 128 bits in hexadecimal digits from borrowed text: frames carry one for each token.
+/// Parses a 128-bit hexadecimal number from borrowed text without an allocation, since every token frame
+/// carries one.
 struct HexVisitor;
 
 impl Visitor<'_> for HexVisitor {
@@ -61,44 +62,45 @@
 }
 
 random_identifier!(
-    /// A caller's request; the same over all attempts to serve it.
+    /// Identifies a caller's request; shared by all attempts to serve it.
     RequestId
 );
 random_identifier!(
-    /// One attempt to run a request on one engine; frames name it.
+    /// Identifies one attempt to run a request on one engine; carried by each frame.
     AttemptId
 );
 
-/// Bits of a request's identifier below the tag of the node that took it in.
+/// Low bits of a request identifier that are random; the tag of the node that received the request is
+/// above them.
 const REQUEST_RANDOM_BITS: u32 = 96;
 
 impl RequestId {
-    /// An identifier that names the node which took the request in, so that any node can find the
-    /// one that keeps its record.
+    /// Builds an identifier that contains the tag of the node that received the request, so that any node can
+    /// find the one that keeps its record.
     pub fn new(node_tag: u32, random: u128) -> Self {
         let random = random & ((1 << REQUEST_RANDOM_BITS) - 1);
         Self(u128::from(node_tag) << REQUEST_RANDOM_BITS | random)
     }
 
-    /// Tag of the node that took the request in; see [`crate::NodeId::tag`].
+    /// Tag of the node that received the request; see [`crate::NodeId::tag`].
     pub fn node_tag(self) -> u32 {
         (self.0 >> REQUEST_RANDOM_BITS) as u32
     }
 }
 
-/// Importance of a request; a higher number goes first.
+/// Priority of a request; a higher number is served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Priority(pub u8);
 
-/// A request as an engine takes it.
+/// A request as it is sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerationRequest {
-    /// The caller's request.
+    /// Identifier of the caller's request.
     pub request: RequestId,
-    /// This attempt; the engine runs an attempt at most once.
+    /// Identifier of this attempt; the engine runs an attempt at most once.
     pub attempt: AttemptId,
     /// Model to run.
     pub model: ModelName,
@@ -106,47 +108,45 @@
     pub adapter: Option<AdapterName>,
     /// The tenant on whose behalf it runs.
     pub tenant: Option<TenantName>,
-    /// The prompt's text.
     pub prompt: String,
-    /// Most output tokens to generate.
+    /// Maximum number of output tokens.
     pub max_tokens: u32,
-    /// Output tokens the caller already holds; generation goes on after them.
+    /// Number of output tokens that the caller already has; generation resumes after them.
     pub resume_from: u32,
-    /// Importance.
     pub priority: Priority,
-    /// Time left until the answer is of no use, in milliseconds.
+    /// Time left until the caller's deadline, in milliseconds.
     pub deadline_ms: Option<u64>,
     /// Configuration under which it was routed.
     pub revision: Revision,
-    /// The run of the engine it is meant for, where known.
+    /// Incarnation of the engine that the request was routed to, if known.
     pub incarnation: Option<Incarnation>,
-    /// The key under which the request may run at most once, where it may not be repeated.
+    /// Idempotency key under which the request may run at most once; `None` if the request may be repeated.
     pub once_key: Option<String>,
-    /// Where to import the KV cache of the prompt from; the prompt is run here if absent.
+    /// Where to import the prompt's KV cache from; `None` if the engine prefills the prompt itself.
     pub import_from: Option<CacheHandle>,
-    /// Run only the prompt and keep its KV cache for export.
+    /// Whether to prefill the prompt only and keep its KV cache for export.
     pub prefill_only: bool,
 }
 
-/// Names the KV cache of a prompt that an engine ran and holds for export.
+/// Identifies the KV cache of a prompt that an engine prefilled and holds for export.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CacheHandle {
-    /// The engine that holds it.
+    /// HTTP address of the engine that holds the cache.
     pub address: SocketAddr,
-    /// The attempt that ran the prompt there.
+    /// The attempt that prefilled the prompt there.
     pub attempt: AttemptId,
 }
 
-/// What an engine is to do with a request.
+/// Which phases of a request an engine is to run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Placement {
-    /// Run all of it.
+    /// Prefill and decode.
     #[default]
     Whole,
-    /// Run the prompt only; another decision names the engine for the output.
+    /// Prefill only; the engine that decodes is chosen separately.
     PrefillOnly,
-    /// Import the prompt's KV cache and generate the output.
+    /// Import the prompt's KV cache and decode.
     DecodeOnly,
 }
 
@@ -157,7 +157,7 @@
     pub prompt_tokens: u32,
     /// Prompt tokens found in the prefix cache.
     pub cached_tokens: u32,
-    /// Tokens generated, including those before a resume.
+    /// Tokens generated, including those before `resume_from`.
     pub completion_tokens: u32,
 }
 
@@ -171,26 +171,26 @@
     Length,
 }
 
-/// One frame of an engine's answer.
+/// One frame of an engine's response stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "frame", rename_all = "snake_case")]
 pub enum GenerationFrame {
-    /// One output token. Positions start at 0 and rise by one.
+    /// One output token. Positions start at 0 and increase by one.
     Token {
         attempt: AttemptId,
         position: u32,
         text: String,
     },
-    /// The prompt has run and its KV cache is held for export: the end of a prefill-only attempt.
+    /// End of a prefill-only attempt: the prompt's KV cache is held for export.
     Prefilled { attempt: AttemptId, usage: Usage },
-    /// The whole answer has been sent; `tokens` is the count of its tokens.
+    /// End of a complete answer; `tokens` is its number of output tokens.
     Finished {
         attempt: AttemptId,
         tokens: u32,
         reason: FinishReason,
         usage: Usage,
     },
-    /// The engine gave up.
+    /// End of an attempt that the engine could not complete.
     Failed { attempt: AttemptId, message: String },
 }
 
@@ -205,62 +205,61 @@
         }
     }
 
-    /// Whether no frame of the attempt follows this one.
+    /// Whether this frame ends the attempt.
     pub fn is_last(&self) -> bool {
         !matches!(self, Self::Token { .. })
     }
 }
 
-/// Why an engine took no request.
+/// Why an engine refused a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// No room for another request.
+    /// The engine's request limit is reached.
     Full,
-    /// Out of service for a role change, or draining.
+    /// The engine is changing its role or draining.
     OutOfService,
-    /// Its role does not run this phase.
+    /// The engine's role does not run this phase.
     WrongRole,
     /// The model or adapter is not loaded.
     NotLoaded,
-    /// The engine's run is not the one the request names.
+    /// The engine's incarnation is not the one that the request names.
     OtherIncarnation,
-    /// The KV cache to import is not held any more.
+    /// The KV cache to import is no longer held.
     CacheNotFound,
-    /// This attempt, or this key that may run once, was run before.
+    /// This attempt or this idempotency key has already run.
     AlreadyRun,
 }
 
 /// An engine's refusal: the request did not run there (except for `AlreadyRun`).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
     pub reason: RefusalReason,
-    /// When room is expected, in milliseconds.
+    /// Time until the engine expects to accept another request, in milliseconds.
     pub retry_after_ms: u64,
 }
 
 impl Refusal {
-    /// When to come back.
+    /// Time to wait before retrying.
     pub fn retry_after(&self) -> Duration {
         Duration::from_millis(self.retry_after_ms)
     }
 }
 
-/// What is known of whether a request ran.
+/// What is known about whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunState {
-    /// It is certain that no engine ran it.
+    /// No engine ran it.
     NotRun,
-    /// It ran and the whole answer was delivered.
+    /// It ran and its complete answer was delivered.
     Complete,
-    /// It may have run, in whole or in part.
+    /// It may have run, completely or partially.
     Unknown,
 }
 
 impl RunState {
-    /// The word used in headers and logs.
+    /// The value used in headers and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
--- a/crates/types/src/identifier.rs
+++ b/crates/types/src/identifier.rs
@@ -1,4 +1,4 @@
-//! Names and counters. Each has its own type so that one cannot be passed for another.
+//! Names and counters, each a distinct type so that they cannot be confused.
 
 use std::fmt;
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     };
 }
 
-/// Defines a rising 64-bit counter.
+/// Defines an increasing 64-bit counter.
 macro_rules! counter {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -66,44 +66,44 @@
 }
 
 text_identifier!(
-    /// One engine of the fixed fleet; stable over restarts and moves.
+    /// Name of an engine; stable across restarts and changes of address.
     EngineId
 );
 text_identifier!(
-    /// The engines of one pool in one zone, controlled under one lease.
+    /// Name of a group: the engines of one pool in one zone, controlled under one lease.
     GroupId
 );
 text_identifier!(
-    /// Engines that serve the same model under the same rules, over all zones.
+    /// Name of a pool: engines of all zones that serve the same models under the same rules.
     PoolName
 );
 text_identifier!(
-    /// A model as callers name it.
+    /// Name of a model, as callers use it.
     ModelName
 );
 text_identifier!(
-    /// An adapter of a model, as callers name it.
+    /// Name of an adapter of a model, as callers use it.
     AdapterName
 );
 text_identifier!(
-    /// A version of a model or an adapter.
+    /// Version of a model or an adapter.
     Version
 );
 text_identifier!(
-    /// A zone: machines that fail or are cut off together.
+    /// Name of a zone: a failure domain of machines.
     ZoneName
 );
 text_identifier!(
-    /// One node process; a restarted process may keep the name and then has a new incarnation.
+    /// Name of a node; a restarted process may keep the name and then has a new incarnation.
     NodeId
 );
 text_identifier!(
-    /// A tenant: a party whose requests are limited together.
+    /// Name of a tenant: a customer whose requests share one limit.
     TenantName
 );
 
 counter!(
-    /// Fencing token of a group's lease: the key-value revision that granted it.
+    /// Fencing token of a group's lease: the key-value revision at which it was granted.
     Epoch
 );
 counter!(
@@ -111,7 +111,7 @@
     Revision
 );
 counter!(
-    /// Distinguishes runs of an engine or node that keeps its name; rises with each start.
+    /// Number of a run of an engine or node that keeps its name; increases with each start.
     Incarnation
 );
 counter!(
@@ -127,7 +127,7 @@
 }
 
 impl NodeId {
-    /// A short tag of the name. Two nodes may share one, so it only says where to look first.
+    /// A 32-bit hash of the name. Tags can collide, so a lookup by tag must confirm the node.
     pub fn tag(&self) -> u32 {
         let hash = blake3::hash(self.as_str().as_bytes());
         let [first, second, third, fourth, ..] = *hash.as_bytes();
@@ -135,21 +135,20 @@
     }
 }
 
-/// Bits of a revision that count changes within an era: at 3,200 changes a second they last eleven years.
+/// Bits of a revision that count changes within an era: eleven years at 3,200 changes per second.
 const NUMBER_BITS: u32 = 40;
 
 impl Revision {
     /// Highest era that a revision can name.
     pub const MAX_ERA: u64 = u64::MAX >> NUMBER_BITS;
 
-    /// The revision that counts `number` changes of an era. A service that was restored from an older copy
-    /// begins a new era, in which it counts on from the copy's number: revisions of a later era are later.
+    /// The revision after `number` changes in `era`. A key-value service that is restored from a backup starts
+    /// a new era and counts on from the backup's number, so revisions of a later era always compare greater.
     pub fn in_era(era: u64, number: u64) -> Self {
         let number = number.min((1 << NUMBER_BITS) - 1);
         Self(era.min(Self::MAX_ERA) << NUMBER_BITS | number)
     }
 
-    /// The era.
     pub fn era(self) -> u64 {
         self.0 >> NUMBER_BITS
     }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, epochs, revisions and the messages that pass between layers.
+//! Identifiers, epochs, revisions and the messages that layers exchange.
 //!
-//! Everything here is plain data: no I/O, no clock, no randomness. Other crates agree on these
-//! types so that the node, the simulator and the tests speak of the same things.
+//! Everything here is plain data: no I/O, no clock, no randomness. The node, the simulator and the tests
+//! share these types.
 
 pub mod engine_signals;
 pub mod generation;
--- a/crates/types/src/load.rs
+++ b/crates/types/src/load.rs
@@ -1,4 +1,4 @@
-//! What an engine reports about itself. Reports lag: each carries when the engine took it.
+//! Load reports of engines and the digests that carry them to other nodes.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,67 +9,64 @@
 /// A model (and the adapters on it) that an engine can serve now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// The model's name.
     pub model: ModelName,
-    /// The version of its weights.
+    /// Version of the model's weights.
     pub version: Version,
-    /// Adapters loaded on it.
+    /// Adapters loaded for the model.
     pub adapters: Vec<AdapterName>,
 }
 
 /// One load report of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// The reporting engine.
     pub engine: EngineId,
-    /// Its current run.
+    /// The engine's current run.
     pub incarnation: Incarnation,
-    /// Rises with each report of one incarnation.
+    /// Increases with each report of one incarnation.
     pub sequence: Sequence,
-    /// The role it serves in; `None` while it is out of service for a change.
+    /// The engine's role; `None` during a role change.
     pub role: Option<Role>,
-    /// Requests being generated.
+    /// Requests being executed.
     pub running: u32,
-    /// Requests accepted and not started.
+    /// Requests accepted but not started.
     pub waiting: u32,
-    /// Prompt tokens accepted and not yet run.
+    /// Prompt tokens accepted but not yet prefilled.
     pub queued_prefill_tokens: u64,
-    /// Most requests it holds at once, running and waiting.
+    /// Maximum number of running and waiting requests.
     pub capacity: u32,
     /// KV cache in use, in tokens.
     pub cache_tokens_used: u64,
-    /// KV cache in all, in tokens.
+    /// Size of the KV cache, in tokens.
     pub cache_tokens_total: u64,
-    /// Prompt tokens run since its start.
+    /// Prompt tokens prefilled since the engine's start.
     pub prefill_tokens_total: u64,
-    /// Output tokens generated since its start.
+    /// Output tokens generated since the engine's start.
     pub decode_tokens_total: u64,
-    /// Models it can serve.
+    /// Models that the engine can serve.
     pub models: Vec<LoadedModel>,
 }
 
-/// Load of a group's engines, as its lease holder gathered it.
+/// Load of a group's engines as collected by the group's lease holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GroupDigest {
-    /// The group.
     pub group: GroupId,
-    /// Epoch of the holder's lease; a digest of a lower epoch is outdated.
+    /// Epoch of the holder's lease; digests of lower epochs are stale.
     pub epoch: Epoch,
-    /// Rises with each digest of one epoch.
+    /// Increases with each digest of one epoch.
     pub sequence: Sequence,
-    /// The holder.
+    /// The node that holds the group's lease.
     pub holder: NodeId,
-    /// The engines' last reports.
+    /// The latest report of each engine.
     pub engines: Vec<EngineDigest>,
 }
 
 /// One engine within a digest.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineDigest {
-    /// The last report.
+    /// The engine's latest report.
     pub load: EngineLoad,
-    /// How old the report was when the digest was made, in milliseconds.
+    /// Age of the report when the digest was built, in milliseconds.
     pub age_ms: u64,
-    /// Whether the holder lets the engine take new work.
+    /// Whether the lease holder allows new requests on the engine.
     pub accepting: bool,
 }
--- a/crates/types/src/machine.rs
+++ b/crates/types/src/machine.rs
@@ -16,29 +16,26 @@
     Node,
 }
 
-/// Whether the platform keeps the machine.
+/// Lifecycle state of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
     /// In service.
     Live,
-    /// About to go; new work must stay away.
+    /// About to be removed; must receive no new work.
     Leaving,
 }
 
-/// One machine of the list. The list lags behind the truth.
+/// One entry of the machine list, which may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name of the engine or node on it.
+    /// Name of the engine or node on the machine.
     pub name: String,
-    /// What runs on it.
     pub kind: MachineKind,
-    /// Where it stands.
     pub zone: ZoneName,
-    /// HTTP address of an engine, peer (UDP and TCP) address of a node.
+    /// HTTP address of an engine; peer address (UDP and TCP) of a node.
     pub address: SocketAddr,
-    /// Rises with each start under this name.
+    /// Increases with each start under this name.
     pub incarnation: Incarnation,
-    /// Whether it is leaving.
     pub state: MachineState,
 }
--- a/crates/types/src/order.rs
+++ b/crates/types/src/order.rs
@@ -1,8 +1,7 @@
 //! Fenced orders to engines.
 //!
-//! An engine keeps the highest epoch it has seen and refuses anything under a lower one. It holds
-//! at most one unfinished order, and an order names the one it follows, so that a sender with an
-//! outdated picture is refused.
+//! An engine remembers the highest epoch it has seen and refuses orders of lower epochs. It has at most one
+//! unfinished order. Each order names its predecessor, so that a sender with stale state is refused.
 
 use std::fmt;
 
@@ -10,12 +9,12 @@
 
 use crate::{AdapterName, Epoch, Incarnation, LoadedModel, ModelName, Revision, Role, Version};
 
-/// Identifies an order: the epoch it was given under and its number within that epoch.
+/// Identifies an order by its epoch and its number within that epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OrderId {
-    /// Epoch of the lease under which the order was given.
+    /// Epoch of the lease under which the order was issued.
     pub epoch: Epoch,
-    /// Number of the order under that epoch, for one engine.
+    /// Number of the order within the epoch, counted per engine.
     pub number: u64,
 }
 
@@ -25,11 +24,11 @@
     }
 }
 
-/// What an engine is told to do.
+/// The action that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum OrderCommand {
-    /// Finish what runs, then serve in another role; takes the engine out for seconds.
+    /// Finish running requests, then switch to another role; the engine is out of service for seconds.
     AssumeRole { role: Role },
     /// Fetch a model's weights from the weight store and serve it.
     LoadModel { model: ModelName, version: Version },
@@ -51,72 +50,69 @@
 /// A fenced order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Its identity, which carries the fencing epoch.
+    /// Identifier, which contains the fencing epoch.
     pub id: OrderId,
-    /// The last order the sender knows the engine to have taken.
+    /// The last order that the engine accepted, as known to the sender.
     pub follows: Option<OrderId>,
-    /// The run of the engine it is meant for.
+    /// Incarnation of the engine that the order is addressed to.
     pub incarnation: Incarnation,
-    /// Configuration under which it was decided.
+    /// Configuration under which the order was decided.
     pub revision: Revision,
-    /// What to do.
     pub command: OrderCommand,
 }
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderPhase {
-    /// Taken and not finished.
+    /// Accepted but not finished.
     Running,
-    /// Finished as ordered.
+    /// Completed successfully.
     Done,
-    /// Given up by the engine.
+    /// The engine could not complete it.
     Failed,
 }
 
-/// An order as the engine holds it.
+/// An order and its progress on the engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderStatus {
-    /// The order.
     pub order: Order,
-    /// How far it has come.
     pub phase: OrderPhase,
 }
 
-/// An engine's side of the order protocol: what a new lease holder reads back.
+/// An engine's order state, which a new lease holder reads.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrders {
     /// The engine's current run.
     pub incarnation: Incarnation,
-    /// The highest epoch seen.
+    /// The highest epoch that the engine has seen.
     pub highest_epoch: Epoch,
-    /// The role it serves in; `None` while it is out of service for a change.
+    /// The engine's role; `None` during a role change.
     pub role: Option<Role>,
-    /// The last order taken in this run.
+    /// The last order accepted in this run.
     pub last: Option<OrderStatus>,
-    /// Models it can serve.
+    /// Models that the engine can serve.
     pub models: Vec<LoadedModel>,
 }
 
-/// The engine's answer to an order or to a raised epoch.
+/// The engine's response to an order or an epoch increase.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// Taken (or already held: a repeated order is not run again).
+    /// Accepted, or accepted earlier: a repeated order is not run again.
     Accepted { state: EngineOrders },
-    /// The epoch is lower than one already seen: the sender has lost its authority.
+    /// The engine has seen a higher epoch: the sender no longer holds the lease.
     Fenced { state: EngineOrders },
-    /// Another order is unfinished, or the order follows one that is not the last.
+    /// Another order is unfinished, or the named predecessor is not the engine's last order.
     Conflict { state: EngineOrders },
-    /// The engine's run is not the one the order names.
+    /// The engine's incarnation is not the one that the order names.
     OtherIncarnation { state: EngineOrders },
     /// The order cannot be carried out, such as an adapter for a model that is not loaded.
     Impossible { state: EngineOrders, reason: String },
 }
 
 impl OrderOutcome {
-    /// The engine's state after the answer.
+    /// The engine's state after it handled the order.
     pub fn state(&self) -> &EngineOrders {
         match self {
             Self::Accepted { state }
--- a/crates/types/src/role.rs
+++ b/crates/types/src/role.rs
@@ -1,4 +1,4 @@
-//! The work an engine is set up for.
+//! Roles of engines.
 
 use std::fmt;
 
@@ -8,11 +8,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// Runs prompts and hands the KV cache on to a decode engine.
+    /// Prefills prompts and transfers their KV caches to decode engines.
     Prefill,
-    /// Generates output from an imported KV cache.
+    /// Decodes from imported KV caches.
     Decode,
-    /// Runs both phases of a request.
+    /// Prefills and decodes.
     Mixed,
 }
 
@@ -20,12 +20,12 @@
     /// All roles, in a fixed order.
     pub const ALL: [Self; 3] = [Self::Prefill, Self::Decode, Self::Mixed];
 
-    /// Whether an engine of this role runs prompts.
+    /// Whether engines of this role prefill prompts.
     pub fn runs_prefill(self) -> bool {
         matches!(self, Self::Prefill | Self::Mixed)
     }
 
-    /// Whether an engine of this role generates output.
+    /// Whether engines of this role decode.
     pub fn runs_decode(self) -> bool {
         matches!(self, Self::Decode | Self::Mixed)
     }
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,11 +1,11 @@
-//! Monotonic time as a value, so that pure code never reads a clock.
+//! Monotonic time as a value, so that deterministic code need not read a clock.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since an arbitrary start of the process (or of the simulation).
+/// Microseconds since an arbitrary origin in the process (or the simulation).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -13,20 +13,20 @@
 pub struct MonotonicTime(pub u64);
 
 impl MonotonicTime {
-    /// The start of time.
+    /// The origin.
     pub const ZERO: Self = Self(0);
 
-    /// The time that is `milliseconds` after the start.
+    /// The time `milliseconds` after the origin.
     pub const fn from_millis(milliseconds: u64) -> Self {
         Self(milliseconds * 1_000)
     }
 
-    /// Time passed since `earlier`; zero if `earlier` lies in the future.
+    /// Time elapsed since `earlier`; zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// This time moved back by `duration`, not below the start.
+    /// The time `duration` before this one, but not before the origin.
     pub fn saturating_sub(self, duration: Duration) -> Self {
         Self(self.0.saturating_sub(duration.as_micros() as u64))
     }
