--- a/crates/config/src/deployment.rs
+++ b/crates/config/src/deployment.rs
@@ -13,24 +13,24 @@
 use crate::fault::Faults;
 use crate::reader::read_document;
 
-/// The only deployment format known.
+/// The supported version of the deployment format.
 pub const FORMAT: u32 = 1;
 
-/// Most engines of one group: bounds a group's digest and its holder's work.
+/// Maximum number of engines in a group; bounds the size of the group's digest and the lease holder's work.
 pub const MAX_GROUP_ENGINES: usize = 64;
 
-/// A checked deployment file.
+/// A validated deployment file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Deployment {
     /// Version of the file's format.
     pub format: u32,
-    /// Name of the deployment, for people.
+    /// Name of the deployment; informational.
     pub name: String,
     /// Rules for role changes.
     pub roles: RoleRules,
-    /// Who may call.
+    /// Rules for callers.
     pub callers: CallerRules,
-    /// Limits on requests.
+    /// Limits on each request.
     pub limits: Limits,
     /// Models, with their adapters.
     #[serde(rename = "model")]
@@ -44,7 +44,6 @@
     /// Request classes: priority and deadlines.
     #[serde(rename = "class")]
     pub classes: Vec<Class>,
-    /// Tenants.
     #[serde(rename = "tenant")]
     pub tenants: Vec<Tenant>,
 }
@@ -52,9 +51,9 @@
 /// Rules for role changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoleRules {
-    /// Weight of role changes against goodput: 0 counts only goodput, 1 only role changes.
+    /// Weight of role changes against goodput: 0 considers goodput only, 1 role changes only.
     pub change_weight: f64,
-    /// Most engines of a group out of service for a role change at once.
+    /// Maximum number of a group's engines that change roles at the same time.
     pub max_changes_at_once: u32,
 }
 
@@ -67,10 +66,10 @@
     }
 }
 
-/// Who may call.
+/// Rules for callers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallerRules {
-    /// Whether a request without a tenant's key is refused.
+    /// Whether requests without a tenant's key are refused.
     pub require_key: bool,
 }
 
@@ -83,11 +82,11 @@
 /// Limits on a single request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Most output tokens a request may ask for.
+    /// Maximum number of output tokens that a request may ask for.
     pub max_output_tokens: u32,
-    /// Output tokens of a request that names none.
+    /// Maximum number of output tokens of a request that sets no maximum.
     pub default_output_tokens: u32,
 }
 
@@ -101,10 +100,10 @@
     }
 }
 
-/// A model.
+/// A model that the fleet serves.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Model {
-    /// Name callers use.
+    /// Name that callers use.
     pub name: ModelName,
     /// Version of the weights to serve.
     pub version: Version,
@@ -127,15 +126,14 @@
 /// Engines that serve the same models under the same rules.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Name of the pool.
     pub name: PoolName,
-    /// Models its engines serve.
+    /// Models that the pool's engines serve.
     pub models: Vec<ModelName>,
-    /// Whether a request may be run again; `false` means at most once.
+    /// Whether a request may be retried after it may have run; `false` means at-most-once execution.
     pub repeatable: bool,
-    /// Role of engines before the first plan.
+    /// Role of the engines before the first plan.
     pub initial_role: Role,
-    /// Roles the planner may use.
+    /// Roles that the planner may assign.
     pub roles: Vec<Role>,
 }
 
@@ -146,9 +144,9 @@
     pub pool: PoolName,
     /// Zone of the engines.
     pub zone: ZoneName,
-    /// The engines, by name in the machine list.
+    /// Names of the engines in the machine list.
     pub engines: Vec<EngineId>,
-    /// Roles that the planner leaves as they are, by engine.
+    /// Roles that the planner must not change, by engine.
     pub fixed_roles: BTreeMap<EngineId, Role>,
 }
 
@@ -164,46 +162,45 @@
 pub struct Class {
     /// Name used in the `x-dalestand-class` header and by tenants.
     pub name: String,
-    /// Importance; a higher number goes first.
+    /// Priority; a higher number is served first.
     pub priority: Priority,
-    /// Time to the first token, in milliseconds.
+    /// Deadline of the first token, in milliseconds after the request's arrival.
     pub first_token_ms: u64,
-    /// Time to the end of the answer, in milliseconds.
+    /// Deadline of the complete answer, in milliseconds after the request's arrival.
     pub deadline_ms: u64,
 }
 
 /// A tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name of the tenant.
     pub name: TenantName,
     /// BLAKE3 hash of the tenant's key, as 64 hexadecimal digits.
     pub key_blake3: String,
-    /// Class of its requests.
+    /// Name of the class of the tenant's requests.
     pub class: String,
-    /// Tokens (prompt and output) a second over the whole fleet.
+    /// Refill rate of the token bucket: prompt and output tokens per second over the whole fleet.
     pub tokens_per_second: u64,
-    /// Most tokens at once.
+    /// Capacity of the token bucket, in tokens.
     pub burst_tokens: u64,
 }
 
 impl Deployment {
-    /// Parses and checks a deployment file. Every fault found is listed.
+    /// Parses and validates a deployment file; on failure returns every fault found.
     pub fn parse(text: &str) -> Result<Self, Faults> {
         read_document(text, read_deployment, validate_deployment)
     }
 
-    /// The pool of that name.
+    /// The pool named `name`.
     pub fn pool(&self, name: &PoolName) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.name == *name)
     }
 
-    /// The model of that name.
+    /// The model named `name`.
     pub fn model(&self, name: &ModelName) -> Option<&Model> {
         self.models.iter().find(|model| model.name == *name)
     }
 
-    /// The class of that name.
+    /// The class named `name`.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|class| class.name == name)
     }
--- a/crates/config/src/deployment_reader.rs
+++ b/crates/config/src/deployment_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the tables of a deployment file.
+//! Reads a deployment file's tables into their structs, without validation.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,15 @@
 };
 use crate::reader::TableReader;
 
-const A_NAME: &str = "a name in quotes";
-const A_COUNT: &str = "a whole number";
+const QUOTED_NAME: &str = "a name in quotes";
+const WHOLE_NUMBER: &str = "a whole number";
 const MILLISECONDS: &str = "a whole number of milliseconds";
-const TRUE_OR_FALSE: &str = "true or false";
+const BOOLEAN: &str = "true or false";
 
-/// Reads the whole file.
 pub(crate) fn read_deployment(table: &TableReader<'_>) -> Deployment {
     Deployment {
         format: table.required("format", "the number of the format, 1", 1),
-        name: table.required("name", A_NAME, String::new()),
+        name: table.required("name", QUOTED_NAME, String::new()),
         roles: table.table("roles", read_role_rules).unwrap_or_default(),
         callers: table
             .table("callers", read_caller_rules)
@@ -42,25 +41,29 @@
             "a number between 0.0 and 1.0",
             default.change_weight,
         ),
-        max_changes_at_once: table.or("max_changes_at_once", A_COUNT, default.max_changes_at_once),
+        max_changes_at_once: table.or(
+            "max_changes_at_once",
+            WHOLE_NUMBER,
+            default.max_changes_at_once,
+        ),
     }
 }
 
 fn read_caller_rules(table: &TableReader<'_>) -> CallerRules {
     let default = CallerRules::default();
     CallerRules {
-        require_key: table.or("require_key", TRUE_OR_FALSE, default.require_key),
+        require_key: table.or("require_key", BOOLEAN, default.require_key),
     }
 }
 
 fn read_limits(table: &TableReader<'_>) -> Limits {
     let default = Limits::default();
     Limits {
-        max_body_bytes: table.or("max_body_bytes", A_COUNT, default.max_body_bytes),
-        max_output_tokens: table.or("max_output_tokens", A_COUNT, default.max_output_tokens),
+        max_body_bytes: table.or("max_body_bytes", WHOLE_NUMBER, default.max_body_bytes),
+        max_output_tokens: table.or("max_output_tokens", WHOLE_NUMBER, default.max_output_tokens),
         default_output_tokens: table.or(
             "default_output_tokens",
-            A_COUNT,
+            WHOLE_NUMBER,
             default.default_output_tokens,
         ),
     }
@@ -68,7 +71,7 @@
 
 fn read_model(table: &TableReader<'_>) -> Model {
     Model {
-        name: table.required("name", A_NAME, ModelName::from("")),
+        name: table.required("name", QUOTED_NAME, ModelName::from("")),
         version: table.required("version", "a version in quotes", Version::from("")),
         weights_gib: table.required(
             "weights_gib",
@@ -81,7 +84,7 @@
 
 fn read_adapter(table: &TableReader<'_>) -> Adapter {
     Adapter {
-        name: table.required("name", A_NAME, AdapterName::from("")),
+        name: table.required("name", QUOTED_NAME, AdapterName::from("")),
         version: table.required("version", "a version in quotes", Version::from("")),
     }
 }
@@ -89,9 +92,9 @@
 fn read_pool(table: &TableReader<'_>) -> Pool {
     let roles = "a list of \"prefill\", \"decode\" and \"mixed\"";
     Pool {
-        name: table.required("name", A_NAME, PoolName::from("")),
+        name: table.required("name", QUOTED_NAME, PoolName::from("")),
         models: table.required("models", "a list of model names", Vec::new()),
-        repeatable: table.or("repeatable", TRUE_OR_FALSE, true),
+        repeatable: table.or("repeatable", BOOLEAN, true),
         initial_role: table.or(
             "initial_role",
             "\"prefill\", \"decode\" or \"mixed\"",
@@ -116,7 +119,7 @@
 
 fn read_class(table: &TableReader<'_>) -> Class {
     Class {
-        name: table.required("name", A_NAME, String::new()),
+        name: table.required("name", QUOTED_NAME, String::new()),
         priority: table.required("priority", "a whole number from 0 to 255", Priority(0)),
         first_token_ms: table.required("first_token_ms", MILLISECONDS, 1),
         deadline_ms: table.required("deadline_ms", MILLISECONDS, 1),
@@ -125,14 +128,14 @@
 
 fn read_tenant(table: &TableReader<'_>) -> Tenant {
     Tenant {
-        name: table.required("name", A_NAME, TenantName::from("")),
+        name: table.required("name", QUOTED_NAME, TenantName::from("")),
         key_blake3: table.required(
             "key_blake3",
             "the BLAKE3 hash of the key, 64 hexadecimal digits",
             String::new(),
         ),
         class: table.required("class", "the name of a class", String::new()),
-        tokens_per_second: table.required("tokens_per_second", A_COUNT, 1),
-        burst_tokens: table.required("burst_tokens", A_COUNT, 1),
+        tokens_per_second: table.required("tokens_per_second", WHOLE_NUMBER, 1),
+        burst_tokens: table.required("burst_tokens", WHOLE_NUMBER, 1),
     }
 }
--- a/crates/config/src/deployment_validation.rs
+++ b/crates/config/src/deployment_validation.rs
@@ -1,22 +1,22 @@
-//! Checks a deployment file as a whole: ranges, references, contradictions.
+//! Validates a deployment file: value ranges, references and consistency.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::deployment::{Deployment, FORMAT, Group, MAX_GROUP_ENGINES, Model, Pool, Tenant};
 use crate::fault::FaultCollector;
 
-/// Longest name.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 63;
 
 /// Hexadecimal digits of a BLAKE3 hash.
 const HASH_DIGITS: usize = 64;
 
-/// Most role changes of a group at once.
+/// Upper bound of `roles.max_changes_at_once`.
 const MAX_CHANGES_AT_ONCE: u32 = MAX_GROUP_ENGINES as u32;
 
 /// Adds every fault of `deployment` to `faults`.
 pub(crate) fn validate_deployment(deployment: &Deployment, faults: &mut FaultCollector) {
-    validate_head(deployment, faults);
+    validate_format_and_roles(deployment, faults);
     validate_limits(deployment, faults);
     validate_names(deployment, faults);
     validate_models(&deployment.models, faults);
@@ -26,7 +26,7 @@
     validate_tenants(deployment, faults);
 }
 
-fn validate_head(deployment: &Deployment, faults: &mut FaultCollector) {
+fn validate_format_and_roles(deployment: &Deployment, faults: &mut FaultCollector) {
     if deployment.format != FORMAT {
         let message = format!("format {} is not known; use {FORMAT}", deployment.format);
         faults.add("format", message);
@@ -77,22 +77,22 @@
     }
 }
 
-/// Checks how names are written and that none of a kind is given twice.
+/// Checks the characters of all names and that names of the same kind are unique.
 fn validate_names(deployment: &Deployment, faults: &mut FaultCollector) {
-    let models = deployment.models.iter().map(|one| one.name.as_str());
-    validate_kind("model", "name", models, faults);
-    let pools = deployment.pools.iter().map(|one| one.name.as_str());
-    validate_kind("pool", "name", pools, faults);
-    let classes = deployment.classes.iter().map(|one| one.name.as_str());
-    validate_kind("class", "name", classes, faults);
-    let tenants = deployment.tenants.iter().map(|one| one.name.as_str());
-    validate_kind("tenant", "name", tenants, faults);
+    let models = deployment.models.iter().map(|entry| entry.name.as_str());
+    validate_unique_names("model", "name", models, faults);
+    let pools = deployment.pools.iter().map(|entry| entry.name.as_str());
+    validate_unique_names("pool", "name", pools, faults);
+    let classes = deployment.classes.iter().map(|entry| entry.name.as_str());
+    validate_unique_names("class", "name", classes, faults);
+    let tenants = deployment.tenants.iter().map(|entry| entry.name.as_str());
+    validate_unique_names("tenant", "name", tenants, faults);
     for (index, group) in deployment.groups.iter().enumerate() {
         validate_name(group.zone.as_str(), &format!("group[{index}].zone"), faults);
     }
 }
 
-fn validate_kind<'n>(
+fn validate_unique_names<'n>(
     kind: &str,
     key: &str,
     names: impl Iterator<Item = &'n str>,
@@ -109,10 +109,10 @@
     }
 }
 
-/// Names stand in paths, keys and `MODEL:ADAPTER`, so they hold no separator.
+/// Rejects separators, since names are used in paths, keys and `MODEL:ADAPTER`.
 fn validate_name(name: &str, path: &str, faults: &mut FaultCollector) {
     if name.is_empty() {
-        // A missing name is reported where it was read.
+        // The reader has already reported the missing name.
         return;
     }
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
@@ -130,7 +130,7 @@
         }
         let kind = format!("model[{index}].adapter");
         let names = model.adapters.iter().map(|adapter| adapter.name.as_str());
-        validate_kind(&kind, "name", names, faults);
+        validate_unique_names(&kind, "name", names, faults);
     }
 }
 
@@ -246,8 +246,8 @@
 
 fn validate_tenant(tenant: &Tenant, path: &str, faults: &mut FaultCollector) {
     let hash = tenant.key_blake3.as_bytes();
-    let written = hash.len() == HASH_DIGITS && hash.iter().all(u8::is_ascii_hexdigit);
-    if !written && !hash.is_empty() {
+    let is_valid = hash.len() == HASH_DIGITS && hash.iter().all(u8::is_ascii_hexdigit);
+    if !is_valid && !hash.is_empty() {
         let message = format!("must have {HASH_DIGITS} hexadecimal digits, the key's BLAKE3 hash");
         faults.add(format!("{path}.key_blake3"), message);
     }
--- a/crates/config/src/difference.rs
+++ b/crates/config/src/difference.rs
@@ -1,4 +1,4 @@
-//! What changes from one deployment to another.
+//! Differences between two deployments.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -11,11 +11,11 @@
 /// One value that differs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Path of the value; elements of lists are named, as in `pool[caption-llm].models`.
+    /// Path of the value; list elements are given by name, as in `pool[caption-llm].models`.
     pub path: String,
-    /// The value before, in JSON; `None` if it was not there.
+    /// The previous value as JSON; `None` if the value is added.
     pub before: Option<Value>,
-    /// The value after, in JSON; `None` if it goes.
+    /// The new value as JSON; `None` if the value is removed.
     pub after: Option<Value>,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Every value that differs, in the order of paths.
+/// Returns every value that differs, sorted by path.
 pub fn differences(before: &Deployment, after: &Deployment) -> Vec<Change> {
     let mut changes = Vec::new();
     let before = serde_json::to_value(before).ok();
@@ -57,12 +57,14 @@
                 compare(&path, old.get(key), new.get(key), changes);
             }
         }
-        (Some(Value::Array(old)), Some(Value::Array(new))) if all_named(old) && all_named(new) => {
+        (Some(Value::Array(old)), Some(Value::Array(new)))
+            if all_have_names(old) && all_have_names(new) =>
+        {
             let names: BTreeSet<String> = old.iter().chain(new).filter_map(name_of).collect();
             for name in names {
                 let find = |list: &'_ [Value]| -> Option<usize> {
                     list.iter()
-                        .position(|one| name_of(one).as_ref() == Some(&name))
+                        .position(|element| name_of(element).as_ref() == Some(&name))
                 };
                 let before = find(old).map(|index| &old[index]);
                 let after = find(new).map(|index| &new[index]);
@@ -77,11 +79,11 @@
     }
 }
 
-fn all_named(list: &[Value]) -> bool {
-    list.iter().all(|one| name_of(one).is_some())
+fn all_have_names(list: &[Value]) -> bool {
+    list.iter().all(|element| name_of(element).is_some())
 }
 
-/// Name of a list's element: its `name`, or pool and zone of a group.
+/// Name of a list element: its `name`, or `POOL@ZONE` for a group.
 fn name_of(value: &Value) -> Option<String> {
     if let Some(name) = value.get("name").and_then(Value::as_str) {
         return Some(name.to_owned());
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,16 +1,16 @@
-//! Faults of a file, all listed at once.
+//! Faults found in a file, collected so that they are reported together.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// One fault of a file.
+/// A fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Line of the file, counted from 1; 0 where the fault has no single place.
+    /// Line of the fault, counted from 1; 0 if it has no single location.
     pub line: usize,
     /// Path of the value, such as `pool[1].models`.
     pub path: String,
-    /// What is wrong and what would be right.
+    /// The problem and how to correct it.
     pub message: String,
 }
 
@@ -26,38 +26,38 @@
     }
 }
 
-/// Every fault found in one file, by line.
+/// All faults found in a file, sorted by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, thiserror::Error)]
 #[error("{}", self.listing())]
 pub struct Faults(pub Vec<Fault>);
 
 impl Faults {
-    /// One fault a line.
+    /// The faults as text, one per line.
     pub fn listing(&self) -> String {
         let lines: Vec<String> = self.0.iter().map(ToString::to_string).collect();
         lines.join("\n")
     }
 }
 
-/// Collects faults and knows on which line each value of the file stands.
+/// Collects faults and records the line of each value in the file.
 #[derive(Debug, Default)]
 pub(crate) struct FaultCollector {
     faults: Vec<Fault>,
-    places: BTreeMap<String, usize>,
+    lines_by_path: BTreeMap<String, usize>,
 }
 
 impl FaultCollector {
-    /// Notes that the value at `path` stands on `line`.
-    pub(crate) fn note_place(&mut self, path: String, line: usize) {
-        self.places.insert(path, line);
+    /// Records that the value at `path` is on `line`.
+    pub(crate) fn record_line(&mut self, path: String, line: usize) {
+        self.lines_by_path.insert(path, line);
     }
 
-    /// Whether a value stands at `path`.
-    pub(crate) fn has_place(&self, path: &str) -> bool {
-        self.places.contains_key(path)
+    /// Whether the file has a value at `path`.
+    pub(crate) fn has_value(&self, path: &str) -> bool {
+        self.lines_by_path.contains_key(path)
     }
 
-    /// Adds a fault of the value at `path`, or of the nearest value around it that has a place.
+    /// Adds a fault of the value at `path`, located at the value or else at its nearest enclosing value.
     pub(crate) fn add(&mut self, path: impl Into<String>, message: impl Into<String>) {
         let path = path.into();
         let line = self.line_of(&path);
@@ -77,8 +77,8 @@
         });
     }
 
-    /// The value if there was no fault, else all faults in the order of the file.
-    pub(crate) fn conclude<T>(mut self, value: T) -> Result<T, Faults> {
+    /// Returns `value` if there are no faults, otherwise the faults sorted by line.
+    pub(crate) fn finish<T>(mut self, value: T) -> Result<T, Faults> {
         if self.faults.is_empty() {
             return Ok(value);
         }
@@ -87,13 +87,13 @@
     }
 
     fn line_of(&self, path: &str) -> usize {
-        let mut around = path;
+        let mut enclosing = path;
         loop {
-            if let Some(line) = self.places.get(around) {
+            if let Some(line) = self.lines_by_path.get(enclosing) {
                 return *line;
             }
-            match around.rfind(['.', '[']) {
-                Some(end) => around = &around[..end],
+            match enclosing.rfind(['.', '[']) {
+                Some(end) => enclosing = &enclosing[..end],
                 None => return 0,
             }
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of a process and the deployment file of a fleet: parse, defaults, validate, diff.
+//! Parsing, defaults, validation and diffs of node settings and deployment files.
 //!
-//! A file is used whole or not at all: parsing yields either a checked value or the list of every
-//! fault found, each with its place and what would be right.
+//! Parsing is all or nothing: it returns either a validated value or every fault found, each with its
+//! location and how to correct it.
 
 pub mod deployment;
 mod deployment_reader;
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,7 +1,7 @@
-//! Reads a TOML document table by table, collecting every fault instead of stopping at the first.
+//! Reads a TOML document table by table and collects every fault instead of stopping at the first.
 //!
-//! A derived deserializer stops at its first fault, so an operator would mend a file one fault a
-//! run. Values themselves are still read by `serde`.
+//! A derived deserializer stops at the first error, so operators would have to correct a file one fault at a
+//! time. Individual values are still deserialised by `serde`.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -13,10 +13,10 @@
 
 use crate::fault::{FaultCollector, Faults};
 
-/// How alike an unknown key must be to a known one to be suggested (1 is equal).
+/// Minimum Jaro-Winkler similarity (1 is equal) of a known key to an unknown one for it to be suggested.
 const SUGGESTION_SIMILARITY: f64 = 0.75;
 
-/// Parses `text` and reads it with `read`; yields the value or every fault.
+/// Parses `text`, reads it with `read` and checks the result with `validate`; returns the value or every fault.
 pub(crate) fn read_document<T>(
     text: &str,
     read: impl FnOnce(&TableReader<'_>) -> T,
@@ -43,10 +43,10 @@
     drop(root);
     let mut collector = collector.into_inner();
     validate(&value, &mut collector);
-    collector.conclude(value)
+    collector.finish(value)
 }
 
-/// Finds the line of a byte in logarithmic time: files may hold many thousand values.
+/// Offsets of line ends, for finding a byte's line by binary search.
 struct LineIndex(Vec<usize>);
 
 impl LineIndex {
@@ -55,13 +55,13 @@
         Self(ends.map(|(offset, _)| offset).collect())
     }
 
-    /// Line (from 1) that holds the byte at `offset`.
+    /// Line, counted from 1, of the byte at `offset`.
     fn line_of(&self, offset: usize) -> usize {
         self.0.partition_point(|end| *end < offset) + 1
     }
 }
 
-/// One table of the document.
+/// Reads one table of the document and tracks which of its keys are known.
 pub(crate) struct TableReader<'a> {
     lines: &'a LineIndex,
     collector: &'a RefCell<FaultCollector>,
@@ -71,7 +71,7 @@
 }
 
 impl<'a> TableReader<'a> {
-    /// Reads a value that may be absent. `expected` says what would be right.
+    /// Reads an optional value. `expected` describes a valid value in the fault's message.
     pub(crate) fn optional<T: DeserializeOwned>(
         &self,
         key: &'static str,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Reads a value or takes its default.
+    /// Reads an optional value that has a default.
     pub(crate) fn or<T: DeserializeOwned>(
         &self,
         key: &'static str,
@@ -98,8 +98,8 @@
         self.optional(key, expected).unwrap_or(default)
     }
 
-    /// Reads a value that must be there. After a fault the placeholder stands in for it, so that
-    /// the rest of the file is still looked at; a file with faults is never used.
+    /// Reads a required value. After a fault it returns `placeholder`, so that the rest of the file can be
+    /// checked; a file with faults is never used.
     pub(crate) fn required<T: DeserializeOwned>(
         &self,
         key: &'static str,
@@ -107,13 +107,13 @@
         placeholder: T,
     ) -> T {
         if self.value(key).is_none() {
-            self.fault_of_table(format!("{key} is missing; it must be {expected}"));
+            self.table_fault(format!("{key} is missing; it must be {expected}"));
             return placeholder;
         }
         self.optional(key, expected).unwrap_or(placeholder)
     }
 
-    /// Reads a table within this one, if it is there.
+    /// Reads an optional table within this one.
     pub(crate) fn table<T>(
         &self,
         key: &'static str,
@@ -124,10 +124,10 @@
             self.fault(key, format!("must be a table, written [{key}]"));
             return None;
         };
-        Some(self.read_table(self.child(key), value.span(), table, read))
+        Some(self.read_table(self.path_of(key), value.span(), table, read))
     }
 
-    /// Reads an array of tables within this one; empty if it is absent.
+    /// Reads an optional array of tables within this one.
     pub(crate) fn tables<T>(
         &self,
         key: &'static str,
@@ -145,7 +145,7 @@
         };
         let mut read_tables = Vec::with_capacity(array.len());
         for (index, element) in array.iter().enumerate() {
-            let path = format!("{}[{index}]", self.child(key));
+            let path = format!("{}[{index}]", self.path_of(key));
             match element.get_ref().as_table() {
                 Some(table) => {
                     read_tables.push(self.read_table(path, element.span(), table, &read));
@@ -164,7 +164,7 @@
         read: impl FnOnce(&TableReader<'_>) -> T,
     ) -> T {
         let line = self.lines.line_of(span.start);
-        self.collector.borrow_mut().note_place(path.clone(), line);
+        self.collector.borrow_mut().record_line(path.clone(), line);
         let reader = TableReader {
             lines: self.lines,
             collector: self.collector,
@@ -183,11 +183,11 @@
         let line = self.lines.line_of(value.span().start);
         self.collector
             .borrow_mut()
-            .note_place(self.child(key), line);
+            .record_line(self.path_of(key), line);
         Some(value)
     }
 
-    fn child(&self, key: &str) -> String {
+    fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
         } else {
@@ -196,10 +196,10 @@
     }
 
     fn fault(&self, key: &str, message: String) {
-        self.collector.borrow_mut().add(self.child(key), message);
+        self.collector.borrow_mut().add(self.path_of(key), message);
     }
 
-    fn fault_of_table(&self, message: String) {
+    fn table_fault(&self, message: String) {
         self.collector.borrow_mut().add(self.path.clone(), message);
     }
 
@@ -217,7 +217,7 @@
             let line = self.lines.line_of(key.span().start);
             self.collector
                 .borrow_mut()
-                .add_at(line, self.child(name), message);
+                .add_at(line, self.path_of(name), message);
         }
     }
 }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node process, from a file, from flags or from both.
+//! Settings of a node process, read from a file, flags or both.
 
 use std::net::SocketAddr;
 
@@ -8,63 +8,62 @@
 use crate::fault::{FaultCollector, Faults};
 use crate::reader::{TableReader, read_document};
 
-const AN_ADDRESS: &str = "an IP address with a port in quotes, as \"10.0.0.7:8080\"";
+const SOCKET_ADDRESS: &str = "an IP address with a port in quotes, as \"10.0.0.7:8080\"";
 const MILLISECONDS: &str = "a whole number of milliseconds";
 
-/// Shortest lease: below it one lost renewal would lose the lease.
+/// Minimum lease time; with a shorter one, a single failed renewal would lose the lease.
 const MIN_LEASE_MS: u64 = 300;
 
 /// Hexadecimal digits of a BLAKE3 hash.
 const HASH_DIGITS: usize = 64;
 
-/// Shortest key of the nodes' own traffic.
+/// Minimum length of `peer_key`.
 const MIN_PEER_KEY_BYTES: usize = 16;
 
 /// How log events are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
-    /// Text for a terminal.
+    /// Human-readable text for a terminal.
     Terminal,
 }
 
 /// Settings of one node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
-    /// Name of the node; unique in the fleet.
+    /// Name of the node, unique in the fleet.
     pub node: NodeId,
-    /// Zone of the node.
     pub zone: ZoneName,
-    /// Where callers connect; port 0 takes any free one.
+    /// Address to listen on for callers; port 0 picks a free port.
     pub caller_listen: SocketAddr,
-    /// Where operators connect.
+    /// Address to listen on for operators.
     pub operator_listen: SocketAddr,
-    /// Where other nodes connect (UDP and TCP on the same number).
+    /// Address to listen on for other nodes (UDP and TCP on the same port).
     pub peer_listen: SocketAddr,
-    /// The key-value service.
+    /// Address of the key-value service.
     pub key_value: SocketAddr,
-    /// The machine list.
+    /// Address of the machine list.
     pub machine_list: SocketAddr,
-    /// Peers to find the others by; the machine list names more.
+    /// Initial peer addresses for discovery, in addition to the machine list.
     pub seeds: Vec<SocketAddr>,
     /// How log events are written.
     pub log_format: LogFormat,
     /// Time to live of a group's lease, in milliseconds.
     pub lease_ms: u64,
-    /// How often the machine list is read, in milliseconds.
+    /// Interval between reads of the machine list, in milliseconds.
     pub machine_poll_ms: u64,
-    /// How often a group's holder asks its engines for load, in milliseconds.
+    /// Interval at which a group's lease holder polls its engines' load, in milliseconds.
     pub load_poll_ms: u64,
-    /// BLAKE3 hash of the key that operators must show; none is asked for if absent.
+    /// BLAKE3 hash of the operators' key; `None` disables operator authentication.
     pub operator_key_blake3: Option<String>,
-    /// Key that nodes authenticate their datagrams with; none is used if absent.
+    /// Key that authenticates datagrams between nodes; `None` disables authentication.
     pub peer_key: Option<String>,
 }
 
-/// Settings as far as one source gives them.
+/// Settings from one source; a setting that the source does not give is `None`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PartialSettings {
     /// See [`NodeSettings::node`].
@@ -97,7 +96,7 @@
     pub peer_key: Option<String>,
 }
 
-/// Defaults of settings that need not be given.
+/// Defaults of optional settings.
 mod default {
     pub(super) const LEASE_MS: u64 = 6_000;
     pub(super) const MACHINE_POLL_MS: u64 = 1_000;
@@ -105,21 +104,22 @@
 }
 
 impl NodeSettings {
-    /// Parses and checks a settings file.
+    /// Parses and validates a settings file.
     pub fn parse(text: &str) -> Result<Self, Faults> {
         Self::parse_with(text, PartialSettings::default())
     }
 
-    /// Parses a settings file; what `flags` give goes before the file. Every fault is listed.
+    /// Parses and validates a settings file merged with `flags`, which take precedence. On failure returns every
+    /// fault found.
     pub fn parse_with(text: &str, flags: PartialSettings) -> Result<Self, Faults> {
         let merged = read_document(text, |table| flags.or(read_settings(table)), validate)?;
-        // Whatever must be given was found to be there.
+        // `validate` has ensured that all required settings are present.
         merged.complete().ok_or_else(Faults::default)
     }
 }
 
 impl PartialSettings {
-    /// These settings, and those of `other` where these give none.
+    /// Fills settings that are absent from `other`.
     fn or(self, other: Self) -> Self {
         Self {
             node: self.node.or(other.node),
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The settings with their defaults; `None` if one that must be given is missing.
+    /// Applies defaults; `None` if a required setting is missing.
     fn complete(self) -> Option<NodeSettings> {
         Some(NodeSettings {
             node: self.node?,
@@ -164,11 +164,11 @@
     PartialSettings {
         node: table.optional("node", "a name in quotes"),
         zone: table.optional("zone", "a name in quotes"),
-        caller_listen: table.optional("caller_listen", AN_ADDRESS),
-        operator_listen: table.optional("operator_listen", AN_ADDRESS),
-        peer_listen: table.optional("peer_listen", AN_ADDRESS),
-        key_value: table.optional("key_value", AN_ADDRESS),
-        machine_list: table.optional("machine_list", AN_ADDRESS),
+        caller_listen: table.optional("caller_listen", SOCKET_ADDRESS),
+        operator_listen: table.optional("operator_listen", SOCKET_ADDRESS),
+        peer_listen: table.optional("peer_listen", SOCKET_ADDRESS),
+        key_value: table.optional("key_value", SOCKET_ADDRESS),
+        machine_list: table.optional("machine_list", SOCKET_ADDRESS),
         seeds: table.optional("seeds", "a list of addresses in quotes"),
         log_format: table.optional("log_format", "\"json\" or \"terminal\""),
         lease_ms: table.optional("lease_ms", MILLISECONDS),
@@ -190,8 +190,8 @@
         ("machine_list", settings.machine_list.is_some()),
     ];
     for (key, is_given) in given {
-        // A value that was there and wrong has a fault of its own.
-        if !is_given && !faults.has_place(key) {
+        // An invalid value has already been reported by the reader.
+        if !is_given && !faults.has_value(key) {
             let flag = key.replace('_', "-");
             faults.add(
                 key,
@@ -218,13 +218,13 @@
 }
 
 fn validate_keys(settings: &PartialSettings, faults: &mut FaultCollector) {
-    let written = |hash: &String| {
+    let is_valid_hash = |hash: &String| {
         hash.len() == HASH_DIGITS && hash.bytes().all(|byte| byte.is_ascii_hexdigit())
     };
     if settings
         .operator_key_blake3
         .as_ref()
-        .is_some_and(|hash| !written(hash))
+        .is_some_and(|hash| !is_valid_hash(hash))
     {
         let message = format!("must have {HASH_DIGITS} hexadecimal digits, the key's BLAKE3 hash");
         faults.add("operator_key_blake3", message);
--- a/crates/config/tests/deployment.rs
+++ b/crates/config/tests/deployment.rs
@@ -1,4 +1,4 @@
-//! Deployment files: whole or not at all, with every fault listed at its place.
+//! Deployment files are validated completely, and every fault is reported with its line.
 
 use dalestand_config::{Deployment, Fault, differences};
 use rstest::rstest;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_examples_differ_in_the_one_weight_that_matters() {
+fn the_examples_differ_in_the_weight_of_role_changes() {
     let lakeshore = Deployment::parse(LAKESHORE).expect("no fault").roles;
     let seberang = Deployment::parse(SEBERANG).expect("no fault").roles;
     assert!(lakeshore.change_weight < seberang.change_weight);
@@ -88,7 +88,7 @@
     12,
     "cover prefill"
 )]
-fn a_fault_names_its_line_and_what_would_be_right(
+fn a_fault_names_its_line_and_the_correction(
     #[case] right: &str,
     #[case] wrong: &str,
     #[case] line: usize,
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn all_faults_are_listed_at_once_in_the_order_of_the_file() {
+fn all_faults_are_reported_together_sorted_by_line() {
     let text = SMALL
         .replace("format = 1", "format = 7")
         .replace("version = \"1\"", "verson = \"1\"")
--- a/crates/config/tests/settings.rs
+++ b/crates/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a node: from a file, from flags, or from both.
+//! Node settings from a file, from flags, or from both.
 
 use dalestand_config::{NodeSettings, PartialSettings};
 use dalestand_types::NodeId;
@@ -13,14 +13,14 @@
 "#;
 
 #[test]
-fn a_file_with_the_needed_values_is_enough() {
+fn a_file_with_the_required_values_is_valid() {
     let settings = NodeSettings::parse(FILE).expect("no fault");
     assert_eq!(settings.node, NodeId::from("n"));
     assert!(settings.seeds.is_empty());
 }
 
 #[test]
-fn a_flag_goes_before_the_file() {
+fn a_flag_takes_precedence_over_the_file() {
     let flags = PartialSettings {
         node: Some(NodeId::from("other")),
         ..Default::default()
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn what_neither_gives_is_listed() {
+fn missing_required_values_are_reported() {
     let faults = NodeSettings::parse("node = \"n\"").expect_err("values are missing");
     assert_eq!(faults.0.len(), 6);
     assert!(
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_wrong_value_is_not_called_missing_too() {
+fn an_invalid_value_is_not_also_reported_as_missing() {
     let text = FILE.replace("\"127.0.0.1:1\"", "\"localhost\"");
     let faults = NodeSettings::parse(&text).expect_err("the address is wrong");
     assert_eq!(faults.0.len(), 1);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn short_intervals_and_badly_written_keys_are_faults() {
+fn short_intervals_and_short_keys_are_faults() {
     let text = format!("{FILE}lease_ms = 10\nload_poll_ms = 0\npeer_key = \"short\"\n");
     let faults = NodeSettings::parse(&text).expect_err("three faults");
     let lines: Vec<usize> = faults.0.iter().map(|fault| fault.line).collect();
