--- a/crates/telemetry/src/line_queue.rs
+++ b/crates/telemetry/src/line_queue.rs
@@ -1,45 +1,44 @@
-//! Log lines that wait for the writer: bounded, and failures before samples.
+//! Bounded queue of log lines with two priorities.
 //!
-//! Promise: a finding is dropped only while no sample waits, so that under load no line of a failed
-//! request is lost for the line of one that went well. What is dropped is counted by its message.
+//! A high-priority line is dropped only while no low-priority line is queued, so that under load, lines of
+//! successful requests never displace lines of failed ones. Dropped lines are counted by message.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// How much a line matters.
+/// Priority of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinePriority {
-    /// One of many like it, such as a request that went well.
+    /// Routine lines, such as those of successful requests.
     Low,
-    /// A failure or a change of what the process believes.
+    /// Failures and changes of the process's state.
     High,
 }
 
-/// A line of the log, with its end.
+/// A formatted log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// How much it matters.
     pub priority: LinePriority,
-    /// The event's message, by which dropped lines are counted.
+    /// The event's message; dropped lines are counted by it.
     pub message: String,
-    /// What is written.
+    /// The line including its newline.
     pub bytes: Vec<u8>,
 }
 
-/// Bounds of a queue.
+/// Limits of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LineQueueLimits {
-    /// Most lines.
+    /// Maximum number of lines.
     pub lines: usize,
-    /// Most bytes of all lines.
+    /// Maximum total size of all lines, in bytes.
     pub bytes: usize,
 }
 
-/// The queue.
+/// Queue of log lines; see the module documentation.
 #[derive(Debug)]
 pub struct LineQueue {
     limits: LineQueueLimits,
-    findings: VecDeque<LogLine>,
-    samples: VecDeque<LogLine>,
+    high_priority: VecDeque<LogLine>,
+    low_priority: VecDeque<LogLine>,
     bytes: usize,
     dropped: BTreeMap<String, u64>,
 }
@@ -49,60 +48,60 @@
     pub fn new(limits: LineQueueLimits) -> Self {
         Self {
             limits,
-            findings: VecDeque::new(),
-            samples: VecDeque::new(),
+            high_priority: VecDeque::new(),
+            low_priority: VecDeque::new(),
             bytes: 0,
             dropped: BTreeMap::new(),
         }
     }
 
-    /// Takes a line in, or drops it. A finding takes the place of the oldest samples.
+    /// Adds a line or drops it. A high-priority line evicts the oldest low-priority lines if necessary.
     pub fn push(&mut self, line: LogLine) {
-        while !self.has_room(&line) {
-            let gives_way = match line.priority {
+        while !self.has_capacity(&line) {
+            let evicted = match line.priority {
                 LinePriority::Low => None,
-                LinePriority::High => self.samples.pop_front(),
+                LinePriority::High => self.low_priority.pop_front(),
             };
-            let Some(sample) = gives_way else {
+            let Some(evicted) = evicted else {
                 self.count_dropped(line);
                 return;
             };
-            self.bytes -= sample.bytes.len();
-            self.count_dropped(sample);
+            self.bytes -= evicted.bytes.len();
+            self.count_dropped(evicted);
         }
         self.bytes += line.bytes.len();
         match line.priority {
-            LinePriority::Low => self.samples.push_back(line),
-            LinePriority::High => self.findings.push_back(line),
+            LinePriority::Low => self.low_priority.push_back(line),
+            LinePriority::High => self.high_priority.push_back(line),
         }
     }
 
-    /// The next line to be written: findings first, each kind in its order.
+    /// Removes the next line to write: high priority first, in order of arrival within a priority.
     pub fn pop(&mut self) -> Option<LogLine> {
         let line = self
-            .findings
+            .high_priority
             .pop_front()
-            .or_else(|| self.samples.pop_front())?;
+            .or_else(|| self.low_priority.pop_front())?;
         self.bytes -= line.bytes.len();
         Some(line)
     }
 
-    /// Lines dropped since the last call, by message.
+    /// Numbers of lines dropped since the last call, by message.
     pub fn take_dropped(&mut self) -> BTreeMap<String, u64> {
         std::mem::take(&mut self.dropped)
     }
 
-    /// Lines that wait.
+    /// Number of queued lines.
     pub fn len(&self) -> usize {
-        self.findings.len() + self.samples.len()
+        self.high_priority.len() + self.low_priority.len()
     }
 
-    /// Whether no line waits.
+    /// Whether no line is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn has_room(&self, line: &LogLine) -> bool {
+    fn has_capacity(&self, line: &LogLine) -> bool {
         self.len() < self.limits.lines && self.bytes + line.bytes.len() <= self.limits.bytes
     }
 
--- a/crates/telemetry/src/logger.rs
+++ b/crates/telemetry/src/logger.rs
@@ -1,25 +1,25 @@
-//! Loggers.
+//! Loggers for the programs and for tests.
 
 use slog::{Drain as _, Logger, o};
 
 use crate::queued_writer::QueuedWriter;
 
-/// Records that may wait for the writer; more are dropped and counted, so that a slow writer never
-/// holds a request.
-const CHANNEL_RECORDS: usize = 4_096;
+/// Capacity of the terminal logger's queue; further records are dropped and counted, so that a slow terminal
+/// never blocks a request.
+const ASYNC_QUEUE_RECORDS: usize = 4_096;
 
-/// How events are written.
+/// Format and destination of log events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogOutput {
-    /// One JSON object a line, on standard error.
+    /// One JSON object per line on standard error.
     Json,
-    /// One JSON object a line, on standard output.
+    /// One JSON object per line on standard output.
     JsonOutput,
-    /// Text for a terminal, on standard error.
+    /// Human-readable text on standard error.
     Terminal,
 }
 
-/// A logger that writes from a thread of its own.
+/// Creates a logger that writes on a separate thread.
 pub fn logger(output: LogOutput) -> Logger {
     match output {
         LogOutput::Json => json_logger(std::io::stderr()),
@@ -32,12 +32,13 @@
     }
 }
 
-/// A logger that writes one JSON object a line to `output`, findings before samples.
+/// Creates a logger that writes one JSON object per line to `output` on a separate thread, high-priority lines
+/// first.
 pub fn json_logger(output: impl std::io::Write + Send + 'static) -> Logger {
     Logger::root(QueuedWriter::start(output), o!())
 }
 
-/// A logger that writes nothing.
+/// Creates a logger that discards everything.
 pub fn discard_logger() -> Logger {
     Logger::root(slog::Discard, o!())
 }
@@ -47,7 +48,7 @@
     D: slog::Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
     let drain = slog_async::Async::new(drain)
-        .chan_size(CHANNEL_RECORDS)
+        .chan_size(ASYNC_QUEUE_RECORDS)
         .build()
         .fuse();
     Logger::root(drain, o!())
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use prometheus::{Encoder as _, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 
-/// Metrics could not be set up or written.
+/// Metrics could not be registered or encoded.
 #[derive(Debug, thiserror::Error)]
 #[error("metrics failed: {0}")]
 pub struct MetricsError(#[from] prometheus::Error);
@@ -17,13 +17,13 @@
     pub attempts: IntCounter,
     /// Output tokens relayed to callers.
     pub tokens: IntCounter,
-    /// Frames of another attempt that were discarded.
+    /// Discarded frames that belonged to another attempt.
     pub foreign_frames: IntCounter,
     /// Requests in flight.
     pub in_flight: IntGauge,
     /// Revision of the configuration in force.
     pub configuration_revision: IntGauge,
-    /// Live members of the cluster, this node left out.
+    /// Live members of the cluster other than this node.
     pub members: IntGauge,
     /// Members that went down or left.
     pub members_lost: IntCounter,
@@ -42,7 +42,7 @@
 }
 
 impl Metrics {
-    /// A fresh set.
+    /// Creates and registers the metrics.
     pub fn new() -> Result<Self, MetricsError> {
         let registry = Registry::new_custom(Some("dalestand".to_owned()), None)?;
         let requests = IntCounterVec::new(
@@ -82,7 +82,7 @@
         })
     }
 
-    /// All metrics as text.
+    /// All metrics in the Prometheus text format.
     pub fn text(&self) -> Result<String, MetricsError> {
         let mut buffer = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut buffer)?;
--- a/crates/telemetry/src/queued_writer.rs
+++ b/crates/telemetry/src/queued_writer.rs
@@ -1,7 +1,6 @@
-//! A drain that hands lines to a thread which writes them.
+//! A `slog` drain that queues lines for a writer thread, so that logging never waits for the output.
 //!
-//! Promise: logging never waits for the writer. `slog-async` promises as much, but its queue drops
-//! whatever comes when it is full, failures and samples alike.
+//! `slog-async` does not wait either, but when its queue is full it drops new records whatever their priority.
 
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -12,20 +11,20 @@
 use crate::event::Event;
 use crate::line_queue::{LinePriority, LineQueue, LineQueueLimits, LogLine};
 
-/// Bounds of the queue. A line has some 300 bytes, at most a few thousand.
+/// Limits of the queue. Lines are typically about 300 bytes and at most a few thousand.
 const LIMITS: LineQueueLimits = LineQueueLimits {
     lines: 4_096,
     bytes: 2 << 20,
 };
 
-/// Most lines taken from the queue for one write.
-const WRITTEN_AT_ONCE: usize = 32;
+/// Maximum number of lines per write.
+const LINES_PER_WRITE: usize = 32;
 
-/// How often dropped lines are told of.
-const TELL_DROPPED: Duration = Duration::from_secs(1);
+/// Minimum interval between reports of dropped lines.
+const DROPPED_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time that the end of the process leaves to a writer that is behind.
-const FLUSH_WITHIN: Duration = Duration::from_secs(1);
+/// Maximum wait for queued lines to be written when the drain is dropped.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct State {
@@ -41,13 +40,13 @@
 }
 
 impl Shared {
-    /// The state. A panic between two steps on it leaves it usable.
+    /// Locks the state. A poisoned lock is usable, since the state is consistent after every step.
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Writes each record as one JSON line, from a thread of its own.
+/// Writes each record as one JSON line on a separate thread.
 #[derive(Debug)]
 pub struct QueuedWriter {
     shared: Arc<Shared>,
@@ -91,7 +90,7 @@
     type Err = slog::Never;
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
-        // A value that cannot be told is left out with its line.
+        // Skip records that cannot be formatted.
         let Ok(bytes) = self.line(record, values) else {
             return Ok(());
         };
@@ -116,26 +115,26 @@
         let mut state = self.shared.lock();
         state.is_closed = true;
         self.shared.changed.notify_all();
-        let until = Instant::now() + FLUSH_WITHIN;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
         while state.is_writing || !state.queue.is_empty() {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return;
             }
-            let waited = self.shared.changed.wait_timeout(state, left);
+            let waited = self.shared.changed.wait_timeout(state, remaining);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
 
 fn write_lines(shared: &Shared, mut output: impl Write) {
-    let mut told = Instant::now();
+    let mut reported_at = Instant::now();
     while let Some(mut lines) = next_lines(shared) {
-        if told.elapsed() >= TELL_DROPPED {
-            told = Instant::now();
+        if reported_at.elapsed() >= DROPPED_REPORT_INTERVAL {
+            reported_at = Instant::now();
             lines.extend(dropped_line(shared));
         }
-        // Nobody is left to be told of an output that cannot be written.
+        // A failure to write the log cannot be logged.
         let _ = output.write_all(&lines);
         let _ = output.flush();
         shared.lock().is_writing = false;
@@ -143,7 +142,7 @@
     }
 }
 
-/// Waits for lines and takes some; `None` once the drain is gone and all is written.
+/// Waits for lines and removes a batch from the queue; `None` once the drain is dropped and the queue is empty.
 fn next_lines(shared: &Shared) -> Option<Vec<u8>> {
     let mut state = shared.lock();
     while state.queue.is_empty() {
@@ -154,11 +153,11 @@
         state = waited.unwrap_or_else(PoisonError::into_inner);
     }
     state.is_writing = true;
-    let lines = std::iter::from_fn(|| state.queue.pop()).take(WRITTEN_AT_ONCE);
+    let lines = std::iter::from_fn(|| state.queue.pop()).take(LINES_PER_WRITE);
     Some(lines.flat_map(|line| line.bytes).collect())
 }
 
-/// A line that says what was dropped since the last one.
+/// A log line with the numbers of lines dropped since the last report; empty if there are none.
 fn dropped_line(shared: &Shared) -> Vec<u8> {
     let dropped = shared.lock().queue.take_dropped();
     if dropped.is_empty() {
--- a/crates/telemetry/tests/events.rs
+++ b/crates/telemetry/tests/events.rs
@@ -1,4 +1,4 @@
-//! Holds `docs/EVENTS.md` against the events in the code.
+//! Checks that `docs/EVENTS.md` lists exactly the events in the code.
 
 use std::collections::BTreeSet;
 
@@ -26,7 +26,7 @@
     assert_eq!(numbers.len(), EVENTS.len());
 }
 
-/// A row is `| number | level | message | meaning |`.
+/// Parses a row of the form `| number | level | message | meaning |`.
 fn catalogue_row(line: &str) -> Option<(u32, String, String)> {
     let mut cells = line.split('|').skip(1).map(str::trim);
     let number = cells.next()?.parse().ok()?;
--- a/crates/telemetry/tests/log_lines.rs
+++ b/crates/telemetry/tests/log_lines.rs
@@ -1,4 +1,4 @@
-//! The queue of log lines, and that logging never waits for its output.
+//! The log line queue keeps high-priority lines, and logging never waits for the output.
 
 use std::io::Write;
 use std::sync::{Arc, Mutex};
@@ -16,8 +16,8 @@
 
 fn line(priority: LinePriority, length: usize) -> LogLine {
     let message = match priority {
-        LinePriority::Low => "sample",
-        LinePriority::High => "finding",
+        LinePriority::Low => "low",
+        LinePriority::High => "high",
     };
     LogLine {
         priority,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn findings_take_the_place_of_samples_and_are_written_first() {
+fn high_priority_lines_evict_low_priority_lines_and_are_written_first() {
     let mut queue = LineQueue::new(LIMITS);
     for _ in 0..10 {
         queue.push(line(LinePriority::Low, 10));
@@ -36,7 +36,7 @@
         queue.push(line(LinePriority::High, 10));
     }
     assert_eq!(queue.len(), 8);
-    assert_eq!(queue.take_dropped().get("sample"), Some(&5));
+    assert_eq!(queue.take_dropped().get("low"), Some(&5));
     let order: Vec<LinePriority> = std::iter::from_fn(|| queue.pop())
         .map(|line| line.priority)
         .collect();
@@ -45,32 +45,32 @@
 }
 
 proptest! {
-    /// A finding is dropped only while no sample waits, the bounds hold, and every line is either
-    /// written or counted.
+    /// A high-priority line is dropped only while no low-priority line is queued, the limits hold, and every
+    /// line is either written or counted as dropped.
     #[test]
-    fn no_finding_is_lost_for_a_sample(
+    fn no_high_priority_line_is_dropped_while_a_low_priority_line_is_queued(
         steps in proptest::collection::vec((0_u8..3, 1_usize..80), 1..300),
     ) {
         let mut queue = LineQueue::new(LIMITS);
         let (mut pushed, mut written, mut dropped) = (0_u64, 0_u64, 0_u64);
-        let mut samples_waiting = 0_i64;
-        for (what, length) in steps {
-            if what == 0 {
+        let mut low_queued = 0_i64;
+        for (step, length) in steps {
+            if step == 0 {
                 if let Some(line) = queue.pop() {
                     written += 1;
-                    samples_waiting -= i64::from(line.priority == LinePriority::Low);
+                    low_queued -= i64::from(line.priority == LinePriority::Low);
                 }
                 continue;
             }
-            let priority = if what == 1 { LinePriority::Low } else { LinePriority::High };
+            let priority = if step == 1 { LinePriority::Low } else { LinePriority::High };
             pushed += 1;
             queue.push(line(priority, length));
             let lost = queue.take_dropped();
-            let samples_lost = lost.get("sample").copied().unwrap_or_default();
-            samples_waiting += i64::from(priority == LinePriority::Low) - samples_lost as i64;
+            let low_lost = lost.get("low").copied().unwrap_or_default();
+            low_queued += i64::from(priority == LinePriority::Low) - low_lost as i64;
             dropped += lost.values().sum::<u64>();
-            if lost.contains_key("finding") {
-                prop_assert_eq!(samples_waiting, 0);
+            if lost.contains_key("high") {
+                prop_assert_eq!(low_queued, 0);
             }
             prop_assert!(queue.len() <= LIMITS.lines);
         }
@@ -78,16 +78,16 @@
     }
 }
 
-/// An output that stands still until it is let go.
+/// An output that blocks while `blocked` is locked.
 #[derive(Clone, Default)]
-struct SlowOutput {
-    held: Arc<Mutex<()>>,
+struct BlockedOutput {
+    blocked: Arc<Mutex<()>>,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for SlowOutput {
+impl Write for BlockedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let _held = self.held.lock().expect("no panic");
+        let _guard = self.blocked.lock().expect("no panic");
         self.written.lock().expect("no panic").extend(bytes);
         Ok(bytes.len())
     }
@@ -98,11 +98,11 @@
 }
 
 #[test]
-fn logging_does_not_wait_for_the_output_and_tells_what_was_dropped() {
-    let output = SlowOutput::default();
+fn logging_does_not_wait_for_the_output_and_reports_dropped_lines() {
+    let output = BlockedOutput::default();
     let logger = json_logger(output.clone());
-    let held = output.held.lock().expect("no panic");
-    let begun = Instant::now();
+    let guard = output.blocked.lock().expect("no panic");
+    let started = Instant::now();
     for request in 0..20_000 {
         log_event!(logger, Event::RequestComplete, "request" => request);
     }
@@ -110,11 +110,11 @@
         log_event!(logger, Event::RequestFailed, "request" => request);
     }
     assert!(
-        begun.elapsed() < Duration::from_secs(20),
-        "the output stands still for ever"
+        started.elapsed() < Duration::from_secs(20),
+        "logging waited for the blocked output"
     );
     std::thread::sleep(Duration::from_millis(1_100));
-    drop(held);
+    drop(guard);
     drop(logger);
     let written = output.written.lock().expect("no panic").clone();
     let written = String::from_utf8(written).expect("text");
@@ -124,7 +124,7 @@
         .lines()
         .filter_map(|line| serde_json::from_str::<serde_json::Value>(line).ok())
         .find(|line| line["event"] == 1007)
-        .expect("a line on what was dropped");
+        .expect("a line that reports dropped lines");
     assert!(dropped["dropped"]["request complete"].as_u64() > Some(10_000));
     assert!(written.contains("since_start_ms"));
 }
