--- a/crates/history/src/checks/answers.rs
+++ b/crates/history/src/checks/answers.rs
@@ -1,4 +1,4 @@
-//! Each caller receives the whole answer to its own request.
+//! Each caller receives the complete answer to its own request.
 
 use std::collections::HashMap;
 
@@ -11,8 +11,8 @@
     received: String,
 }
 
-/// Checks that what a caller receives is always the start of the right answer, and all of it when
-/// the request is complete.
+/// Checks that the text a caller has received is always a prefix of the expected answer, and all of it when the
+/// request ends as complete.
 pub fn answers_are_complete(history: &History) -> Result<(), Violation> {
     let mut answers: HashMap<RequestId, Answer> = HashMap::new();
     for (index, recorded) in history.events.iter().enumerate() {
@@ -23,12 +23,14 @@
             }
             Event::TextReceived { request, text } => {
                 let Some(answer) = answers.get_mut(request) else {
-                    let message = format!("text for {request}, which was not sent");
+                    let message = format!("received text for {request}, which was not sent");
                     return Err(Violation::new(index, message));
                 };
                 answer.received.push_str(text);
                 if !answer.expected.starts_with(&answer.received) {
-                    let message = format!("{request} received {text:?}, not of its answer");
+                    let message = format!(
+                        "{request} received {text:?}, which does not continue its expected answer"
+                    );
                     return Err(Violation::new(index, message));
                 }
             }
@@ -36,11 +38,12 @@
                 request,
                 end: RequestEnd::Complete,
             } => {
-                let whole = answers
+                let is_complete = answers
                     .get(request)
                     .is_some_and(|answer| answer.received == answer.expected);
-                if !whole {
-                    let message = format!("{request} is called complete and is not");
+                if !is_complete {
+                    let message =
+                        format!("{request} ended as complete without its complete answer");
                     return Err(Violation::new(index, message));
                 }
             }
--- a/crates/history/src/checks/at_most_once.rs
+++ b/crates/history/src/checks/at_most_once.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once.
+//! A request with an idempotency key runs at most once.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 use crate::engine_log::{EngineLogEntry, RunLogEvent};
 use crate::event::{History, Violation};
 
-/// Checks that over all engines and all their runs one attempt at most was accepted under a key.
+/// Checks that over all runs of all engines, at most one attempt was accepted per key.
 pub fn at_most_once(history: &History) -> Result<(), Violation> {
     let mut accepted: HashMap<&str, AttemptId> = HashMap::new();
     for (index, line) in history.engine_log_lines() {
--- a/crates/history/src/checks/fencing.rs
+++ b/crates/history/src/checks/fencing.rs
@@ -1,4 +1,4 @@
-//! Orders from a process that has lost its authority change nothing.
+//! Orders of a node that has lost its lease have no effect.
 
 use std::collections::{HashMap, HashSet};
 
@@ -7,8 +7,8 @@
 use crate::engine_log::{EngineLogEntry, OrderLogEntry};
 use crate::event::{Event, History, Violation};
 
-/// Checks that no epoch was granted twice, that every order taken carries a granted epoch, and
-/// that an engine takes no order under an epoch lower than one it has seen in any of its runs.
+/// Checks that no epoch was granted twice, that every accepted order carries a granted epoch, and that no engine
+/// accepts an order of an epoch lower than one it has seen in any of its runs.
 pub fn no_stale_orders(history: &History) -> Result<(), Violation> {
     let granted = granted_epochs(history)?;
     let mut highest: HashMap<&EngineId, Epoch> = HashMap::new();
@@ -23,11 +23,13 @@
             OrderLogEntry::Taken { order, .. } => {
                 let id = order.id;
                 if id.epoch < *seen {
-                    let message = format!("{engine} took {id} after it had seen epoch {seen}");
+                    let message =
+                        format!("{engine} accepted order {id} after it had seen epoch {seen}");
                     return Err(Violation::new(index, message));
                 }
                 if !granted.contains(&id.epoch) {
-                    let message = format!("{engine} took {id}, whose epoch was never granted");
+                    let message =
+                        format!("{engine} accepted order {id}, whose epoch was never granted");
                     return Err(Violation::new(index, message));
                 }
                 *seen = id.epoch;
--- a/crates/history/src/checks/leaving_engines.rs
+++ b/crates/history/src/checks/leaving_engines.rs
@@ -1,4 +1,4 @@
-//! A leaving engine gets no new work after a few seconds.
+//! A leaving engine receives no new requests after a grace period.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,8 +8,8 @@
 use crate::engine_log::{EngineLogEntry, RunLogEvent};
 use crate::event::{Event, History, Violation};
 
-/// Checks that an engine accepts nothing later than `grace` after the machine list first showed
-/// it as leaving. Times are the recorder's.
+/// Checks that an engine accepts no request more than `grace` after the machine list first showed it as leaving,
+/// by the recorder's clock.
 pub fn no_work_for_leaving_engines(history: &History, grace: Duration) -> Result<(), Violation> {
     let mut leaving: HashMap<&EngineId, MonotonicTime> = HashMap::new();
     for (index, recorded) in history.events.iter().enumerate() {
@@ -21,11 +21,12 @@
                 let EngineLogEntry::Run(run) = &line.entry else {
                     continue;
                 };
-                let late = leaving
+                let is_past_grace = leaving
                     .get(&line.engine)
                     .is_some_and(|since| recorded.at.since(*since) > grace);
-                if late && run.event == RunLogEvent::Accepted {
-                    let message = format!("{} got new work while it was leaving", line.engine);
+                if is_past_grace && run.event == RunLogEvent::Accepted {
+                    let message =
+                        format!("{} accepted a request while it was leaving", line.engine);
                     return Err(Violation::new(index, message));
                 }
             }
--- a/crates/history/src/checks/not_run.rs
+++ b/crates/history/src/checks/not_run.rs
@@ -1,4 +1,4 @@
-//! A request refused as not run did not run.
+//! A request that was refused as not run did not run.
 
 use std::collections::HashSet;
 
@@ -7,8 +7,7 @@
 use crate::engine_log::EngineLogEntry;
 use crate::event::{Event, History, RequestEnd, Violation};
 
-/// Checks that no engine accepted a request whose caller was told that it did not run, before or
-/// after the caller was told.
+/// Checks that no engine accepted, before or after the refusal, a request that was refused as not run.
 pub fn refused_requests_did_not_run(history: &History) -> Result<(), Violation> {
     let refused: HashSet<RequestId> = history
         .events
@@ -25,7 +24,10 @@
         if let EngineLogEntry::Run(run) = &line.entry
             && refused.contains(&run.request)
         {
-            let message = format!("{} ran {}, refused as not run", line.engine, run.request);
+            let message = format!(
+                "{} ran {}, which was refused as not run",
+                line.engine, run.request
+            );
             return Err(Violation::new(index, message));
         }
     }
--- a/crates/history/src/checks/orders.rs
+++ b/crates/history/src/checks/orders.rs
@@ -1,4 +1,4 @@
-//! An engine never holds two conflicting orders.
+//! An engine never has two conflicting orders.
 
 use std::collections::HashMap;
 
@@ -14,8 +14,8 @@
     unfinished: Option<OrderId>,
 }
 
-/// Checks that within each run of an engine an order is taken only when the one before is
-/// finished, follows that one, and was meant for this run.
+/// Checks that an engine accepts an order only if the run's previous order is finished, the order names it as its
+/// predecessor, and the order is addressed to this run.
 pub fn no_conflicting_orders(history: &History) -> Result<(), Violation> {
     let mut runs: HashMap<(&EngineId, Incarnation), EngineRun> = HashMap::new();
     for (index, line) in history.engine_log_lines() {
@@ -28,15 +28,20 @@
                 let engine = &line.engine;
                 let id = order.id;
                 if let Some(other) = run.unfinished {
-                    let message = format!("{engine} took {id} while {other} was unfinished");
+                    let message =
+                        format!("{engine} accepted order {id} while {other} was unfinished");
                     return Err(Violation::new(index, message));
                 }
                 if order.follows != run.last {
-                    let message = format!("{engine} took {id}, which does not follow the last");
+                    let message = format!(
+                        "{engine} accepted order {id}, which does not follow its last order"
+                    );
                     return Err(Violation::new(index, message));
                 }
                 if order.incarnation != line.incarnation {
-                    let message = format!("{engine} took {id}, meant for another run of it");
+                    let message = format!(
+                        "{engine} accepted order {id}, which was addressed to another incarnation"
+                    );
                     return Err(Violation::new(index, message));
                 }
                 run.last = Some(id);
@@ -46,7 +51,10 @@
                 run.unfinished = None;
             }
             OrderLogEntry::Done { order, .. } => {
-                let message = format!("{} finished {}, not held", line.engine, order.id);
+                let message = format!(
+                    "{} finished order {}, which was not running",
+                    line.engine, order.id
+                );
                 return Err(Violation::new(index, message));
             }
             OrderLogEntry::EpochRaised { .. } | OrderLogEntry::Refused { .. } => {}
--- a/crates/history/src/checks/planned_changes.rs
+++ b/crates/history/src/checks/planned_changes.rs
@@ -1,4 +1,4 @@
-//! Planned changes cut nothing.
+//! Planned changes interrupt no request.
 
 use std::collections::HashSet;
 
@@ -6,35 +6,35 @@
 
 use crate::event::{Event, History, RequestEnd, Violation};
 
-/// Checks a run whose only changes were planned ones: every request that was sent ended, none
-/// ended broken off, and none was refused after a part of its answer had come.
+/// Checks a history with planned changes only: every request ended, none was aborted, and none was refused after
+/// part of its answer had been received.
 pub fn no_request_interrupted(history: &History) -> Result<(), Violation> {
-    let mut open: HashSet<RequestId> = HashSet::new();
-    let mut begun: HashSet<RequestId> = HashSet::new();
+    let mut unfinished: HashSet<RequestId> = HashSet::new();
+    let mut partly_answered: HashSet<RequestId> = HashSet::new();
     for (index, recorded) in history.events.iter().enumerate() {
         match &recorded.event {
             Event::RequestSent { request, .. } => {
-                open.insert(*request);
+                unfinished.insert(*request);
             }
             Event::TextReceived { request, .. } => {
-                begun.insert(*request);
+                partly_answered.insert(*request);
             }
             Event::RequestEnded { request, end } => {
-                open.remove(request);
-                let cut = match end {
+                unfinished.remove(request);
+                let is_interrupted = match end {
                     RequestEnd::Complete => false,
-                    RequestEnd::NotRun => begun.contains(request),
+                    RequestEnd::NotRun => partly_answered.contains(request),
                     RequestEnd::Unknown => true,
                 };
-                if cut {
-                    let message = format!("{request} was cut by a planned change");
+                if is_interrupted {
+                    let message = format!("{request} was interrupted by a planned change");
                     return Err(Violation::new(index, message));
                 }
             }
             _ => {}
         }
     }
-    match open.iter().min() {
+    match unfinished.iter().min() {
         None => Ok(()),
         Some(request) => {
             let message = format!("{request} never ended");
--- a/crates/history/src/engine_log.rs
+++ b/crates/history/src/engine_log.rs
@@ -1,9 +1,9 @@
-//! What an engine logs: orders it was given and attempts it ran.
+//! Log entries of engines: orders received and attempts run.
 
 use dalestand_types::{AttemptId, EngineId, Epoch, Incarnation, Order, RequestId, Role};
 use serde::{Deserialize, Serialize};
 
-/// What happened to an attempt.
+/// Event in the life of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum RunLogEvent {
@@ -13,22 +13,20 @@
     Started,
     /// All its tokens were generated.
     Finished { tokens: u32 },
-    /// It was cancelled, or its connection was closed.
+    /// It was cancelled or its connection was closed, after `tokens` tokens.
     Cancelled { tokens: u32 },
 }
 
 /// One line of the run log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunLogEntry {
-    /// Microseconds since the engine's start.
+    /// Time of the event, in microseconds since the engine's start.
     pub at_micros: u64,
-    /// The caller's request.
+    /// Identifier of the caller's request.
     pub request: RequestId,
-    /// The attempt.
     pub attempt: AttemptId,
-    /// Key under which it may run once.
+    /// Idempotency key, if the request may run at most once.
     pub once_key: Option<String>,
-    /// What happened.
     #[serde(flatten)]
     pub event: RunLogEvent,
 }
@@ -37,13 +35,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum OrderLogEntry {
-    /// The highest epoch rose.
+    /// The highest epoch seen increased.
     EpochRaised {
         at_micros: u64,
         incarnation: Incarnation,
         epoch: Epoch,
     },
-    /// An order was taken.
+    /// An order was accepted.
     Taken { at_micros: u64, order: Order },
     /// An order was finished.
     Done {
@@ -51,7 +49,7 @@
         order: Order,
         role: Option<Role>,
     },
-    /// An order was refused, with the answer given.
+    /// An order was refused; `answer` is the engine's response.
     Refused {
         at_micros: u64,
         order: Order,
@@ -63,19 +61,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineLogEntry {
-    /// Of the order log.
+    /// Entry of the order log.
     Order(OrderLogEntry),
-    /// Of the run log.
+    /// Entry of the run log.
     Run(RunLogEntry),
 }
 
-/// An entry as an engine prints it, so that it outlives the engine's process.
+/// A line that an engine prints for each entry, so that entries outlive the engine's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLogLine {
-    /// The engine.
     pub engine: EngineId,
-    /// Its run.
+    /// The engine's incarnation when it wrote the entry.
     pub incarnation: Incarnation,
-    /// What it logged.
     pub entry: EngineLogEntry,
 }
--- a/crates/history/src/event.rs
+++ b/crates/history/src/event.rs
@@ -1,4 +1,4 @@
-//! Events of a history and what a checker finds.
+//! Events of a history, and violations that checkers find in it.
 
 use dalestand_types::{EngineId, Epoch, GroupId, MonotonicTime, NodeId, RequestId, Revision};
 
@@ -7,60 +7,59 @@
 /// How a request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// The whole answer came.
+    /// The complete answer was received.
     Complete,
     /// Refused as not run.
     NotRun,
-    /// Broken off: it may have run.
+    /// The request was aborted and may have run.
     Unknown,
 }
 
-/// One event.
+/// An event of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// An engine logged something.
+    /// An engine wrote a log entry.
     Engine(EngineLogLine),
-    /// A group's lease was granted to a node under an epoch.
+    /// A group's lease was granted to a node with an epoch.
     LeaseGranted {
         group: GroupId,
         node: NodeId,
         epoch: Epoch,
     },
-    /// A caller sent a request; `expected` is the one right answer to it.
+    /// A caller sent a request; `expected` is its only correct answer.
     RequestSent {
         request: RequestId,
         expected: String,
     },
-    /// A caller received a piece of an answer.
+    /// A caller received part of an answer.
     TextReceived { request: RequestId, text: String },
     /// A request ended for its caller.
     RequestEnded { request: RequestId, end: RequestEnd },
     /// The machine list shows an engine as leaving.
     EngineLeaving { engine: EngineId },
-    /// The operator was told that a configuration is accepted.
+    /// A configuration was accepted and the operator was told so.
     ConfigurationAccepted { revision: Revision },
-    /// A node was seen with a configuration in force.
+    /// A node was observed with this configuration in force.
     ConfigurationInForce { node: NodeId, revision: Revision },
 }
 
 /// An event with the recorder's time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecordedEvent {
-    /// When the recorder saw it.
+    /// When the recorder received the event.
     pub at: MonotonicTime,
-    /// The event.
     pub event: Event,
 }
 
-/// Events in the order one recorder saw them.
+/// Events in the order in which one recorder received them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// The events, oldest first. Those of one process keep that process's order.
+    /// The events, oldest first. Events of the same process are in that process's order.
     pub events: Vec<RecordedEvent>,
 }
 
 impl History {
-    /// What the engines logged, with the index of each event in the history.
+    /// Engine log lines with the index of their event in the history.
     pub fn engine_log_lines(&self) -> impl Iterator<Item = (usize, &EngineLogLine)> {
         let events = self.events.iter().enumerate();
         events.filter_map(|(index, recorded)| match &recorded.event {
@@ -70,18 +69,18 @@
     }
 }
 
-/// The first event at which a rule did not hold.
+/// The first event that violates a rule.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("event {index}: {message}")]
 pub struct Violation {
-    /// Place of the event in the history, counted from 0.
+    /// Index of the event in the history.
     pub index: usize,
-    /// The rule and how it was broken.
+    /// How the rule was violated.
     pub message: String,
 }
 
 impl Violation {
-    /// A violation at `index`.
+    /// Creates a violation by the event at `index`.
     pub fn new(index: usize, message: impl Into<String>) -> Self {
         let message = message.into();
         Self { index, message }
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,7 +1,7 @@
-//! History of a concurrent run, and checkers that find the first violation in it.
+//! Histories of concurrent runs, and checkers that find the first violation in them.
 //!
-//! A [`History`] holds events in the order one recorder saw them. Each module under [`checks`]
-//! holds one checker: a pure function from a history to its first [`Violation`].
+//! A [`History`] holds events in the order in which one recorder received them. A checker under [`checks`] is a
+//! pure function that returns the first [`Violation`] in a history.
 
 mod engine_log;
 mod event;
--- a/crates/history/src/recorder.rs
+++ b/crates/history/src/recorder.rs
@@ -1,4 +1,4 @@
-//! Collects events of several threads into one history.
+//! Records events of several threads in one history.
 
 use std::io::BufRead;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,7 +9,7 @@
 use crate::engine_log::EngineLogLine;
 use crate::event::{Event, History, RecordedEvent};
 
-/// A history that is being recorded; clones record into the same one.
+/// Records a history; clones share it.
 #[derive(Clone)]
 pub struct Recorder {
     started: Instant,
@@ -29,12 +29,12 @@
     /// Records one event.
     pub fn record(&self, event: Event) {
         let mut history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
-        // Read under the lock, so that times never fall.
+        // Read the clock under the lock, so that times never decrease.
         let at = MonotonicTime(self.started.elapsed().as_micros() as u64);
         history.events.push(RecordedEvent { at, event });
     }
 
-    /// Records what an engine prints, until it ends. Lines of another kind are skipped.
+    /// Records the log lines in an engine's output until its end. Other lines are skipped.
     pub fn record_engine(&self, output: impl BufRead) {
         for line in output.lines().map_while(Result::ok) {
             if let Ok(line) = serde_json::from_str::<EngineLogLine>(&line) {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The history so far.
+    /// A copy of the history so far.
     pub fn history(&self) -> History {
         let history = self.history.lock().unwrap_or_else(PoisonError::into_inner);
         history.clone()
--- a/crates/history/tests/checks.rs
+++ b/crates/history/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Each checker accepts a history that keeps its rule and names the event that breaks it.
+//! Each checker accepts histories that satisfy its rule and names the first event that violates it.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 };
 use rstest::rstest;
 
-/// A history with one event a second.
+/// A history with one event per second.
 fn history(events: Vec<Event>) -> History {
     let recorded = events.into_iter().enumerate();
     let events = recorded.map(|(second, event)| RecordedEvent {
@@ -140,7 +140,7 @@
     }
 }
 
-fn place(result: Result<(), Violation>) -> Option<usize> {
+fn violation_index(result: Result<(), Violation>) -> Option<usize> {
     result.err().map(|violation| violation.index)
 }
 
@@ -151,7 +151,10 @@
 #[case::meant_for_another_run(vec![taken(2, id(5, 0), None)], Some(0))]
 #[case::finished_twice(vec![taken(1, id(5, 0), None), done(id(5, 0)), done(id(5, 0))], Some(2))]
 fn orders_do_not_conflict(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(no_conflicting_orders(&history(events))), found);
+    assert_eq!(
+        violation_index(no_conflicting_orders(&history(events))),
+        found
+    );
 }
 
 #[rstest]
@@ -161,14 +164,14 @@
 #[case::never_granted(vec![granted(5), taken(1, id(7, 0), None)], Some(1))]
 #[case::granted_twice(vec![granted(5), granted(5)], Some(1))]
 fn orders_are_fenced(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(no_stale_orders(&history(events))), found);
+    assert_eq!(violation_index(no_stale_orders(&history(events))), found);
 }
 
 #[rstest]
 #[case::two_keys(vec![accepted(1, 1, "a"), accepted(2, 2, "b")], None)]
 #[case::one_key_twice(vec![accepted(1, 1, "a"), accepted(2, 2, "a")], Some(1))]
 fn a_key_runs_once(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(at_most_once(&history(events))), found);
+    assert_eq!(violation_index(at_most_once(&history(events))), found);
 }
 
 #[rstest]
@@ -176,7 +179,10 @@
 #[case::refused_and_run_later(vec![ended(1, RequestEnd::NotRun), accepted(1, 1, "a")], Some(1))]
 #[case::run_and_refused_later(vec![accepted(1, 1, "a"), ended(1, RequestEnd::NotRun)], Some(0))]
 fn a_refused_request_did_not_run(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(refused_requests_did_not_run(&history(events))), found);
+    assert_eq!(
+        violation_index(refused_requests_did_not_run(&history(events))),
+        found
+    );
 }
 
 #[rstest]
@@ -186,7 +192,10 @@
 #[case::cut(vec![sent(1), received(1, "answer "), ended(1, RequestEnd::Complete)], Some(2))]
 #[case::not_sent(vec![received(1, "answer ")], Some(0))]
 fn answers_are_whole(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(answers_are_complete(&history(events))), found);
+    assert_eq!(
+        violation_index(answers_are_complete(&history(events))),
+        found
+    );
 }
 
 #[rstest]
@@ -196,7 +205,10 @@
 #[case::refused_late(vec![sent(1), received(1, "a"), ended(1, RequestEnd::NotRun)], Some(2))]
 #[case::never_ended(vec![sent(1)], Some(1))]
 fn planned_changes_cut_nothing(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(no_request_interrupted(&history(events))), found);
+    assert_eq!(
+        violation_index(no_request_interrupted(&history(events))),
+        found
+    );
 }
 
 #[rstest]
@@ -205,14 +217,17 @@
 fn a_leaving_engine_gets_no_work(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
     let grace = Duration::from_millis(1_500);
     let result = no_work_for_leaving_engines(&history(events), grace);
-    assert_eq!(place(result), found);
+    assert_eq!(violation_index(result), found);
 }
 
 #[rstest]
 #[case::rising(vec![in_force("a", 1), in_force("b", 2), in_force("a", 2)], None)]
 #[case::reverted(vec![in_force("a", 2), in_force("b", 1), in_force("a", 1)], Some(2))]
 fn a_configuration_never_reverts(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
-    assert_eq!(place(configuration_never_reverts(&history(events))), found);
+    assert_eq!(
+        violation_index(configuration_never_reverts(&history(events))),
+        found
+    );
 }
 
 #[rstest]
@@ -221,7 +236,7 @@
 fn a_configuration_comes_into_force(#[case] events: Vec<Event>, #[case] found: Option<usize>) {
     let limit = Duration::from_millis(1_500);
     assert_eq!(
-        place(configuration_in_force(&history(events), limit)),
+        violation_index(configuration_in_force(&history(events), limit)),
         found
     );
 }
