--- a/crates/forwarding/src/fleet/engine_entries.rs
+++ b/crates/forwarding/src/fleet/engine_entries.rs
@@ -107,7 +107,7 @@
         drop(router);
         changes.push((record.key, Some(entry)));
     }
-    context.change_entries(changes);
+    context.apply_entry_changes(changes);
 }
 
 /// Queues changes for other nodes if this node is a relay. Large listings are left out: relays read
