--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -90,7 +90,7 @@
             Some(ClosedReason::Limit(_)) => text.push_str(", no permit"),
             None => {}
         }
-        if self.reported.drains {
+        if self.reported.draining {
             text.push_str(", says it drains");
         }
         if let Some(backoff) = self.reported.backoff {
@@ -100,8 +100,8 @@
             text.push_str(&format!(", limited to {limit}"));
         }
         match self.reported.limit {
-            LimitSignal::Named(limit) => text.push_str(&format!(", names a limit of {limit}")),
-            LimitSignal::Unreadable => text.push_str(", names an unreadable limit"),
+            LimitSignal::Rate(limit) => text.push_str(&format!(", names a limit of {limit}")),
+            LimitSignal::Invalid => text.push_str(", names an unreadable limit"),
             LimitSignal::Absent => {}
         }
         text
