--- a/crates/forwarding/src/node/reload.rs
+++ b/crates/forwarding/src/node/reload.rs
@@ -32,7 +32,7 @@
             }
             Err(error) => {
                 if was_signalled || !was_unusable {
-                    log_event!(context.logger, Event::SettingsUnusable, "error" => error);
+                    log_event!(context.logger, Event::SettingsInvalid, "error" => error);
                 }
                 was_unusable = true;
             }
@@ -43,7 +43,7 @@
 fn apply(context: &Context, settings: &ForwardingSettings) {
     let limits = settings.retry_limits();
     context.budget.borrow_mut().set_limits(limits);
-    log_event!(context.logger, Event::SettingsRead, "retry_ratio" => limits.ratio,
+    log_event!(context.logger, Event::SettingsReloaded, "retry_ratio" => limits.ratio,
         "retry_slack" => limits.slack,
         "retry_window_ms" => limits.window.as_millis() as u64);
 }
--- a/crates/forwarding/src/quarantine/trial.rs
+++ b/crates/forwarding/src/quarantine/trial.rs
@@ -55,7 +55,7 @@
     match granted {
         Ok(Ok(is_granted)) => {
             if is_granted {
-                log_event!(context.logger, Event::RequestTried, "fingerprint" => %fingerprint);
+                log_event!(context.logger, Event::StoppedRequestTried, "fingerprint" => %fingerprint);
             }
             is_granted
         }
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -90,7 +90,7 @@
             Some(ClosedReason::Limit(_)) => text.push_str(", no permit"),
             None => {}
         }
-        if self.reported.drains {
+        if self.reported.draining {
             text.push_str(", says it drains");
         }
         if let Some(backoff) = self.reported.backoff {
@@ -100,8 +100,8 @@
             text.push_str(&format!(", limited to {limit}"));
         }
         match self.reported.limit {
-            LimitSignal::Named(limit) => text.push_str(&format!(", names a limit of {limit}")),
-            LimitSignal::Unreadable => text.push_str(", names an unreadable limit"),
+            LimitSignal::Rate(limit) => text.push_str(&format!(", names a limit of {limit}")),
+            LimitSignal::Invalid => text.push_str(", names an unreadable limit"),
             LimitSignal::Absent => {}
         }
         text
@@ -162,7 +162,7 @@
     pub(crate) class: ClassKey,
     /// Its class and tenant code, where tenants are declared.
     pub(crate) tenant: Option<TenantKey>,
-    /// Its standing against the tenant's share, once an engine has been chosen.
+    /// Whether it is within the tenant's share, once an engine has been chosen.
     pub(crate) share: Option<ShareStatus>,
     /// Prompt tokens that the first chosen engine would have to prefill.
     pub(crate) unprefilled_tokens: u32,
@@ -186,7 +186,7 @@
     pub(crate) calls: Vec<CallRecord>,
     /// Latest latency estimate, where there is one.
     pub(crate) expected: Option<LatencyEstimate>,
-    /// Its reserved slot in a pool that is short of capacity, until it is sent.
+    /// Its reserved place in a pool that is short of capacity, until it is sent.
     pub(crate) reservation: Option<Reservation>,
     /// The admission decision, if the pool was short of capacity.
     pub(crate) admission: Option<AdmissionRecord>,
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -124,7 +124,7 @@
         () = stop_requested.notified() => {}
     }
     shared.begin_stop();
-    log_event!(shared.logger, Event::StopBegun, "in_flight" => shared.in_flight());
+    log_event!(shared.logger, Event::StopStarted, "in_flight" => shared.in_flight());
     // Further signals are ignored.
     actix_rt::spawn(async move { while terminate.recv().await.is_some() {} });
     // Released before the requests in flight end, so that no group is without a lease holder while
@@ -136,7 +136,7 @@
     control.leave().await;
     callers.drain(&shared).await;
     callers.stop();
-    log_event!(shared.logger, Event::StopDone, "node" => %node);
+    log_event!(shared.logger, Event::StopCompleted, "node" => %node);
     Ok(())
 }
 
