--- a/crates/forwarding/src/node/era_store.rs
+++ b/crates/forwarding/src/node/era_store.rs
@@ -71,7 +71,7 @@
             match write_if_lost(&*store, &key, &write).await {
                 Ok(is_written) => {
                     if is_written {
-                        log_event!(context.logger, Event::KeyWrittenAgain, "key" => &key);
+                        log_event!(context.logger, Event::KeyRewritten, "key" => &key);
                     }
                     break;
                 }
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -211,7 +211,7 @@
     change: StageChange,
 ) -> bool {
     let Some(sequence) = read_sequence(context, pool, engine).await else {
-        log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run);
+        log_event!(context.logger, Event::EngineUnresponsive, "engine" => &*engine.run);
         return false;
     };
     // The lease may have ended during the call above.
@@ -243,11 +243,11 @@
         }
         Some(RoleChangeOutcome::Accepted) => {
             avoid_time = MAX_EXECUTION_DELAY;
-            log_event!(context.logger, Event::OrderGiven, "engine" => &*engine.run,
+            log_event!(context.logger, Event::OrderSent, "engine" => &*engine.run,
                 "token" => held.token, "sequence" => sequence, "role" => %order.role);
         }
         None => {
-            log_event!(context.logger, Event::EngineSilent, "engine" => &*engine.run,
+            log_event!(context.logger, Event::EngineUnresponsive, "engine" => &*engine.run,
                 "token" => held.token, "sequence" => sequence);
         }
     }
--- a/crates/forwarding/src/serve/admission.rs
+++ b/crates/forwarding/src/serve/admission.rs
@@ -134,9 +134,9 @@
     let mut admission = state.admission.borrow_mut();
     if admission.update(now, &load) {
         let event = if admission.is_short() {
-            Event::PoolShort
+            Event::PoolShortageStarted
         } else {
-            Event::PoolNotShort
+            Event::PoolShortageEnded
         };
         log_event!(context.logger, event, "pool" => %pool, "slots" => load.slots,
             "taken" => load.taken, "own_taken" => load.own_taken, "waiting" => admission.waiting(),
--- a/crates/node/src/caller_server.rs
+++ b/crates/node/src/caller_server.rs
@@ -70,7 +70,7 @@
             .is_err()
         {
             let open = self.connections.open();
-            log_event!(shared.logger, Event::StopCutConnections, "connections" => open);
+            log_event!(shared.logger, Event::StopAbandonedConnections, "connections" => open);
         }
     }
 
