--- a/crates/forwarding/tests/figures/mod.rs
+++ b/crates/forwarding/tests/figures/mod.rs
@@ -12,6 +12,7 @@
     node.declare(1, "repeatable", 2, 1_000);
     node.list("e", &engine, "ready");
     node.wait_for_engines(1).await;
+    node.wait_for_declaration(1).await;
     let served = node.request("1", "/r/x").await;
     assert!(served.starts_with("HTTP/1.1 200"), "{served}");
     get(node.metrics, "host: a.example\r\n", "/metrics").await
--- a/crates/forwarding/tests/room.rs
+++ b/crates/forwarding/tests/room.rs
@@ -36,7 +36,7 @@
 async fn a_pool_without_engines_is_reported_with_the_requests_it_refused() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
-    node.settle().await;
+    node.wait_for_declaration(1).await;
     let refused = node.request("1", "/r/x").await;
     assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
     let report = node.room().await;
@@ -54,6 +54,7 @@
     node.declare_tenant(1, &["key-1"]);
     node.list("e", &engine, "ready");
     node.wait_for_engines(1).await;
+    node.wait_for_declaration(1).await;
     let served = node.request_with_key("1", "key-1").await;
     assert!(served.starts_with("HTTP/1.1 200"), "{served}");
     let report = node.room().await;
--- a/crates/forwarding/tests/serving.rs
+++ b/crates/forwarding/tests/serving.rs
@@ -87,6 +87,7 @@
         node.list(&format!("e{place}"), engine, "ready");
     }
     node.wait_for_engines(engines.len()).await;
+    node.wait_for_declaration(1).await;
     (node, engines)
 }
 
@@ -164,7 +165,7 @@
 async fn callers_are_served_by_their_keys() {
     let (node, engines) = node("once", 1, &[succeeding]).await;
     node.declare_tenant(2, &["key-one", "key-two"]);
-    node.settle().await;
+    node.wait_for_declaration(2).await;
     assert_eq!(status(&node.request_with_key("1", "key-one").await), "200");
     assert_eq!(
         status(&node.request_with_key("2", "key-three").await),
@@ -172,7 +173,7 @@
     );
     assert_eq!(status(&node.request("3", "/r/x").await), "401");
     node.declare_tenant(3, &["key-two"]);
-    node.settle().await;
+    node.wait_for_declaration(3).await;
     assert_eq!(status(&node.request_with_key("4", "key-one").await), "401");
     assert_eq!(status(&node.request_with_key("5", "key-two").await), "200");
     let heads = engines[0].heads();
@@ -198,7 +199,8 @@
     node.declare_tenant(1, &["key-one"]);
     let engine = TestEngine::start(succeeding);
     node.list("e0", &engine, "ready");
-    node.settle().await;
+    node.wait_for_engines(1).await;
+    node.wait_for_declaration(1).await;
     // Each successful read of the store confirms the declaration, even without a change.
     actix_rt::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(status(&node.request_with_key("1", "key-one").await), "200");
@@ -249,7 +251,7 @@
 async fn a_draining_or_deleted_engine_gets_no_requests() {
     let (node, engines) = node("repeatable", 2, &[succeeding, succeeding]).await;
     node.list("e0", &engines[0], "draining");
-    node.settle().await;
+    node.wait_for_engines(1).await;
     let before = engines[0].heads().len();
     for request in 0..10 {
         assert_eq!(
@@ -312,14 +314,14 @@
 async fn an_older_configuration_never_comes_back() {
     let (node, _engines) = node("once", 1, &[succeeding]).await;
     node.store.write("declaration", Some("revision = 3"));
-    node.settle().await;
+    node.wait_for_declaration(3).await;
     assert_eq!(status(&node.request("1", "/r/x").await), "404");
     node.declare(2, "once", 1, 1_000);
     node.settle().await;
     assert_eq!(status(&node.request("2", "/r/x").await), "404");
     node.store.write("declaration", Some("revision = nonsense"));
     node.declare(4, "once", 1, 1_000);
-    node.settle().await;
+    node.wait_for_declaration(4).await;
     assert_eq!(status(&node.request("3", "/r/x").await), "200");
 }
 
--- a/crates/forwarding/tests/unknown_headers.rs
+++ b/crates/forwarding/tests/unknown_headers.rs
@@ -34,6 +34,7 @@
     let engine = TestEngine::start(answer_with_unknown_headers);
     node.list("engine", &engine, "ready");
     node.wait_for_engines(1).await;
+    node.wait_for_declaration(1).await;
     for place in 0..2 {
         let answered = node.request(&place.to_string(), "/r/x").await;
         assert_eq!(status(&answered), "200", "{answered}");
