--- a/cmd/src/forward.rs
+++ b/cmd/src/forward.rs
@@ -6,7 +6,9 @@
 use dalestand_forwarding::{ForwardingNode, ForwardingSettings};
 use dalestand_routes::RouteTable;
 use dalestand_telemetry::{LogOutput, logger};
-use dalestand_users_platform::{PlatformDialect, PlatformDuties, PlatformForm, PlatformStore};
+use dalestand_users_platform::{
+    PlatformDialect, PlatformDuties, PlatformStore, PlatformStoreFormat,
+};
 use getopts::Options;
 
 use crate::exit::{Exit, failure, usage_error};
@@ -88,7 +90,7 @@
         settings,
         read_settings: Box::new(move || read_settings(&path)),
         dialect: Rc::new(PlatformDialect),
-        store_format: Rc::new(PlatformForm),
+        store_format: Rc::new(PlatformStoreFormat),
         store: Rc::new(store),
         duty_calls,
         logger: logger(LogOutput::JsonOutput),
