--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -71,7 +71,7 @@
                 state: self.state.clone(),
             };
         }
-        if let Some(reason) = self.impossibility(&order.command) {
+        if let Some(reason) = self.impossible_reason(&order.command) {
             return OrderOutcome::Impossible {
                 state: self.state.clone(),
                 reason,
@@ -117,7 +117,7 @@
         })
     }
 
-    fn impossibility(&self, command: &OrderCommand) -> Option<String> {
+    fn impossible_reason(&self, command: &OrderCommand) -> Option<String> {
         let OrderCommand::LoadAdapter { model, .. } = command else {
             return None;
         };
--- a/crates/standin/src/engine/text.rs
+++ b/crates/standin/src/engine/text.rs
@@ -15,9 +15,9 @@
 pub fn token(seed: &[u8; 32], position: u32) -> String {
     let mut word = String::with_capacity(12);
     let start = position as usize % (seed.len() - 2);
-    let mark = u16::from_le_bytes([seed[start], seed[start + 1]]);
+    let bits = u16::from_le_bytes([seed[start], seed[start + 1]]);
     // Writing to a string cannot fail.
-    let _ = write!(word, "w{mark:04x}{position} ");
+    let _ = write!(word, "w{bits:04x}{position} ");
     word
 }
 
