--- a/crates/node/src/admin/access.rs
+++ b/crates/node/src/admin/access.rs
@@ -22,7 +22,6 @@
         Self { key_hash }
     }
 
-    /// Whether the request is authorized.
     pub(super) fn allows(&self, request: &Request) -> bool {
         let Some(expected) = &self.key_hash else {
             return true;
--- a/crates/node/src/admin/message.rs
+++ b/crates/node/src/admin/message.rs
@@ -33,9 +33,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainRequest {
-    /// The engine.
     pub engine: EngineId,
-    /// Whether it is to drain.
+    /// `true` sets the drain mark, `false` removes it.
     pub draining: bool,
     /// Who sets or removes the mark.
     pub author: String,
@@ -44,7 +43,6 @@
 /// Answer to `GET /configuration`: the configuration stored in the key-value service.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ConfigurationResponse {
-    /// Its revision.
     pub revision: Revision,
     /// Who applied it.
     pub author: String,
@@ -57,7 +55,6 @@
 pub struct StatusResponse {
     /// The node that answers.
     pub node: NodeId,
-    /// Zone of the node.
     pub zone: String,
     /// Whether the node is ready to serve callers.
     pub ready: bool,
@@ -78,9 +75,7 @@
 /// A node in a [`StatusResponse`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// The node.
     pub node: NodeId,
-    /// Its zone.
     pub zone: String,
     /// Address of its operator API.
     pub operators: String,
@@ -89,9 +84,7 @@
 /// An engine in a [`StatusResponse`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineRow {
-    /// The engine.
     pub engine: EngineId,
-    /// Its group.
     pub group: GroupId,
     /// Its role; `None` while it is out of service.
     pub role: Option<Role>,
@@ -110,7 +103,6 @@
 /// Answer to `GET /explain/request/ID`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RequestExplanation {
-    /// The record.
     pub record: RequestRecord,
     /// Explanation of the record as text.
     pub account: String,
@@ -130,7 +122,6 @@
 /// An engine as known to the lease holder of its group.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineControlRow {
-    /// Its group.
     pub group: GroupId,
     /// Epoch of the lease.
     pub epoch: Epoch,
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -189,7 +189,10 @@
                 };
                 json_answer(StatusCode::OK, &body)
             }
-            None => text_answer(StatusCode::NOT_FOUND, "this node has no record of it"),
+            None => text_answer(
+                StatusCode::NOT_FOUND,
+                "this node has no record of the request",
+            ),
         }
     }
 
@@ -206,7 +209,10 @@
                 orders: status.orders,
             });
         if roles.is_empty() && control.is_none() {
-            return text_answer(StatusCode::NOT_FOUND, "this node has no record of it");
+            return text_answer(
+                StatusCode::NOT_FOUND,
+                "this node has no record of the engine",
+            );
         }
         let mut account: String = roles.iter().map(role_change_explanation).collect();
         if let Some(row) = &control {
@@ -321,7 +327,7 @@
 fn control_state_explanation(engine: &EngineId, row: &EngineControlRow) -> String {
     let Some(orders) = &row.orders else {
         return format!(
-            "engine {engine} of {}: controlled under epoch {}, not yet read\n",
+            "engine {engine} of {}: controlled under epoch {}, its state has not been read yet\n",
             row.group, row.epoch
         );
     };
@@ -336,7 +342,7 @@
     let last = orders
         .last
         .as_ref()
-        .map_or("no order taken".to_owned(), |last| {
+        .map_or("no order accepted".to_owned(), |last| {
             format!(
                 "last order {} {:?}: {:?}",
                 last.order.id, last.phase, last.order.command
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -18,13 +18,13 @@
 #[cfg(test)]
 mod tests;
 
-/// Most attempts of a write as long as its outcome is in doubt.
+/// Maximum number of attempts of a write whose outcome is in doubt.
 const MAX_WRITE_ATTEMPTS: usize = 4;
 
 /// Delay before a write in doubt is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Most previous configurations in the history of a record.
+/// Maximum number of previous configurations in the history of a record.
 const MAX_HISTORY: usize = 16;
 
 /// A deployment file to apply.
@@ -47,8 +47,8 @@
     pub(crate) record: ConfigurationRecord,
 }
 
-/// Applies `draft`. If `expected` is given, fails with a conflict unless that is the current
-/// revision (0 for no configuration); otherwise replaces whatever is current.
+/// Applies `draft`. If `expected` is given and is not the current revision (0 for no
+/// configuration), fails with a conflict; without it, replaces any current configuration.
 pub(crate) async fn apply(
     key_value: &dyn KeyValue,
     expected: Option<Revision>,
@@ -72,7 +72,7 @@
         unix_ms: draft.unix_ms,
         text: draft.text,
     };
-    let write = Write {
+    let write = ConfigurationWrite {
         value: serde_json::to_string(&record).change_context(ApplyError::Unavailable)?,
         writer: record.writer.clone(),
         base: current_revision,
@@ -104,15 +104,15 @@
     Some((entry.revision, record))
 }
 
-/// A write of the record.
-struct Write {
+/// A compare-and-swap of the configuration record.
+struct ConfigurationWrite {
     value: String,
     writer: String,
     /// Revision to replace; `None` if there is no record yet.
     base: Option<Revision>,
 }
 
-impl Write {
+impl ConfigurationWrite {
     async fn execute(&self, key_value: &dyn KeyValue) -> Result<Revision, Report<ApplyError>> {
         let expectation = self
             .base
--- a/crates/node/src/apply/tests.rs
+++ b/crates/node/src/apply/tests.rs
@@ -67,7 +67,7 @@
     async fn apply_as_others(&self, times: usize) {
         for number in 0..times {
             let other = Box::pin(apply(self, None, draft(&format!("other {number}"))));
-            other.await.expect("the other operator is not disturbed");
+            other.await.expect("applied without a conflict");
         }
     }
 }
@@ -160,7 +160,7 @@
 }
 
 #[actix_rt::test]
-async fn a_write_that_was_not_answered_is_accepted_under_its_own_revision() {
+async fn a_write_whose_answer_was_lost_reports_its_own_revision() {
     let key_value = ScriptedKeyValue::new([WriteBehavior::AnswerLost { followers: 0 }]);
     assert_eq!(outcome(&key_value).await, Ok(Revision(1)));
 }
--- a/crates/node/src/claims/driver.rs
+++ b/crates/node/src/claims/driver.rs
@@ -81,7 +81,8 @@
                     Ok(PeerResponse::Claim(answer)) => answer,
                     Err(PeerCallError::NotSent) => self.claim_locally(claim, node).await,
                     Ok(_) | Err(PeerCallError::InDoubt) => {
-                        // The claim may have been granted, but its request does not run.
+                        // The claim may have been granted. Its request does not run, so the key is
+                        // freed.
                         self.record_end_locally(claim, ClaimState::NotRun);
                         refused_answer()
                     }
--- a/crates/node/src/claims/kept_answers.rs
+++ b/crates/node/src/claims/kept_answers.rs
@@ -1,5 +1,5 @@
-//! Recent answers, kept by the node that produced them for callers that repeat a key, and the nodes
-//! that run claimed requests.
+//! Two bounded caches: the recent answers of this node, for callers that repeat an idempotency key,
+//! and which node runs each claimed request.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,10 +9,10 @@
 /// Size limit of a kept answer, in bytes of text.
 const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// Most bytes of text kept in total.
+/// Maximum number of bytes of text kept in total.
 const MAX_TOTAL_BYTES: usize = 4 << 20;
 
-/// Most owners kept; an owner takes about 100 bytes.
+/// Maximum number of owners kept; an owner takes about 100 bytes.
 const MAX_OWNERS: usize = 20_000;
 
 /// The most recent answers, up to a total size.
@@ -40,7 +40,6 @@
         }
     }
 
-    /// The kept answer to a request.
     pub(crate) fn get(&self, request: RequestId) -> Option<KeptAnswer> {
         self.answers.get(&request).cloned()
     }
--- a/crates/node/src/claims/tests.rs
+++ b/crates/node/src/claims/tests.rs
@@ -27,7 +27,8 @@
 }
 
 impl Service {
-    async fn count_read(self: &Rc<Self>) {
+    /// Seals the head before the second read.
+    async fn before_read(self: &Rc<Self>) {
         self.reads.set(self.reads.get() + 1);
         if self.reads.get() != 2 {
             return;
@@ -50,12 +51,12 @@
 #[async_trait(?Send)]
 impl KeyValue for Handle {
     async fn get(&self, key: &str) -> Answer<Option<dalestand_edge::Entry>> {
-        self.0.count_read().await;
+        self.0.before_read().await;
         Ok(self.0.store.borrow().get(key))
     }
 
     async fn range(&self, prefix: &str) -> Answer<Listing> {
-        self.0.count_read().await;
+        self.0.before_read().await;
         Ok(self.0.store.borrow().range(prefix))
     }
 
--- a/crates/node/src/compact_number.rs
+++ b/crates/node/src/compact_number.rs
@@ -9,7 +9,7 @@
 /// Doublings for which the remaining codes of a byte suffice.
 const DOUBLINGS: u64 = 6;
 
-/// Largest representable count; larger ones are packed as this one.
+/// Largest representable count; larger counts are encoded as this one.
 pub(crate) const MAX_COUNT: u64 =
     (EXACT_BELOW << (DOUBLINGS - 1)) * (2 * STEPS_PER_DOUBLING - 1) / STEPS_PER_DOUBLING;
 
--- a/crates/node/src/configuration/fetch.rs
+++ b/crates/node/src/configuration/fetch.rs
@@ -42,7 +42,6 @@
     /// The reply does not match the query, or the content of a part does not match its name.
     #[error("the reply of the peer does not match the query")]
     InvalidReply,
-    /// The peer has another configuration by now.
     #[error("the peer has another configuration by now")]
     Superseded,
 }
--- a/crates/node/src/configuration/mod.rs
+++ b/crates/node/src/configuration/mod.rs
@@ -40,8 +40,8 @@
     pub(crate) text: String,
 }
 
-/// A previous configuration. By this history a writer whose answer was lost finds out that its
-/// write took effect before it was replaced.
+/// A previous configuration. A writer whose answer was lost searches this history to find out
+/// whether its write took effect before it was replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct PreviousConfiguration {
     /// Id of its write.
--- a/crates/node/src/configuration/parts.rs
+++ b/crates/node/src/configuration/parts.rs
@@ -41,7 +41,6 @@
 }
 
 impl SplitText {
-    /// Splits a text.
     pub(crate) fn split(text: &str) -> Self {
         let mut split = Self::default();
         let mut part_start = 0;
--- a/crates/node/src/configuration/tests.rs
+++ b/crates/node/src/configuration/tests.rs
@@ -34,7 +34,7 @@
     }
 }
 
-fn file(tenants: usize, changed: usize) -> String {
+fn deployment_file(tenants: usize, changed: usize) -> String {
     let mut text = String::from("format = 1\nname = \"d\"\n");
     for tenant in 0..tenants {
         let rate = 1_000 + u32::from(tenant == changed);
@@ -45,10 +45,10 @@
 
 #[test]
 fn a_change_of_one_table_changes_at_most_three_parts() {
-    let before = SplitText::split(&file(15_000, 15_000));
+    let before = SplitText::split(&deployment_file(15_000, 15_000));
     assert!(before.names.len() > 100, "{} parts", before.names.len());
     for changed in [0, 7_500, 14_999] {
-        let after = SplitText::split(&file(15_000, changed));
+        let after = SplitText::split(&deployment_file(15_000, changed));
         let new = after
             .names
             .iter()
@@ -60,10 +60,10 @@
 
 #[test]
 fn parts_stay_small() {
-    let long_line_free = "x = 1\n".repeat(20_000);
-    let split = SplitText::split(&long_line_free);
+    let without_tables = "x = 1\n".repeat(20_000);
+    let split = SplitText::split(&without_tables);
     assert!(split.parts.values().all(|part| part.len() <= 17 << 10));
-    assert_eq!(split.text(), Some(long_line_free));
+    assert_eq!(split.text(), Some(without_tables));
 }
 
 fn record(name: &str) -> ConfigurationRecord {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_store_never_goes_back_and_keeps_the_last_usable_configuration() {
+fn the_revision_never_decreases_and_the_last_usable_configuration_stays_active() {
     let (node, zone) = (NodeId::from("n"), ZoneName::from("z"));
     let address = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let me = Member {
@@ -92,7 +92,7 @@
     let metrics = Metrics::new().expect("metrics");
     let shared = Arc::new(SharedState::new(node, zone, discard_logger(), metrics));
     let store = ConfigurationStore::new(Arc::clone(&shared), Rc::clone(&cluster), Rc::default());
-    let in_force = || {
+    let active_configuration = || {
         let active = shared.configuration.load_full().expect("a configuration");
         (active.revision, active.deployment.name.clone())
     };
@@ -100,7 +100,7 @@
     store.apply(Revision(5), record("five"));
     store.apply(Revision(3), record("three"));
     store.apply(Revision(5), record("five again"));
-    assert_eq!(in_force(), (Revision(5), "five".to_owned()));
+    assert_eq!(active_configuration(), (Revision(5), "five".to_owned()));
 
     let unusable = ConfigurationRecord {
         text: "format = 99\n".to_owned(),
@@ -108,7 +108,7 @@
     };
     store.apply(Revision(7), unusable);
     store.apply(Revision(6), record("six"));
-    assert_eq!(in_force(), (Revision(5), "five".to_owned()));
+    assert_eq!(active_configuration(), (Revision(5), "five".to_owned()));
     assert_eq!(
         store.manifest(Revision(6)).map(|one| one.revision),
         Some(Revision(7))
--- a/crates/node/src/configuration/watch.rs
+++ b/crates/node/src/configuration/watch.rs
@@ -31,11 +31,12 @@
 /// Delay of a starting node before its first call.
 const INITIAL_DELAY: Duration = Duration::from_millis(300);
 
-/// The same delay if the node has addresses of peers. Until it knows its peers it considers itself
-/// a watcher, and all nodes of a fleet that starts at once would call the service.
+/// Delay of a starting node before its first call if it has addresses of peers. A node that knows
+/// no peers yet considers itself a watcher, so with a shorter delay all nodes of a fleet that
+/// starts at once would call the service.
 const INITIAL_DELAY_WITH_PEERS: Duration = Duration::from_millis(1_500);
 
-/// Average time between two polls by all nodes that do not watch, together.
+/// Average time between two polls across all nodes that do not watch.
 const FLEET_POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Shortest average time between two polls by one node.
--- a/crates/node/src/control_driver/leases.rs
+++ b/crates/node/src/control_driver/leases.rs
@@ -11,7 +11,8 @@
 use super::ControlDriver;
 use crate::peer_calls::PeerRequest;
 
-/// Retries to acquire a lease, per time to live of a lease.
+/// Maximum number of retries of a failed acquisition within the time to live of a lease; jitter may
+/// lower it.
 const ACQUIRE_RETRIES_PER_LEASE: u32 = 2;
 
 impl ControlDriver {
@@ -85,7 +86,7 @@
         let Some(active) = &state.configuration else {
             return;
         };
-        let lease = self.leases.time_to_live();
+        let time_to_live = self.leases.time_to_live();
         for group in &active.deployment.groups {
             let id = group.id();
             let (Some(controller), Some(holder_expires_at)) = (
@@ -95,13 +96,13 @@
                 continue;
             };
             if let Some(last_received_at) = state.digests.last_received_at(&id) {
-                *holder_expires_at = (*holder_expires_at).max(last_received_at + lease);
+                *holder_expires_at = (*holder_expires_at).max(last_received_at + time_to_live);
             }
             controller.postpone_acquire(*holder_expires_at);
             if controller.acquire_due(now) {
                 match self.acquire_delay(group) {
                     Some(delay) => controller.postpone_acquire(*holder_expires_at + delay),
-                    None => controller.postpone_acquire(now + lease),
+                    None => controller.postpone_acquire(now + time_to_live),
                 }
             }
         }
@@ -113,8 +114,8 @@
             zone: self.shared.zone.clone(),
         };
         let others = self.candidates();
-        let lease = self.leases.time_to_live();
-        acquire_delay(&group.id(), &group.zone, &me, &others, lease)
+        let time_to_live = self.leases.time_to_live();
+        acquire_delay(&group.id(), &group.zone, &me, &others, time_to_live)
     }
 
     /// The other live nodes.
--- a/crates/node/src/control_driver/loads.rs
+++ b/crates/node/src/control_driver/loads.rs
@@ -25,7 +25,7 @@
                 .map(|controller| controller.group().clone())
                 .filter(|group| {
                     let polled_at = state.polled_at.get(group);
-                    polled_at.is_none_or(|at| now.since(*at) >= self.load_poll)
+                    polled_at.is_none_or(|at| now.since(*at) >= self.load_poll_interval)
                 })
                 .collect();
             for group in &due {
@@ -69,12 +69,16 @@
             }
             let previous = state.loads.get(&load.engine);
             let rates = previous.map_or_else(TokenRates::default, |previous| {
-                TokenRates::between(previous.rates, (&previous.load, previous.at), (&load, now))
+                TokenRates::between(
+                    previous.rates,
+                    (&previous.load, previous.received_at),
+                    (&load, now),
+                )
             });
             let engine = load.engine.clone();
             let sample = LoadSample {
                 load,
-                at: now,
+                received_at: now,
                 rates,
             };
             state.loads.insert(engine, sample);
@@ -86,7 +90,7 @@
     pub(super) async fn read_load(&self, engine: &EngineId) -> Option<EngineLoad> {
         let client = self.client(engine)?;
         // An unresponsive engine must not delay the digest of its group.
-        let answer = actix_rt::time::timeout(self.load_poll, client.load()).await;
+        let answer = actix_rt::time::timeout(self.load_poll_interval, client.load()).await;
         answer.ok()?.ok()
     }
 
@@ -147,7 +151,7 @@
     RatedReport {
         digest: EngineDigest {
             load: sample.load.clone(),
-            age_ms: now.since(sample.at).as_millis() as u64,
+            age_ms: now.since(sample.received_at).as_millis() as u64,
             accepting,
         },
         rates: sample.rates,
--- a/crates/node/src/control_driver/mod.rs
+++ b/crates/node/src/control_driver/mod.rs
@@ -37,7 +37,7 @@
 
 struct LoadSample {
     load: EngineLoad,
-    at: MonotonicTime,
+    received_at: MonotonicTime,
     rates: TokenRates,
 }
 
@@ -45,7 +45,8 @@
 struct State {
     controllers: BTreeMap<GroupId, GroupController>,
     configuration: Option<Arc<ActiveConfiguration>>,
-    /// When each group counts as without a lease holder, unless a digest is received before.
+    /// When the lease of each group's holder is assumed to have expired, unless a digest of the
+    /// group is received before.
     holder_expires_at: BTreeMap<GroupId, MonotonicTime>,
     loads: HashMap<EngineId, LoadSample>,
     sequences: HashMap<GroupId, Sequence>,
@@ -64,7 +65,7 @@
     cluster: Rc<RefCell<Cluster>>,
     machines: Rc<RefCell<Machines>>,
     drains: Rc<Drains>,
-    load_poll: Duration,
+    load_poll_interval: Duration,
     state: RefCell<State>,
 }
 
@@ -77,7 +78,7 @@
         cluster: Rc<RefCell<Cluster>>,
         machines: Rc<RefCell<Machines>>,
         drains: Rc<Drains>,
-        load_poll: Duration,
+        load_poll_interval: Duration,
     ) -> Rc<Self> {
         let state = RefCell::new(State::default());
         Rc::new(Self {
@@ -87,7 +88,7 @@
             cluster,
             machines,
             drains,
-            load_poll,
+            load_poll_interval,
             state,
         })
     }
--- a/crates/node/src/control_plane.rs
+++ b/crates/node/src/control_plane.rs
@@ -30,7 +30,6 @@
 
 /// Inputs of [`start_control_plane`].
 pub struct ControlPlaneParts {
-    /// Settings of the node.
     pub settings: NodeSettings,
     /// State shared with the caller server.
     pub shared: Arc<SharedState>,
@@ -42,7 +41,6 @@
     pub peers: UdpSocket,
     /// Listener for calls of other nodes, on the same port number as `peers`.
     pub peer_calls: TcpListener,
-    /// The key-value service.
     pub key_value: Rc<dyn KeyValue>,
     /// Faults injected by an experiment.
     pub filter: Option<Arc<dyn LinkFilter>>,
@@ -170,7 +168,7 @@
         ClaimStore::new(Rc::clone(&key_value)),
         PeerClient::new(seal.clone()),
     );
-    let tenants = TenantDemandExchange::new(
+    let tenant_demand = TenantDemandExchange::new(
         Arc::clone(&shared),
         Rc::clone(&cluster),
         PeerClient::new(seal.clone()),
@@ -181,7 +179,7 @@
         Rc::clone(&claims),
         Rc::clone(&control),
         Rc::clone(&store),
-        Rc::clone(&tenants),
+        Rc::clone(&tenant_demand),
     );
     let admin = Admin {
         shared: Arc::clone(&shared),
@@ -200,7 +198,7 @@
         actix_rt::spawn(watch),
         actix_rt::spawn(serve_gate(calls, claims)),
         actix_rt::spawn(serve),
-        actix_rt::spawn(tenants.run()),
+        actix_rt::spawn(tenant_demand.run()),
         actix_rt::spawn(Rc::clone(&control).run()),
         actix_rt::spawn(admin),
     ];
--- a/crates/node/src/digest_codec.rs
+++ b/crates/node/src/digest_codec.rs
@@ -100,7 +100,7 @@
     pub(crate) waiting: u32,
     /// Prompt tokens accepted and not yet run, rounded up.
     pub(crate) queued_prefill_tokens: u64,
-    /// Most requests that it accepts at once.
+    /// Maximum number of requests that it accepts at once.
     pub(crate) capacity: u32,
     /// Age of the report when the digest was encoded.
     pub(crate) age: Duration,
--- a/crates/node/src/drains.rs
+++ b/crates/node/src/drains.rs
@@ -22,7 +22,7 @@
 /// Key of the record of all marks.
 const DRAINS_KEY: &str = "configuration/drains";
 
-/// Most attempts of a write that conflicts with other writes.
+/// Maximum number of attempts of a write that conflicts with other writes.
 const MAX_WRITE_ATTEMPTS: usize = 5;
 
 /// The last change of an engine's drain mark: set or removed.
--- a/crates/node/src/engines.rs
+++ b/crates/node/src/engines.rs
@@ -13,7 +13,6 @@
 }
 
 impl EngineClients {
-    /// The client for `address`.
     pub(crate) fn get(&mut self, address: SocketAddr) -> Rc<dyn Engine> {
         let client = self.clients.entry(address);
         Rc::clone(client.or_insert_with(|| Rc::new(HttpEngine::new(address))))
--- a/crates/node/src/error.rs
+++ b/crates/node/src/error.rs
@@ -12,7 +12,6 @@
     /// A signal handler could not be set up.
     #[error("could not install signal handlers")]
     Signals,
-    /// The caller server ended.
     #[error("the caller server ended")]
     CallerServerEnded,
 }
@@ -20,13 +19,11 @@
 /// Why a configuration was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// The deployment file is invalid.
     #[error("the deployment file is invalid:\n{0}")]
     Faulty(String),
     /// The current configuration is not the one that was expected to be replaced.
     #[error("another configuration was applied first")]
     Conflict,
-    /// The key-value service failed; nothing was applied.
     #[error("the key-value service failed; nothing was applied")]
     Unavailable,
     /// The answer to the write was lost, and it could not be determined whether it took effect.
@@ -37,7 +34,6 @@
 /// Why a drain mark was not set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DrainError {
-    /// The key-value service failed; nothing was changed.
     #[error("the key-value service failed; nothing was changed")]
     Unavailable,
     /// The answer to the write was lost; setting the mark again is safe.
--- a/crates/node/src/fleet.rs
+++ b/crates/node/src/fleet.rs
@@ -17,7 +17,7 @@
 use crate::machines::Machines;
 use crate::token_rates::{TokenRates, TokenTotals};
 
-/// Shortest time between two views; short compared to the age of received digests.
+/// Minimum time between two views; short compared to the age of received digests.
 const MIN_REBUILD_INTERVAL: Duration = Duration::from_millis(100);
 
 struct ReceivedDigest {
@@ -38,10 +38,14 @@
 #[derive(Default)]
 pub(crate) struct DigestTable {
     by_group: HashMap<GroupId, ReceivedDigest>,
+    /// Engines of the groups whose digest and inputs have not changed since they were built.
     built: HashMap<GroupId, Vec<EngineView>>,
+    /// Ids of the groups, in the order of the deployment.
     groups: Vec<GroupId>,
+    /// Groups with a digest that [`Self::take_unobserved`] has not returned yet.
     unobserved: BTreeSet<GroupId>,
     inputs: Option<ViewInputs>,
+    /// Whether a digest or the inputs changed since the last view.
     changed: bool,
     built_at: MonotonicTime,
 }
@@ -140,7 +144,7 @@
         })
     }
 
-    /// Builds a fleet view if its inputs changed since the last one and that is at least
+    /// Builds a fleet view if the inputs changed since the last view and the last view is at least
     /// [`MIN_REBUILD_INTERVAL`] old.
     pub(crate) fn view(
         &mut self,
--- a/crates/node/src/lease_service.rs
+++ b/crates/node/src/lease_service.rs
@@ -11,10 +11,10 @@
 use rand::RngExt as _;
 use serde::{Deserialize, Serialize};
 
-/// Most reads to find out whether a write in doubt took effect.
+/// Maximum number of reads to find out whether a write in doubt took effect.
 const READ_BACK_ATTEMPTS: usize = 3;
 
-/// Delay between these reads.
+/// Delay between two reads of [`READ_BACK_ATTEMPTS`].
 const READ_BACK_DELAY: Duration = Duration::from_millis(200);
 
 /// Stored value that names the holder of a group's lease.
@@ -123,7 +123,6 @@
         self.key_value.renew_lease(LeaseId(lease)).await
     }
 
-    /// Releases a lease.
     pub(crate) async fn release(&self, lease: u64) -> Result<(), Report<PlatformError>> {
         self.key_value.revoke_lease(LeaseId(lease)).await
     }
--- a/crates/node/src/peer_calls/server.rs
+++ b/crates/node/src/peer_calls/server.rs
@@ -14,7 +14,7 @@
 use crate::control_driver::ControlDriver;
 use crate::tenant_demand::TenantDemandExchange;
 
-/// Most calls served concurrently; further connections wait to be accepted.
+/// Maximum number of calls served concurrently; further connections wait to be accepted.
 const MAX_CALLS: usize = 1_024;
 
 /// Timeout for reading the request and for writing the reply.
@@ -29,7 +29,7 @@
     claims: Rc<ClaimsDriver>,
     control: Rc<ControlDriver>,
     configuration: Rc<ConfigurationStore>,
-    tenants: Rc<TenantDemandExchange>,
+    tenant_demand: Rc<TenantDemandExchange>,
 }
 
 /// Serves calls until dropped.
@@ -39,14 +39,14 @@
     claims: Rc<ClaimsDriver>,
     control: Rc<ControlDriver>,
     configuration: Rc<ConfigurationStore>,
-    tenants: Rc<TenantDemandExchange>,
+    tenant_demand: Rc<TenantDemandExchange>,
 ) {
     let server = Rc::new(PeerServer {
         seal,
         claims,
         control,
         configuration,
-        tenants,
+        tenant_demand,
     });
     let calls = Arc::new(Semaphore::new(MAX_CALLS));
     loop {
@@ -93,7 +93,7 @@
                 PeerResponse::Done
             }
             PeerRequest::TenantDemands { reporter, demands } => {
-                PeerResponse::TenantDemands(self.tenants.record_report(&reporter, &demands))
+                PeerResponse::TenantDemands(self.tenant_demand.record_report(&reporter, &demands))
             }
             PeerRequest::Configuration(query) => {
                 PeerResponse::Configuration(self.configuration.answer(&query))
--- a/crates/node/src/peer_sockets.rs
+++ b/crates/node/src/peer_sockets.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Most attempts to find a port number that is free for both protocols.
+/// Maximum number of attempts to find a port number that is free for both protocols.
 const ATTEMPTS: usize = 32;
 
 /// Opens both sockets in non-blocking mode. Port 0 selects any number that is free for both.
--- a/crates/node/src/role_planning.rs
+++ b/crates/node/src/role_planning.rs
@@ -1,8 +1,9 @@
 //! Plans roles for the groups whose leases this node holds.
 //!
 //! The groups of a pool are planned together where their engines can share requests, so each lease
-//! holder also gives its planner the digests of the pool's other groups. The planner's rules lead
-//! all holders to the same composition; each plan assigns roles only to the holder's own engines.
+//! holder also gives its planner the digests of the pool's other groups. From the same digests, all
+//! holders compute the same number of engines per role; each plan assigns roles only to the engines
+//! of its own group.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,17 +15,18 @@
 /// Time between two plans of a group.
 const PLAN_INTERVAL: Duration = Duration::from_secs(1);
 
-struct GroupPlan {
+struct GroupPlanner {
     pool: PoolName,
     planner: RolePlanner,
     planned_at: Option<MonotonicTime>,
-    last: Option<RolePlan>,
+    /// The last plan that changed the roles.
+    last_plan: Option<RolePlan>,
 }
 
 /// Planners of the groups whose leases this node holds.
 #[derive(Default)]
 pub(crate) struct RolePlanning {
-    groups: BTreeMap<GroupId, GroupPlan>,
+    groups: BTreeMap<GroupId, GroupPlanner>,
 }
 
 impl RolePlanning {
@@ -41,13 +43,13 @@
             let Some(config) = planner_config(deployment, group) else {
                 continue;
             };
-            let plan = GroupPlan {
+            let group_planner = GroupPlanner {
                 pool: group.pool.clone(),
                 planner: RolePlanner::new(id.clone(), config),
                 planned_at: None,
-                last: None,
+                last_plan: None,
             };
-            self.groups.insert(id, plan);
+            self.groups.insert(id, group_planner);
         }
     }
 
@@ -56,7 +58,7 @@
         for group in &deployment.groups {
             let config = planner_config(deployment, group);
             match (self.groups.get_mut(&group.id()), config) {
-                (Some(plan), Some(config)) => plan.planner.set_config(config),
+                (Some(group), Some(config)) => group.planner.set_config(config),
                 (Some(_), None) => drop(self.groups.remove(&group.id())),
                 (None, _) => {}
             }
@@ -65,14 +67,14 @@
 
     /// Whether any planned group belongs to `pool`.
     pub(crate) fn plans_pool(&self, pool: &PoolName) -> bool {
-        self.groups.values().any(|plan| plan.pool == *pool)
+        self.groups.values().any(|group| group.pool == *pool)
     }
 
     /// Gives a digest of a group of `pool` to the planners of that pool.
     pub(crate) fn observe(&mut self, now: MonotonicTime, pool: &PoolName, digest: &GroupDigest) {
-        for plan in self.groups.values_mut() {
-            if plan.pool == *pool {
-                plan.planner.observe(now, digest);
+        for group in self.groups.values_mut() {
+            if group.pool == *pool {
+                group.planner.observe(now, digest);
             }
         }
     }
@@ -80,22 +82,22 @@
     /// Runs the planners that are due; returns the groups whose roles changed.
     pub(crate) fn plan_due(&mut self, now: MonotonicTime) -> Vec<GroupId> {
         let mut changed = Vec::new();
-        for (group, plan) in &mut self.groups {
-            let due = plan
+        for (id, group) in &mut self.groups {
+            let due = group
                 .planned_at
                 .is_none_or(|at| now.since(at) >= PLAN_INTERVAL);
             if !due {
                 continue;
             }
-            plan.planned_at = Some(now);
-            let next = plan.planner.plan(now);
-            let unchanged = plan
-                .last
+            group.planned_at = Some(now);
+            let next = group.planner.plan(now);
+            let unchanged = group
+                .last_plan
                 .as_ref()
                 .is_some_and(|last| last.roles == next.roles);
             if !unchanged {
-                plan.last = Some(next);
-                changed.push(group.clone());
+                group.last_plan = Some(next);
+                changed.push(id.clone());
             }
         }
         changed
@@ -103,7 +105,7 @@
 
     /// The last plan that changed a group's roles.
     pub(crate) fn last_plan(&self, group: &GroupId) -> Option<&RolePlan> {
-        self.groups.get(group)?.last.as_ref()
+        self.groups.get(group)?.last_plan.as_ref()
     }
 
     /// Planned roles of a group's engines; an engine without any report is absent.
--- a/crates/node/src/tenant_demand.rs
+++ b/crates/node/src/tenant_demand.rs
@@ -23,7 +23,7 @@
 /// Number of nodes that add up demand.
 const SUMMING_NODES: usize = 16;
 
-/// Most tenants in a report; the ones with the largest demand are reported.
+/// Maximum number of tenants in a report; the tenants with the largest demand are reported.
 const MAX_TENANTS_PER_REPORT: usize = 512;
 
 /// Reports the demand at this node, and adds up the reports that it receives.
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -148,7 +148,7 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(Instant::now() < deadline, "never came true: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -257,7 +257,7 @@
     assert_eq!(
         first,
         ClaimOutcome::Granted,
-        "the record names this request"
+        "reading the record shows that the write took effect"
     );
     let second = nodes[1].claim(&claim("key", 2)).await;
     assert!(
