--- a/crates/claims/src/shard.rs
+++ b/crates/claims/src/shard.rs
@@ -27,11 +27,11 @@
 /// Entries at which a head is sealed; about 16 KiB of text.
 const MAX_HEAD_ENTRIES: usize = 240;
 
-/// Most ends that wait for a write; further ones are dropped, and their claims count as running
-/// until they time out.
+/// Maximum number of ends of requests that wait for a write. Further ends are dropped, and their
+/// claims count as running until they time out.
 const MAX_PENDING_ENDS: usize = 10_000;
 
-/// Most claims that wait for a write; further ones are refused.
+/// Maximum number of claims that wait for a write; further claims are refused.
 const MAX_PENDING_CLAIMS: usize = 2_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,6 +53,7 @@
     in_doubt: bool,
 }
 
+/// A recorded end of a request that waits for the next write.
 #[derive(Clone, Copy, Debug)]
 struct PendingEnd {
     entry: Entry,
@@ -202,8 +203,8 @@
         now.since(self.confirmed_at) < MAX_COPY_AGE
     }
 
-    /// Whether the copy has to be read again, because a possibly outdated copy says that the key of
-    /// a pending claim is held or that an ended request does not hold its key.
+    /// Whether the record has to be read again: according to the copy, which may be outdated, a
+    /// pending claim would be refused or a pending end dropped.
     fn must_reload(&self, now: MonotonicTime) -> bool {
         let mut claims = self.claims.iter();
         let mut ends = self.ends.iter();
@@ -356,9 +357,9 @@
         self.batch_claim_count = self.claims.len();
     }
 
-    /// Drops the ends of requests that do not hold their key or that another pending end frees:
-    /// written, such an end would restore a claim. The copy matches the head that the write
-    /// replaces.
+    /// Drops ends that would restore a claim on a free key: those of requests that do not hold
+    /// their key, and those of requests whose key another pending end frees. The copy can be relied
+    /// on, since it matches the head that the write replaces.
     fn drop_ineffective_ends(&mut self) {
         let freed: HashSet<RequestId> = self
             .ends
--- a/crates/claims/src/table.rs
+++ b/crates/claims/src/table.rs
@@ -8,10 +8,10 @@
 use crate::entry::{ClaimState, Entry};
 use crate::key::ClaimHash;
 
-/// Least time for which a claim is remembered.
+/// Minimum time for which a claim is remembered.
 pub const CLAIM_LIFETIME: Duration = Duration::from_secs(600);
 
-/// Most claims per shard; further ones are refused. A claim takes about 130 bytes.
+/// Maximum number of claims per shard; further claims are refused. A claim takes about 130 bytes.
 pub const MAX_CLAIMS_PER_SHARD: usize = 100_000;
 
 /// The claim on one key.
@@ -47,12 +47,10 @@
             .is_some_and(|record| record.request == request)
     }
 
-    /// Number of claims.
     pub fn len(&self) -> usize {
         self.claims.len()
     }
 
-    /// Whether the table has no claims.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty()
     }
--- a/crates/claims/tests/interleavings.rs
+++ b/crates/claims/tests/interleavings.rs
@@ -20,19 +20,29 @@
 /// Entries in the first head, so that it is sealed soon.
 const INITIAL_ENTRIES: u128 = 238;
 
+/// A step of the simulation. Packets are chosen by index, modulo their number.
 #[derive(Clone, Debug)]
 enum Step {
+    /// Advances the clock by this number of milliseconds.
     Advance(u64),
+    /// A request claims a key at a leader.
     Claim(usize, usize),
     Tick(usize),
     Deliver(usize),
+    /// A call does not reach the service; its result is in doubt.
     LoseCall(usize),
+    /// A call takes effect but its answer is lost.
     LoseAnswer(usize),
+    /// The result of a call is in doubt; it can still take effect by [`Step::ApplyLate`].
     DelayCall(usize),
     ApplyLate(usize),
+    /// The service reports that a call had no effect.
     Fail(usize),
+    /// A leader loses its state.
     Restart(usize),
+    /// A granted request ends; the flag is whether it ran.
     End(usize, bool),
+    /// A tick of all leaders, followed by the delivery of all packets.
     Round,
 }
 
@@ -59,11 +69,13 @@
 #[derive(Default)]
 struct Simulation {
     now: MonotonicTime,
+    /// The state of each leader, and how often it was restarted.
     leaders: Vec<(Shard, u32)>,
     head: Option<(Revision, Vec<Entry>)>,
     segments: BTreeMap<Revision, Vec<Entry>>,
     revision: u64,
     network: Vec<InTransit>,
+    /// Delayed calls that have not taken effect.
     late: Vec<InTransit>,
     claims: Vec<Claim>,
     granted: BTreeMap<ClaimHash, Claim>,
@@ -294,7 +306,7 @@
     }
 }
 
-/// The result that a leader records for a call that it abandons.
+/// The result of a call whose request or answer was lost, as the leader sees it.
 fn in_doubt(packet: &Packet) -> Packet {
     match packet {
         Packet::Act(_) | Packet::Sealed | Packet::Written(_) | Packet::Failed(_) => {
--- a/crates/claims/tests/late_ends.rs
+++ b/crates/claims/tests/late_ends.rs
@@ -7,7 +7,7 @@
 
 const NOW: MonotonicTime = MonotonicTime::from_millis(10_000);
 
-/// Late enough for a further write.
+/// Time after [`NOW`] at which the write rate limit allows another write.
 const LATER: MonotonicTime = MonotonicTime::from_millis(13_000);
 
 fn claim(request: u128) -> Claim {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_late_end_of_a_freed_request_does_not_take_the_key_from_the_next() {
+fn a_late_end_of_a_request_that_lost_its_key_does_not_take_it_from_the_next() {
     let mut shard = Shard::default();
     let freed = claim(3);
     shard.record_end(NOW, freed, ClaimState::Complete);
--- a/crates/claims/tests/load.rs
+++ b/crates/claims/tests/load.rs
@@ -11,8 +11,8 @@
 /// Claims per second of the largest supported fleet.
 const FLEET_CLAIMS_PER_SECOND: u64 = 1_100;
 
-/// Calls per second to the key-value service that the claims of the whole fleet may make: the part
-/// of a limit of 50 that group leases leave.
+/// Limit on the calls per second to the key-value service for the claims of the whole fleet. The
+/// total limit is 50; the rest is for group leases.
 const FLEET_CALLS_PER_SECOND: u64 = 20;
 
 /// Length of the run; long enough for the initial burst of writes not to matter.
