--- a/crates/cluster/src/anti_entropy.rs
+++ b/crates/cluster/src/anti_entropy.rs
@@ -17,7 +17,8 @@
 /// Seeds contacted at once by a node that knows no live peer.
 const MAX_SEEDS_CONTACTED: usize = 2;
 
-/// Most datagrams sent in answer to one comparison; the next comparison sends the rest.
+/// Maximum number of datagrams sent in answer to one comparison; the next comparison sends the
+/// rest.
 const MAX_SYNC_DATAGRAMS: usize = 16;
 
 impl Cluster {
@@ -43,25 +44,25 @@
             }
             self.sync_with(targets, outputs);
         }
-        if now >= self.next_absent_sync {
-            self.next_absent_sync = now + self.config.sync_period;
+        if now >= self.next_reconnect_sync {
+            self.next_reconnect_sync = now + self.config.sync_period;
             let forget_after = self.config.down_member_retention;
             self.membership.remove_expired_down(now, forget_after);
-            let absent = self.absent_addresses();
-            self.sync_with(choose_random(absent, 1, random), outputs);
+            let addresses = self.reconnect_addresses();
+            self.sync_with(choose_random(addresses, 1, random), outputs);
         }
     }
 
     /// Addresses of down members and contacts that no live member has. Contacting them detects that
     /// a network partition has healed.
-    fn absent_addresses(&self) -> Vec<SocketAddr> {
+    fn reconnect_addresses(&self) -> Vec<SocketAddr> {
         let live: HashSet<SocketAddr> = self.members().map(|member| member.address).collect();
         let down = self.membership.down_members().map(|member| member.address);
         let known: HashSet<SocketAddr> = down.chain(self.contacts()).collect();
-        let mut absent: Vec<SocketAddr> = known.difference(&live).copied().collect();
+        let mut addresses: Vec<SocketAddr> = known.difference(&live).copied().collect();
         // The iteration order of a set varies, which would make seeded simulations irreproducible.
-        absent.sort();
-        absent
+        addresses.sort();
+        addresses
     }
 
     fn sync_with(&self, targets: Vec<SocketAddr>, outputs: &mut Vec<Output>) {
@@ -128,7 +129,6 @@
         items.filter_map(|item| encode_item(item).ok()).collect()
     }
 
-    /// Hashes of this node's buckets.
     fn bucket_hashes(&self) -> Bytes {
         let durable = self
             .records
--- a/crates/cluster/src/config.rs
+++ b/crates/cluster/src/config.rs
@@ -21,16 +21,16 @@
     pub probe_retry_interval: Duration,
     /// A member that answers no round of a probe within this time is marked down.
     pub suspicion_timeout: Duration,
-    /// Members asked to ping the target indirectly, in each round after the first.
+    /// Number of members asked to ping the target indirectly, in each round after the first.
     pub indirect_probes: usize,
-    /// Peers that receive one round of gossip.
+    /// Number of peers that receive one round of gossip.
     pub gossip_fan_out: usize,
-    /// Members to which a lease holder sends a load digest directly; small, since a node may hold
-    /// many groups.
+    /// Number of members to which a lease holder sends a load digest directly; small, since a node
+    /// may hold many groups.
     pub digest_fan_out: usize,
-    /// Members to which a relay forwards a load digest.
+    /// Number of members to which a relay forwards a load digest.
     pub relay_fan_out: usize,
-    /// Byte rate of gossip rounds, per second; urgent and normal items each have this limit.
+    /// Maximum byte rate of gossip rounds; it applies to urgent and to normal items separately.
     pub gossip_bytes_per_second: u32,
     /// Time between two anti-entropy comparisons with a random peer.
     pub sync_period: Duration,
@@ -68,19 +68,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
-    Send {
-        /// Destination.
-        to: SocketAddr,
-        /// Content.
-        datagram: Bytes,
-    },
+    Send { to: SocketAddr, datagram: Bytes },
     /// A newer version of a record was stored.
     RecordChanged(Record),
     /// A peer announced a newer version of a record that refers to content (see
     /// [`RecordKey::is_content_reference`](crate::RecordKey::is_content_reference)). The record is
     /// stored and gossiped once the driver has fetched the content and published the record.
     RecordAnnounced {
-        /// The record.
         record: Record,
         /// The peer that announced it.
         from: SocketAddr,
--- a/crates/cluster/src/core.rs
+++ b/crates/cluster/src/core.rs
@@ -17,14 +17,14 @@
 use crate::record::{Member, MemberState, MemberUpdate, Record, RecordKey, RecordVersion};
 use crate::retransmit_queue::{RetransmitQueue, Subject, Urgency};
 
-/// Most bytes of gossip items piggybacked on a ping or an ack.
+/// Maximum number of bytes of gossip items piggybacked on a ping or an ack.
 const PIGGYBACK_BYTES: usize = 400;
 
 /// A load digest published by this node that is sent at the next tick.
 pub(crate) struct PendingDigest {
     pub(crate) encoded: Bytes,
     pub(crate) home: ZoneName,
-    pub(crate) group: RecordKey,
+    pub(crate) key: RecordKey,
     pub(crate) version: RecordVersion,
 }
 
@@ -39,13 +39,15 @@
     listed_addresses: Vec<SocketAddr>,
     changed_digests: BTreeSet<GroupId>,
     pub(crate) pending_digests: Vec<PendingDigest>,
+    /// When a digest of each group was last sent to other zones.
     pub(crate) remote_sent_at: BTreeMap<RecordKey, MonotonicTime>,
     urgent_budget: ByteBudget,
     normal_budget: ByteBudget,
     /// Until when comparisons are made at the fast sync period; `None` before the first tick.
     pub(crate) fast_sync_until: Option<MonotonicTime>,
     pub(crate) next_sync: MonotonicTime,
-    pub(crate) next_absent_sync: MonotonicTime,
+    /// Time of the next comparison with an address that no live member has.
+    pub(crate) next_reconnect_sync: MonotonicTime,
 }
 
 impl Cluster {
@@ -67,7 +69,7 @@
             normal_budget: ByteBudget::new(per_second),
             fast_sync_until: None,
             next_sync: MonotonicTime::ZERO,
-            next_absent_sync: MonotonicTime::ZERO,
+            next_reconnect_sync: MonotonicTime::ZERO,
         }
     }
 
@@ -96,7 +98,6 @@
         self.records.get(key)
     }
 
-    /// All known records.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values()
     }
@@ -134,7 +135,7 @@
         self.pending_digests.push(PendingDigest {
             encoded,
             home: home.clone(),
-            group: stored.key,
+            key: stored.key,
             version: stored.version,
         });
         Ok(true)
--- a/crates/cluster/src/digest_dissemination.rs
+++ b/crates/cluster/src/digest_dissemination.rs
@@ -12,7 +12,8 @@
 use crate::message::Body;
 use crate::relay;
 
-/// Fleet size from which on the configured remote digest period applies in full.
+/// Fleet size from which the configured remote digest period applies; a smaller fleet has a
+/// proportionally shorter one.
 const FULL_PERIOD_FLEET_SIZE: usize = 64;
 
 impl Cluster {
@@ -24,17 +25,17 @@
         outputs: &mut Vec<Output>,
     ) {
         for digest in std::mem::take(&mut self.pending_digests) {
-            let current = self.records.get(&digest.group).map(|record| record.version);
+            let current = self.records.get(&digest.key).map(|record| record.version);
             if current != Some(digest.version) {
                 continue;
             }
             let seed = random.random();
             let full_range = (0, u64::MAX);
-            let remote_sent_at = self.remote_sent_at.get(&digest.group);
+            let remote_sent_at = self.remote_sent_at.get(&digest.key);
             let remote_due =
                 remote_sent_at.is_none_or(|at| now.since(*at) >= self.remote_digest_period());
             if remote_due {
-                self.remote_sent_at.insert(digest.group.clone(), now);
+                self.remote_sent_at.insert(digest.key.clone(), now);
             }
             let own_zone = &self.local_member().zone;
             if *own_zone == digest.home || remote_due {
--- a/crates/cluster/src/membership.rs
+++ b/crates/cluster/src/membership.rs
@@ -85,7 +85,8 @@
         std::iter::once(&self.local).chain(peers)
     }
 
-    /// Members that are down. Any of them may in fact be live beyond a network partition.
+    /// Members that are down. Any of them may in fact be live on the other side of a network
+    /// partition.
     pub(crate) fn down_members(&self) -> impl Iterator<Item = &Member> {
         self.peers
             .values()
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -95,10 +95,8 @@
 /// A datagram or an item could not be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// Encoding failed.
     #[error("the datagram could not be encoded: {0}")]
     Encode(String),
-    /// Decoding failed.
     #[error("the datagram could not be decoded: {0}")]
     Decode(String),
     /// The encoded item exceeds [`MAX_ITEM_BYTES`].
--- a/crates/cluster/src/receive.rs
+++ b/crates/cluster/src/receive.rs
@@ -12,7 +12,6 @@
 use crate::record::MemberState;
 
 impl Cluster {
-    /// Handles a datagram from `from`.
     pub fn receive<R: Rng>(
         &mut self,
         now: MonotonicTime,
--- a/crates/cluster/src/record.rs
+++ b/crates/cluster/src/record.rs
@@ -9,11 +9,9 @@
 /// A node of the cluster.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Name of the node.
     pub node: NodeId,
     /// Number of this run of the node's process.
     pub incarnation: Incarnation,
-    /// Zone of the node.
     pub zone: ZoneName,
     /// Address for datagrams and calls of other nodes.
     pub address: SocketAddr,
@@ -38,11 +36,9 @@
 /// An update about a member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
     pub member: Member,
     /// How often the member has refuted that it is down, in this incarnation.
     pub refutation: u32,
-    /// Its state.
     pub state: MemberState,
 }
 
@@ -53,14 +49,13 @@
     }
 }
 
-/// Key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecordKey {
     /// The active configuration.
     Configuration,
     /// The load digest of a group.
     GroupDigest(GroupId),
-    /// The drain mark of an engine or node.
+    /// The drain mark of an engine, by name.
     Drain(String),
     /// A machine of the machine list, by name.
     Machine(String),
@@ -94,9 +89,7 @@
 /// A versioned value that is disseminated to the nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Key.
     pub key: RecordKey,
-    /// Version.
     pub version: RecordVersion,
     /// Encoded value.
     pub payload: Bytes,
--- a/crates/cluster/src/relay.rs
+++ b/crates/cluster/src/relay.rs
@@ -50,7 +50,6 @@
         .collect()
 }
 
-/// Position of a member for a seed.
 fn position(seed: u64, node: &NodeId) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&seed.to_le_bytes());
--- a/crates/cluster/src/retransmit_queue.rs
+++ b/crates/cluster/src/retransmit_queue.rs
@@ -13,7 +13,8 @@
 use crate::message::ITEM_OVERHEAD_BYTES;
 use crate::record::RecordKey;
 
-/// Base of the transmissions of an urgent item; each doubling of the fleet size adds one.
+/// Number of transmissions of an urgent item, before one is added for each doubling of the fleet
+/// size.
 const URGENT_BASE_TRANSMISSIONS: u32 = 3;
 
 const NORMAL_TRANSMISSIONS: u32 = 4;
--- a/crates/cluster/tests/membership.rs
+++ b/crates/cluster/tests/membership.rs
@@ -113,9 +113,9 @@
     let address = network.nodes[gone].cluster.local_member().address;
     network.nodes[1].cluster.set_listed_addresses([address]);
     network.run(Duration::from_secs(20));
-    let asked = network.sent_to(address);
-    assert!(asked > 0, "the listed address was contacted");
+    let sent = network.sent_to(address);
+    assert!(sent > 0, "the listed address was contacted");
     network.nodes[1].cluster.set_listed_addresses([]);
     network.run(Duration::from_secs(20));
-    assert_eq!(network.sent_to(address), asked);
+    assert_eq!(network.sent_to(address), sent);
 }
--- a/crates/cluster/tests/network/mod.rs
+++ b/crates/cluster/tests/network/mod.rs
@@ -26,8 +26,8 @@
 pub struct Node {
     pub cluster: Cluster,
     pub alive: bool,
-    pub ups: Vec<NodeId>,
-    pub downs: Vec<NodeId>,
+    pub up_notifications: Vec<NodeId>,
+    pub down_notifications: Vec<NodeId>,
     pub versions: BTreeMap<RecordKey, Vec<RecordVersion>>,
     pub bytes_sent: usize,
     pub datagrams_received: usize,
@@ -85,8 +85,8 @@
         self.nodes.push(Node {
             cluster: Cluster::new(member, seeds, ClusterConfig::default()),
             alive: true,
-            ups: Vec::new(),
-            downs: Vec::new(),
+            up_notifications: Vec::new(),
+            down_notifications: Vec::new(),
             versions: BTreeMap::new(),
             bytes_sent: 0,
             datagrams_received: 0,
@@ -105,7 +105,10 @@
     pub fn run_until(&mut self, limit: Duration, condition: impl Fn(&Self) -> bool) -> Duration {
         let start = self.now;
         while !condition(self) {
-            assert!(self.now.since(start) < limit, "not within {limit:?}");
+            assert!(
+                self.now.since(start) < limit,
+                "the condition did not hold within {limit:?}"
+            );
             self.step();
         }
         self.now.since(start)
@@ -145,7 +148,10 @@
     }
 
     pub fn down_notifications(&self) -> usize {
-        self.nodes.iter().map(|node| node.downs.len()).sum()
+        self.nodes
+            .iter()
+            .map(|node| node.down_notifications.len())
+            .sum()
     }
 
     fn step(&mut self) {
@@ -180,7 +186,7 @@
         let outputs = node
             .cluster
             .receive(self.now, from, datagram, &mut self.random)
-            .expect("nodes understand each other");
+            .expect("a datagram of another node");
         self.process_outputs(index, outputs);
     }
 
@@ -217,8 +223,8 @@
                         versions.push(record.version);
                     }
                 }
-                Output::MemberUp(member) => node.ups.push(member.node),
-                Output::MemberDown(member) => node.downs.push(member),
+                Output::MemberUp(member) => node.up_notifications.push(member.node),
+                Output::MemberDown(member) => node.down_notifications.push(member),
             }
         }
     }
--- a/crates/cluster/tests/spread.rs
+++ b/crates/cluster/tests/spread.rs
@@ -37,7 +37,7 @@
     /// For any sequence of publications and any loss and duplication of datagrams, every node ends
     /// with the highest version and none observes a decrease.
     #[test]
-    fn every_node_ends_with_the_highest_version_and_none_goes_back(
+    fn every_node_ends_with_the_highest_version_and_observes_no_decrease(
         seed in any::<u64>(),
         loss in 0.0..0.3_f64,
         duplication in 0.0..0.3_f64,
@@ -105,9 +105,9 @@
     );
     network.run(Duration::from_secs(1));
     for node in network.live() {
-        let near = node.cluster.local_member().zone == home;
+        let in_home_zone = node.cluster.local_member().zone == home;
         let major = node.cluster.record(&key).map(|record| record.version.major);
-        assert_eq!(major, Some(if near { 2 } else { 1 }));
+        assert_eq!(major, Some(if in_home_zone { 2 } else { 1 }));
     }
 }
 
@@ -139,9 +139,9 @@
     }
     assert!(
         sent[1] <= sent[0] * 5 / 4,
-        "bytes a second a node: {sent:?}"
+        "bytes per second per node: {sent:?}"
     );
-    assert!(sent[1] <= 2_000, "bytes a second a node: {sent:?}");
+    assert!(sent[1] <= 2_000, "bytes per second per node: {sent:?}");
 }
 
 #[test]
@@ -158,9 +158,9 @@
     let from = network.nodes[1].cluster.local_member().address;
     let mut random = rand::rng();
     let now = network.now;
-    let taken: Result<Vec<Output>, _> =
+    let received: Result<Vec<Output>, _> =
         network.nodes[0]
             .cluster
             .receive(now, from, b"GET / HTTP/1.1", &mut random);
-    assert!(matches!(taken, Err(CodecError::Decode(_))));
+    assert!(matches!(received, Err(CodecError::Decode(_))));
 }
