--- a/crates/node/src/control_driver/roles.rs
+++ b/crates/node/src/control_driver/roles.rs
@@ -71,7 +71,7 @@
         let plan = state.planning.last_plan(group);
         let planned = plan.filter(|plan| plan.roles.get(engine) == Some(role));
         let reason = planned.map_or_else(
-            || "assigned by the configuration".to_owned(),
+            || "the configuration says so".to_owned(),
             |plan| format!("{}; {}", plan.reason, plan.inputs),
         );
         let age = planned.map(|plan| plan.inputs.information_age);
