--- a/crates/gateway/src/answer_stream.rs
+++ b/crates/gateway/src/answer_stream.rs
@@ -141,7 +141,7 @@
         };
         match self.assembler.push(frame) {
             Ok(FrameOutcome::Accepted) => {
-                self.accepted.record_token();
+                self.accepted.record_frame();
                 Ok(())
             }
             Ok(FrameOutcome::Foreign) => {
--- a/crates/gateway/src/attempt/guard.rs
+++ b/crates/gateway/src/attempt/guard.rs
@@ -1,4 +1,4 @@
-//! Reports this node's requests at engines, and their completion, to the router.
+//! Tells the router which requests this node has in flight at which engine, and how they ended.
 
 use std::sync::Arc;
 
--- a/crates/gateway/src/attempt/mod.rs
+++ b/crates/gateway/src/attempt/mod.rs
@@ -32,7 +32,7 @@
 /// Maximum number of tries to find an engine for one resume.
 const MAX_RESUME_ROUNDS: u32 = 20;
 
-/// Pause between two such tries.
+/// Pause between two tries to find an engine for a resume.
 const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Retry delay given to a caller whose request several engines refused.
@@ -47,14 +47,14 @@
     pub(crate) frames: FrameStream,
     /// Reports the progress of the attempt to the router.
     pub(crate) guard: InFlightGuard,
-    token_seen: bool,
+    frame_seen: bool,
 }
 
 impl AcceptedAttempt {
-    /// Records that a frame arrived; the first one counts as the first token.
-    pub(crate) fn record_token(&mut self) {
-        if !self.token_seen {
-            self.token_seen = true;
+    /// Records that a frame arrived; the arrival of the first one counts as the first token's.
+    pub(crate) fn record_frame(&mut self) {
+        if !self.frame_seen {
+            self.frame_seen = true;
             self.guard.record_first_token();
         }
     }
@@ -137,7 +137,7 @@
             reason: reason.clone(),
         });
         if !self.repeatable || self.resumes > MAX_RESUMES {
-            return Err(CallerError::Unknown(reason));
+            return Err(CallerError::ResultUnknown(reason));
         }
         self.request.resume_from = delivered;
         // An answer that has begun is not refused because of its deadline.
@@ -152,7 +152,7 @@
             actix_rt::time::sleep(RESUME_RETRY_INTERVAL).await;
             self.route.tried.clear();
         }
-        Err(CallerError::Unknown(reason))
+        Err(CallerError::ResultUnknown(reason))
     }
 
     /// Sends the request to engines until one accepts it.
@@ -192,7 +192,7 @@
                 self.request.attempt = AttemptId(random.random());
                 self.request.incarnation = Some(engine.incarnation);
                 self.request.prefill_only = placement == Placement::PrefillOnly;
-                self.record(now, &engine, placement, candidates);
+                self.record_attempt(now, &engine, placement, candidates);
                 Ok(Choice { engine, placement })
             }
             RouteDecision::Refuse {
@@ -215,7 +215,7 @@
         }
     }
 
-    fn record(
+    fn record_attempt(
         &self,
         now: MonotonicTime,
         engine: &EngineView,
@@ -262,7 +262,7 @@
             engine: choice.engine.engine.clone(),
             frames,
             guard,
-            token_seen: false,
+            frame_seen: false,
         })
     }
 
@@ -280,7 +280,7 @@
             self.may_have_run = true;
             self.set_outcome(AttemptOutcome::Unknown { reason });
             if !self.repeatable {
-                return Err(CallerError::Unknown(error.to_string()));
+                return Err(CallerError::ResultUnknown(error.to_string()));
             }
         }
         if is_cache_lost(error) {
@@ -310,7 +310,7 @@
 
     fn final_error(&self, message: String, retry_after: Duration) -> CallerError {
         if self.may_have_run {
-            return CallerError::Unknown(message);
+            return CallerError::ResultUnknown(message);
         }
         CallerError::Overloaded {
             message,
--- a/crates/gateway/src/claim_guard.rs
+++ b/crates/gateway/src/claim_guard.rs
@@ -31,7 +31,7 @@
 
     fn report(&mut self, end: ClaimEnd) {
         self.reported = true;
-        if let Some(gate) = self.shared.claims() {
+        if let Some(gate) = self.shared.claim_gate() {
             gate.finish(&self.claim, end);
         }
     }
@@ -53,7 +53,7 @@
     shared: &Arc<SharedState>,
     claim: ClaimRequest,
 ) -> Result<Option<Claimed>, CallerError> {
-    let Some(gate) = shared.claims() else {
+    let Some(gate) = shared.claim_gate() else {
         return Ok(None);
     };
     match gate.claim(&claim).await {
--- a/crates/gateway/src/completion.rs
+++ b/crates/gateway/src/completion.rs
@@ -127,11 +127,11 @@
         Some(request) => claim(&context.shared, request).await?,
         None => None,
     };
-    let guard = match claimed {
+    let claim_guard = match claimed {
         Some(Claimed::Answered(stored)) => {
             return Ok(replay_answer(&head, &resolved.original, &stored));
         }
-        Some(Claimed::Granted(guard)) => Some(guard),
+        Some(Claimed::Granted(claim_guard)) => Some(claim_guard),
         None => None,
     };
     put_record(context, active, &resolved);
@@ -140,7 +140,7 @@
         &resolved,
         in_flight,
         received_at,
-        guard,
+        claim_guard,
         reservation,
     )
     .await?;
@@ -200,7 +200,7 @@
     resolved: &ResolvedRequest,
     in_flight: RequestGuard,
     received_at: dalestand_types::MonotonicTime,
-    guard: Option<ClaimGuard>,
+    claim_guard: Option<ClaimGuard>,
     reservation: Option<TokenReservation>,
 ) -> Result<AnswerStream, CallerError> {
     let mut attempts = Attempts::new(
@@ -210,9 +210,9 @@
         resolved.request.clone(),
         resolved.repeatable,
     );
-    let open = RecordGuard::new(&context.shared, resolved.request.request);
+    let record_guard = RecordGuard::new(&context.shared, resolved.request.request);
     let started = attempts.start().await;
-    open.release();
+    record_guard.disarm();
     match started {
         Ok(accepted) => Ok(AnswerStream::new(
             Rc::clone(context),
@@ -220,13 +220,13 @@
             attempts,
             accepted,
             resolved.original.stop.clone(),
-            guard,
+            claim_guard,
             reservation,
         )),
         Err(error) => {
             let (request, state) = (resolved.request.request, error.run_state());
-            if let Some(guard) = guard {
-                guard.finish(state, None);
+            if let Some(claim_guard) = claim_guard {
+                claim_guard.finish(state, None);
             }
             record::finish(&context.shared, request, state, Some(error.to_string()));
             Err(error)
@@ -292,7 +292,11 @@
                 return Ok(json_answer(StatusCode::OK, &body));
             }
             Some(AnswerItem::Error(error)) => return Err(error),
-            None => return Err(CallerError::Unknown("the answer ended early".to_owned())),
+            None => {
+                return Err(CallerError::ResultUnknown(
+                    "the answer ended early".to_owned(),
+                ));
+            }
         }
     }
 }
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -71,14 +71,16 @@
     NotResumable(String),
     /// The request may have run and its result is unknown.
     #[error("the result is unknown: {0}")]
-    Unknown(String),
+    ResultUnknown(String),
 }
 
 impl CallerError {
     /// What is known about whether the request ran.
     pub fn run_state(&self) -> RunState {
         match self {
-            Self::Unknown(_) | Self::InProgress { .. } | Self::NotResumable(_) => RunState::Unknown,
+            Self::ResultUnknown(_) | Self::InProgress { .. } | Self::NotResumable(_) => {
+                RunState::Unknown
+            }
             Self::AlreadyRun { run_state, .. } => *run_state,
             _ => RunState::NotRun,
         }
@@ -194,7 +196,7 @@
                 "invalid_request_error",
                 "not_resumable",
             ),
-            Self::Unknown(_) => (StatusCode::BAD_GATEWAY, "server_error", "result_unknown"),
+            Self::ResultUnknown(_) => (StatusCode::BAD_GATEWAY, "server_error", "result_unknown"),
         }
     }
 }
@@ -211,7 +213,7 @@
                 param: None,
                 message,
             },
-            // The path refers to the whole body, not to one of its fields.
+            // These paths denote the body itself, not one of its fields.
             HttpServerError::InvalidJson { field, message }
                 if matches!(field.as_str(), "." | "?") =>
             {
--- a/crates/gateway/src/openai/answer.rs
+++ b/crates/gateway/src/openai/answer.rs
@@ -5,7 +5,7 @@
 
 use super::Endpoint;
 
-/// Fields common to all chunks of an answer.
+/// Fields common to a non-streamed answer and to every chunk of a streamed one.
 #[derive(Clone, Debug)]
 pub(crate) struct AnswerHead {
     /// Endpoint of the request.
--- a/crates/gateway/src/openai/mod.rs
+++ b/crates/gateway/src/openai/mod.rs
@@ -26,6 +26,7 @@
         }
     }
 
+    /// The `object` field of a non-streamed answer.
     fn whole_object(self) -> &'static str {
         match self {
             Self::Completion => "text_completion",
@@ -33,6 +34,7 @@
         }
     }
 
+    /// The `object` field of a chunk of a streamed answer.
     fn chunk_object(self) -> &'static str {
         match self {
             Self::Completion => "text_completion",
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -18,7 +18,7 @@
 }
 
 /// Closes the record of a request as unknown when dropped, which happens if the caller disconnects
-/// while the request is being sent to engines. [`Self::release`] ends this responsibility.
+/// while the request is being sent to engines.
 pub(crate) struct RecordGuard {
     shared: Arc<SharedState>,
     request: RequestId,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Leaves closing the record to the caller of this method.
-    pub(crate) fn release(mut self) {
+    /// Disarms the guard: dropping it no longer closes the record.
+    pub(crate) fn disarm(mut self) {
         self.open = false;
     }
 }
@@ -50,19 +50,19 @@
     }
 }
 
-/// Records the end of a request.
+/// Records the end of a request; `failure` is the reason why it is not complete.
 pub(crate) fn finish(
     shared: &SharedState,
     request: RequestId,
     state: RunState,
-    refusal: Option<String>,
+    failure: Option<String>,
 ) {
     shared
         .metrics
         .requests
         .with_label_values(&[state.as_str()])
         .inc();
-    match &refusal {
+    match &failure {
         Some(reason) => {
             log_event!(shared.logger, Event::RequestFailed,
                 "request" => %request, "run_state" => state.as_str(), "reason" => reason);
@@ -73,6 +73,6 @@
     }
     shared.decisions().update_request(request, |record| {
         record.run_state = Some(state);
-        record.refusal = refusal;
+        record.refusal = failure;
     });
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -24,7 +24,7 @@
 /// Default for the maximum number of requests in flight on a node.
 const DEFAULT_MAX_REQUESTS: usize = 8_192;
 
-/// Limits of one node on its callers.
+/// Limits that a node sets on requests and connections of its callers.
 #[derive(Clone, Debug)]
 pub struct CallerLimits {
     /// Limits on connections and their timeouts.
--- a/crates/gateway/src/shared.rs
+++ b/crates/gateway/src/shared.rs
@@ -20,7 +20,7 @@
 /// Number of decision records kept for operators.
 const MAX_DECISIONS: usize = 4_096;
 
-/// Number of tenants whose token limits are tracked; a node serves few of all tenants at a time.
+/// Maximum number of tenants whose token limits are tracked at a time.
 const MAX_TENANTS: usize = 4_096;
 
 /// A monotonic clock that includes time in suspension, and the wall clock for display.
@@ -65,7 +65,7 @@
     pub fleet: ArcSwap<FleetView>,
     pub metrics: Metrics,
     pub logger: Logger,
-    claims: OnceLock<Box<dyn ClaimGate>>,
+    claim_gate: OnceLock<Box<dyn ClaimGate>>,
     router: Mutex<Router>,
     tenant_limits: Mutex<TenantLimits>,
     retry_budget: Mutex<RetryBudget>,
@@ -95,7 +95,7 @@
             fleet: ArcSwap::from_pointee(FleetView::default()),
             metrics,
             logger,
-            claims: OnceLock::new(),
+            claim_gate: OnceLock::new(),
             router: Mutex::new(Router::new(RouterConfig::default())),
             tenant_limits: Mutex::new(TenantLimits::new(MAX_TENANTS, 1)),
             retry_budget: Mutex::new(RetryBudget::new(RetryBudgetConfig::default())),
@@ -106,13 +106,13 @@
     }
 
     /// Sets the claim gate; later calls have no effect. Without a gate no claims are made.
-    pub fn set_claims(&self, gate: Box<dyn ClaimGate>) {
-        let _ = self.claims.set(gate);
+    pub fn set_claim_gate(&self, gate: Box<dyn ClaimGate>) {
+        let _ = self.claim_gate.set(gate);
     }
 
     /// The claim gate, if one is set.
-    pub fn claims(&self) -> Option<&dyn ClaimGate> {
-        self.claims.get().map(|gate| &**gate)
+    pub fn claim_gate(&self) -> Option<&dyn ClaimGate> {
+        self.claim_gate.get().map(|gate| &**gate)
     }
 
     pub fn router(&self) -> MutexGuard<'_, Router> {
--- a/crates/gateway/src/stop_sequence.rs
+++ b/crates/gateway/src/stop_sequence.rs
@@ -86,12 +86,12 @@
     /// Length of the longest suffix of `text` that is a proper prefix of a stop sequence.
     fn longest_partial_match(&self, text: &str) -> usize {
         let sequences = self.sequences.iter();
-        let begins = sequences.filter_map(|stop| {
+        let partial_matches = sequences.filter_map(|stop| {
             let lengths = stop.char_indices().map(|(length, _)| length).rev();
             lengths
                 .into_iter()
                 .find(|length| text.ends_with(&stop[..*length]))
         });
-        begins.max().unwrap_or(0)
+        partial_matches.max().unwrap_or(0)
     }
 }
--- a/crates/gateway/tests/claims.rs
+++ b/crates/gateway/tests/claims.rs
@@ -26,12 +26,15 @@
 #[async_trait::async_trait(?Send)]
 impl ClaimGate for FixedGate {
     async fn claim(&self, claim: &ClaimRequest) -> ClaimOutcome {
-        self.claims.lock().expect("no panic").push(claim.clone());
+        self.claims
+            .lock()
+            .expect("not poisoned")
+            .push(claim.clone());
         self.outcome.clone()
     }
 
     fn finish(&self, _claim: &ClaimRequest, end: ClaimEnd) {
-        self.ends.lock().expect("no panic").push(end);
+        self.ends.lock().expect("not poisoned").push(end);
     }
 }
 
@@ -49,7 +52,7 @@
         claims: Arc::clone(&claims),
         ends: Arc::clone(&ends),
     };
-    fixture.shared.set_claims(Box::new(gate));
+    fixture.shared.set_claim_gate(Box::new(gate));
     (fixture, Recorded { claims, ends })
 }
 
@@ -120,10 +123,10 @@
         break_after_accept: 1,
         ..EngineFaults::default()
     };
-    fixture.faults(0, &faults).await;
+    fixture.set_faults(0, &faults).await;
     let second = [("idempotency-key", "other")];
     assert_eq!(fixture.post(PATH, &body, &second).await.status, 502);
-    let ends = recorded.ends.lock().expect("no panic").clone();
+    let ends = recorded.ends.lock().expect("not poisoned").clone();
     assert_eq!(ends.len(), 2);
     assert_eq!(ends[0].run_state, RunState::Complete);
     assert_eq!(
@@ -135,5 +138,5 @@
     // Requests that may be repeated are not claimed.
     let body = json!({"model": "m", "prompt": "p"});
     assert_eq!(fixture.post(PATH, &body, &KEY).await.status, 200);
-    assert_eq!(recorded.claims.lock().expect("no panic").len(), 2);
+    assert_eq!(recorded.claims.lock().expect("not poisoned").len(), 2);
 }
--- a/crates/gateway/tests/faults.rs
+++ b/crates/gateway/tests/faults.rs
@@ -37,7 +37,7 @@
 #[actix_rt::test]
 async fn faulty_frames_reach_no_caller(#[case] faults: EngineFaults) {
     let fixture = Fixture::start(FixtureOptions::default()).await;
-    fixture.faults(0, &faults).await;
+    fixture.set_faults(0, &faults).await;
     for model in ["m", "once"] {
         let expected = expected_text(model, "a plate", TOKENS);
         let streamed = fixture.post(PATH, &body(model, true), &[]).await;
@@ -60,8 +60,8 @@
     #[values(false, true)] stream: bool,
 ) {
     let fixture = Fixture::start(two_engines()).await;
-    fixture.faults(0, &faults).await;
-    fixture.faults(1, &faults).await;
+    fixture.set_faults(0, &faults).await;
+    fixture.set_faults(1, &faults).await;
     let expected = expected_text("m", "a plate", TOKENS);
     let reply = fixture.post(PATH, &body("m", stream), &[]).await;
     assert_eq!(reply.status, 200, "{}", reply.text());
@@ -86,8 +86,8 @@
     #[values(false, true)] stream: bool,
 ) {
     let fixture = Fixture::start(two_engines()).await;
-    fixture.faults(0, &faults).await;
-    fixture.faults(1, &faults).await;
+    fixture.set_faults(0, &faults).await;
+    fixture.set_faults(1, &faults).await;
     let reply = fixture.post(PATH, &body("once", stream), &[]).await;
     if stream {
         assert!(
--- a/crates/gateway/tests/run_states.rs
+++ b/crates/gateway/tests/run_states.rs
@@ -66,19 +66,19 @@
 #[actix_rt::test]
 async fn an_accepted_request_is_never_reported_as_not_run(
     #[case] faults: EngineFaults,
-    #[case] cut_first: bool,
+    #[case] first_engine_disconnects: bool,
     #[values("m", "once")] model: &str,
 ) {
     let fixture = Fixture::start(FixtureOptions {
         engines: 2,
         capacity: 1,
-        cut_first,
+        first_engine_disconnects,
         step: Duration::from_millis(2),
         ..FixtureOptions::default()
     })
     .await;
-    fixture.faults(0, &faults).await;
-    fixture.faults(1, &faults).await;
+    fixture.set_faults(0, &faults).await;
+    fixture.set_faults(1, &faults).await;
     let mut replies = Vec::new();
     // Both engines have free slots here, so a request sent again would be accepted.
     for number in 0..SEQUENTIAL_REQUESTS {
@@ -109,7 +109,7 @@
         }
     }
     assert!(refused < CONCURRENT_REQUESTS);
-    if cut_first {
+    if first_engine_disconnects {
         assert!(unknown > 0);
     } else {
         assert!(refused > 0);
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -120,11 +120,12 @@
     pub require_key: bool,
     pub engines: usize,
     pub limits: CallerLimits,
+    /// Duration of one batch step of an engine.
     pub step: Duration,
     /// Maximum number of requests that an engine holds.
     pub capacity: u32,
     /// Whether the first engine is behind a proxy that closes the connection in place of answering.
-    pub cut_first: bool,
+    pub first_engine_disconnects: bool,
 }
 
 impl Default for FixtureOptions {
@@ -135,7 +136,7 @@
             limits: CallerLimits::default(),
             step: Duration::from_millis(1),
             capacity: 256,
-            cut_first: false,
+            first_engine_disconnects: false,
         }
     }
 }
@@ -173,7 +174,7 @@
                 deployment: Arc::new(deployment),
             })));
         let mut reached = engines.clone();
-        if options.cut_first {
+        if options.first_engine_disconnects {
             reached[0] = start_closing_proxy(engines[0]).await;
         }
         let views = reached.iter().enumerate();
@@ -197,7 +198,7 @@
     }
 
     /// Sets an engine's faults.
-    pub async fn faults(&self, engine: usize, faults: &EngineFaults) {
+    pub async fn set_faults(&self, engine: usize, faults: &EngineFaults) {
         let url = format!("http://{}/faults", self.engines[engine]);
         let sent = awc::Client::default().post(url).send_json(faults);
         assert!(sent.await.expect("an answer").status().is_success());
@@ -270,11 +271,14 @@
     actix_rt::spawn(async move {
         while let Ok((mut caller, _)) = listener.accept().await {
             actix_rt::spawn(async move {
-                let mut behind = TcpStream::connect(engine).await.expect("connected");
+                let mut upstream = TcpStream::connect(engine).await.expect("connected");
                 let mut request = vec![0; 64 << 10];
                 let read = caller.read(&mut request).await.unwrap_or(0);
-                behind.write_all(&request[..read]).await.expect("forwarded");
-                let _ = behind.read(&mut request).await;
+                upstream
+                    .write_all(&request[..read])
+                    .await
+                    .expect("forwarded");
+                let _ = upstream.read(&mut request).await;
             });
         }
     });
--- a/crates/gateway/tests/surface.rs
+++ b/crates/gateway/tests/surface.rs
@@ -112,7 +112,7 @@
 #[case::not_utf8(COMPLETIONS, b"{\"model\":\"m\",\"prompt\":\"\xff\"}".to_vec(), 400, Some("prompt"))]
 #[case::not_an_object(COMPLETIONS, b"3".to_vec(), 400, None)]
 #[case::text_after_it(COMPLETIONS, b"{\"model\":\"m\",\"prompt\":\"p\"} x".to_vec(), 400, None)]
-#[case::too_deep(COMPLETIONS, deep(), 400, None)]
+#[case::too_deep(COMPLETIONS, deeply_nested_body(), 400, None)]
 #[case::too_large(COMPLETIONS, vec![b' '; 20_001], 413, None)]
 #[case::wrong_type(COMPLETIONS, b"{\"model\":\"m\",\"prompt\":3}".to_vec(), 400, Some("prompt"))]
 #[case::two_prompts(COMPLETIONS, b"{\"model\":\"m\",\"prompt\":[\"a\",\"b\"]}".to_vec(), 400, Some("prompt"))]
@@ -145,7 +145,7 @@
     assert_eq!(fixture.accepted().await, 0);
 }
 
-fn deep() -> Vec<u8> {
+fn deeply_nested_body() -> Vec<u8> {
     let mut body = b"{\"model\":\"m\",\"prompt\":\"p\",\"extra\":".to_vec();
     body.extend(vec![b'['; 5_000]);
     body
--- a/crates/node/src/control_plane.rs
+++ b/crates/node/src/control_plane.rs
@@ -163,7 +163,7 @@
         Rc::clone(&store),
     );
     let (gate, calls) = ChannelGate::new();
-    shared.set_claims(Box::new(gate));
+    shared.set_claim_gate(Box::new(gate));
     let claims = ClaimsDriver::new(
         Arc::clone(&shared),
         Rc::clone(&cluster),
--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -123,7 +123,7 @@
 
 impl TestNode {
     async fn claim(&self, claim: &ClaimRequest) -> ClaimOutcome {
-        let gate = self.shared.claims().expect("a gate");
+        let gate = self.shared.claim_gate().expect("a gate");
         gate.claim(claim).await
     }
 
@@ -133,7 +133,7 @@
             reason: FinishReason::Stop,
             usage: Usage::default(),
         });
-        let gate = self.shared.claims().expect("a gate");
+        let gate = self.shared.claim_gate().expect("a gate");
         gate.finish(claim, ClaimEnd { run_state, answer });
     }
 }
