--- a/crates/edge/src/cache_event.rs
+++ b/crates/edge/src/cache_event.rs
@@ -34,6 +34,6 @@
 pub struct CacheEvents {
     /// The events, oldest first.
     pub events: Vec<CacheEvent>,
-    /// Whether the engine has already discarded some of the events after the known one.
+    /// Whether some of the requested events are missing, because the engine has discarded them.
     pub missed: bool,
 }
--- a/crates/edge/src/duty_calls.rs
+++ b/crates/edge/src/duty_calls.rs
@@ -30,7 +30,7 @@
 pub struct EngineCountOrder {
     pub pool: PoolName,
     pub zone: ZoneName,
-    /// Engines under the other model are not counted.
+    /// The provisioning model; `count` does not include engines under the other one.
     pub provisioning: ProvisioningModel,
     /// Target number of engines.
     pub count: u32,
--- a/crates/edge/src/engine.rs
+++ b/crates/edge/src/engine.rs
@@ -59,10 +59,11 @@
     /// Raises the highest epoch that the engine has seen and reads its order state.
     async fn raise_epoch(&self, epoch: Epoch) -> Result<OrderOutcome, Report<PlatformError>>;
 
-    /// Sends an order. The call is idempotent: an order that is sent again runs once.
+    /// Sends an order, such as to load a model or change the role. The call is idempotent: an order
+    /// that is sent again runs once.
     async fn order(&self, order: &Order) -> Result<OrderOutcome, Report<PlatformError>>;
 
-    /// Reads the order state.
+    /// Reads the order state: the highest epoch, the role, the last order and the loaded models.
     async fn orders(&self) -> Result<EngineOrders, Report<PlatformError>>;
 
     /// Reads the last load report.
--- a/crates/edge/src/engine_client.rs
+++ b/crates/edge/src/engine_client.rs
@@ -15,7 +15,7 @@
 use futures_util::{Stream, StreamExt as _, stream};
 
 use crate::frame_line::parse_frame;
-use crate::http::{JsonCaller, proves_nothing_sent};
+use crate::http::{JsonClient, proves_nothing_sent};
 use crate::wire::Empty;
 use crate::wire::engine::{
     CACHE_EVENTS, CACHE_EVENTS_AFTER, CANCEL, CancelRequest, EPOCH, GENERATE, LOAD, ORDERS,
@@ -48,9 +48,9 @@
 /// the engine closes a reused connection while the request is being written, it is unknown whether
 /// the request ran.
 pub struct HttpEngine {
-    caller: JsonCaller,
+    json_client: JsonClient,
     pooled: Client,
-    fresh: Client,
+    unpooled: Client,
     address: SocketAddr,
 }
 
@@ -58,9 +58,9 @@
     /// Creates a client of the engine at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            caller: JsonCaller::new("engine", address, CALL_TIMEOUT),
+            json_client: JsonClient::new("engine", address, CALL_TIMEOUT),
             pooled: client(IDLE_TIMEOUT),
-            fresh: client(Duration::ZERO),
+            unpooled: client(Duration::ZERO),
             address,
         }
     }
@@ -85,7 +85,7 @@
     async fn generate(&self, request: &GenerationRequest) -> Result<FrameStream, AttemptError> {
         let url = format!("http://{}{GENERATE}", self.address);
         let client = match request.once_key {
-            Some(_) => &self.fresh,
+            Some(_) => &self.unpooled,
             None => &self.pooled,
         };
         let mut response = client.post(url).send_json(request).await.map_err(|error| {
@@ -108,29 +108,34 @@
     }
 
     async fn cancel(&self, attempt: AttemptId) -> Result<(), Report<PlatformError>> {
-        let _: Empty = self.caller.post(CANCEL, &CancelRequest { attempt }).await?;
+        let _: Empty = self
+            .json_client
+            .post(CANCEL, &CancelRequest { attempt })
+            .await?;
         Ok(())
     }
 
     async fn raise_epoch(&self, epoch: Epoch) -> Result<OrderOutcome, Report<PlatformError>> {
-        self.caller.post(EPOCH, &RaiseEpochRequest { epoch }).await
+        self.json_client
+            .post(EPOCH, &RaiseEpochRequest { epoch })
+            .await
     }
 
     async fn order(&self, order: &Order) -> Result<OrderOutcome, Report<PlatformError>> {
-        self.caller.post(ORDERS, order).await
+        self.json_client.post(ORDERS, order).await
     }
 
     async fn orders(&self) -> Result<EngineOrders, Report<PlatformError>> {
-        self.caller.get(ORDERS).await
+        self.json_client.get(ORDERS).await
     }
 
     async fn load(&self) -> Result<EngineLoad, Report<PlatformError>> {
-        self.caller.get(LOAD).await
+        self.json_client.get(LOAD).await
     }
 
     async fn cache_events(&self, after: Sequence) -> Result<CacheEvents, Report<PlatformError>> {
         let path = format!("{CACHE_EVENTS}?{CACHE_EVENTS_AFTER}={after}");
-        self.caller.get(&path).await
+        self.json_client.get(&path).await
     }
 }
 
--- a/crates/edge/src/http.rs
+++ b/crates/edge/src/http.rs
@@ -21,14 +21,14 @@
 
 /// Makes JSON calls to one system at one address.
 #[derive(Clone)]
-pub(crate) struct JsonCaller {
+pub(crate) struct JsonClient {
     client: Client,
     address: SocketAddr,
     system: &'static str,
 }
 
-impl JsonCaller {
-    /// Creates a caller of `system` at `address`; calls time out after `timeout`.
+impl JsonClient {
+    /// Creates a client of `system` at `address`; calls time out after `timeout`.
     pub(crate) fn new(system: &'static str, address: SocketAddr, timeout: Duration) -> Self {
         let client = Client::builder()
             .timeout(timeout)
--- a/crates/edge/src/key_value_client.rs
+++ b/crates/edge/src/key_value_client.rs
@@ -7,7 +7,7 @@
 use dalestand_types::Revision;
 use error_stack::Report;
 
-use crate::http::JsonCaller;
+use crate::http::JsonClient;
 use crate::wire::Empty;
 use crate::wire::key_value::{
     GET, GetRequest, GetResponse, LEASE_GRANT, LEASE_RENEW, LEASE_REVOKE, LeaseGrantRequest,
@@ -18,19 +18,19 @@
     CasOutcome, Entry, KeyValue, LeaseId, Listing, PlatformError, WatchBatch, WriteExpectation,
 };
 
-/// Time limit of a call; a watch adds its wait.
+/// Time limit of a call, in addition to the time that a watch waits for changes.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// HTTP client of the key-value service.
 pub struct HttpKeyValue {
-    caller: JsonCaller,
+    client: JsonClient,
 }
 
 impl HttpKeyValue {
     /// Creates a client of the service at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            caller: JsonCaller::new("key-value service", address, CALL_TIMEOUT),
+            client: JsonClient::new("key-value service", address, CALL_TIMEOUT),
         }
     }
 }
@@ -41,7 +41,7 @@
         let request = GetRequest {
             key: key.to_owned(),
         };
-        let response: GetResponse = self.caller.post(GET, &request).await?;
+        let response: GetResponse = self.client.post(GET, &request).await?;
         Ok(response.entry)
     }
 
@@ -49,7 +49,7 @@
         let request = RangeRequest {
             prefix: prefix.to_owned(),
         };
-        self.caller.post(RANGE, &request).await
+        self.client.post(RANGE, &request).await
     }
 
     async fn compare_and_swap(
@@ -66,7 +66,7 @@
             expectation,
             lease,
         };
-        self.caller.post(PUT, &request).await
+        self.client.post(PUT, &request).await
     }
 
     async fn watch(
@@ -81,7 +81,7 @@
             after,
             wait_ms,
         };
-        self.caller
+        self.client
             .post_within(WATCH, &request, wait + CALL_TIMEOUT)
             .await
     }
@@ -90,19 +90,19 @@
         let request = LeaseGrantRequest {
             ttl_ms: time_to_live.as_millis() as u64,
         };
-        let response: LeaseGrantResponse = self.caller.post(LEASE_GRANT, &request).await?;
+        let response: LeaseGrantResponse = self.client.post(LEASE_GRANT, &request).await?;
         Ok(response.lease)
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> Result<bool, Report<PlatformError>> {
         let request = LeaseRequest { lease };
-        let response: LeaseRenewResponse = self.caller.post(LEASE_RENEW, &request).await?;
+        let response: LeaseRenewResponse = self.client.post(LEASE_RENEW, &request).await?;
         Ok(response.alive)
     }
 
     async fn revoke_lease(&self, lease: LeaseId) -> Result<(), Report<PlatformError>> {
         let request = LeaseRequest { lease };
-        let _: Empty = self.caller.post(LEASE_REVOKE, &request).await?;
+        let _: Empty = self.client.post(LEASE_REVOKE, &request).await?;
         Ok(())
     }
 }
--- a/crates/edge/src/machine_list.rs
+++ b/crates/edge/src/machine_list.rs
@@ -8,7 +8,7 @@
 use error_stack::Report;
 
 use crate::PlatformError;
-use crate::http::JsonCaller;
+use crate::http::JsonClient;
 use crate::wire::machine_list::{MACHINES, MachinesResponse};
 
 /// Time limit of a call.
@@ -23,14 +23,14 @@
 
 /// HTTP client of the machine list.
 pub struct HttpMachineList {
-    caller: JsonCaller,
+    client: JsonClient,
 }
 
 impl HttpMachineList {
     /// Creates a client of the list at `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self {
-            caller: JsonCaller::new("machine list", address, CALL_TIMEOUT),
+            client: JsonClient::new("machine list", address, CALL_TIMEOUT),
         }
     }
 }
@@ -38,7 +38,7 @@
 #[async_trait(?Send)]
 impl MachineList for HttpMachineList {
     async fn machines(&self) -> Result<Vec<Machine>, Report<PlatformError>> {
-        let response: MachinesResponse = self.caller.get(MACHINES).await?;
+        let response: MachinesResponse = self.client.get(MACHINES).await?;
         Ok(response.machines)
     }
 }
--- a/crates/edge/src/routed.rs
+++ b/crates/edge/src/routed.rs
@@ -121,10 +121,10 @@
     /// Reads the outcome of an order from the status of the answer.
     fn read_role_change_outcome(&self, status: StatusCode) -> RoleChangeOutcome;
 
-    /// Head of the request for an engine's own report.
+    /// Head of the request for an engine's status report.
     fn report_request(&self) -> RequestHead;
 
-    /// Reads the number of orders that an engine has accepted from its report.
+    /// Reads the number of orders that an engine has accepted from its status report.
     fn read_report_sequence(&self, body: &[u8]) -> Option<u64>;
 
     /// Head of the request for the prompt parts that an engine has cached.
@@ -143,7 +143,7 @@
 /// An engine's entry in the key-value service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineEntry {
-    /// Id of the run; an engine may restart under the same id.
+    /// Id of the engine's run. It may stay the same after a restart; see `started_at_ms`.
     pub run: Arc<str>,
     /// Start time by the engine's clock, in milliseconds since the Unix epoch, if reported. A changed
     /// time means that the engine restarted and that what was known about it no longer holds.
--- a/crates/edge/src/unknown_headers.rs
+++ b/crates/edge/src/unknown_headers.rs
@@ -14,7 +14,7 @@
 
 /// Who sent a header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum UnknownSender {
+pub enum HeaderSender {
     /// An engine.
     Engine,
     /// The key-value service.
@@ -22,13 +22,13 @@
 }
 
 /// All senders.
-pub const UNKNOWN_SENDERS: [UnknownSender; 2] = [UnknownSender::Engine, UnknownSender::KeyValue];
+pub const HEADER_SENDERS: [HeaderSender; 2] = [HeaderSender::Engine, HeaderSender::KeyValue];
 
 /// An unknown header. Its value is not kept.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnknownHeader {
     /// Who sent it.
-    pub sender: UnknownSender,
+    pub sender: HeaderSender,
     /// Its name, truncated if long.
     pub name: String,
 }
@@ -37,7 +37,7 @@
 struct Recorded {
     names: BTreeSet<UnknownHeader>,
     unreported: Vec<UnknownHeader>,
-    counts: [u64; UNKNOWN_SENDERS.len()],
+    counts: [u64; HEADER_SENDERS.len()],
 }
 
 /// The unknown headers that one process has received; clones share the record.
@@ -46,7 +46,7 @@
 
 impl UnknownHeaders {
     /// Counts a header, and queues its name for [`Self::take_new`] if it is new.
-    pub fn record(&self, sender: UnknownSender, name: &str) {
+    pub fn record(&self, sender: HeaderSender, name: &str) {
         let recorded = &mut *self.0.borrow_mut();
         recorded.counts[sender as usize] += 1;
         if recorded.names.len() >= MAX_NAMES {
@@ -65,7 +65,7 @@
     }
 
     /// Number of unknown headers received from `sender`.
-    pub fn count(&self, sender: UnknownSender) -> u64 {
+    pub fn count(&self, sender: HeaderSender) -> u64 {
         self.0.borrow().counts[sender as usize]
     }
 }
--- a/crates/forwarding/src/node/metrics/engine_signals.rs
+++ b/crates/forwarding/src/node/metrics/engine_signals.rs
@@ -1,6 +1,6 @@
 //! Metrics of the signals in engine answers (draining, backoff, rate limit) and their effects.
 
-use dalestand_edge::unknown_headers::UnknownSender;
+use dalestand_edge::unknown_headers::HeaderSender;
 use dalestand_routing::staged::ClosedReason;
 use prometheus::{IntCounter, IntCounterVec, IntGauge};
 
@@ -100,10 +100,10 @@
     }
 
     /// Raises the counter of unknown headers from `sender` to `seen`, the total since the start.
-    pub(super) fn count_unknown_headers(&self, sender: UnknownSender, seen: u64) {
+    pub(super) fn count_unknown_headers(&self, sender: HeaderSender, seen: u64) {
         let label = match sender {
-            UnknownSender::Engine => "engine",
-            UnknownSender::KeyValue => "key-value",
+            HeaderSender::Engine => "engine",
+            HeaderSender::KeyValue => "key-value",
         };
         let counter = self.unknown_headers.with_label_values(&[label]);
         counter.inc_by(seen.saturating_sub(counter.get()));
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use dalestand_edge::unknown_headers::UNKNOWN_SENDERS;
+use dalestand_edge::unknown_headers::HEADER_SENDERS;
 use dalestand_http_server::{
     Answer, Connections, Request, ServerLimits, StatusCode, json_answer, serve, status_answer,
     text_answer,
@@ -47,7 +47,7 @@
             .set(context.usage.counted_requests() as i64);
         self.report_age_ms.set(report_age.as_millis() as i64);
         self.signals.set(&signal_counts(context));
-        for sender in UNKNOWN_SENDERS {
+        for sender in HEADER_SENDERS {
             let seen = context.unknown_headers.count(sender);
             self.signals.count_unknown_headers(sender, seen);
         }
--- a/crates/forwarding/src/serve/engine_send.rs
+++ b/crates/forwarding/src/serve/engine_send.rs
@@ -11,7 +11,7 @@
 use actix_http::header::HeaderName;
 use bytes::Bytes;
 use dalestand_edge::routed::ResponseMetadata;
-use dalestand_edge::unknown_headers::UnknownSender;
+use dalestand_edge::unknown_headers::HeaderSender;
 use dalestand_engine_link::{Exchange, LinkTarget, SendError};
 use dalestand_routing::staged::{ClosedReason, EngineKey, ProbeCall, ProbeOutcome, StagedEngine};
 use dalestand_types::{EngineSignals, PoolName};
@@ -142,7 +142,7 @@
     let answer = &exchange.head;
     let names = answer.headers.keys().map(HeaderName::as_str);
     for name in names.filter(|name| context.dialect.is_unknown_header(name)) {
-        context.unknown_headers.record(UnknownSender::Engine, name);
+        context.unknown_headers.record(HeaderSender::Engine, name);
     }
     let facts = context.dialect.read_answer(answer.status, &answer.headers);
     let reply = EngineReply {
