--- a/crates/engine-link/src/connection.rs
+++ b/crates/engine-link/src/connection.rs
@@ -126,7 +126,7 @@
     }
 }
 
-/// The error of a lost connection, by whether the engine may have run the request.
+/// The error for a lost connection. The engine may have run the request only if part of it was sent.
 fn connection_error(any_byte_sent: bool, message: &str) -> SendError {
     if any_byte_sent {
         SendError::MayHaveRun(message.to_owned())
--- a/crates/engine-link/src/link.rs
+++ b/crates/engine-link/src/link.rs
@@ -24,7 +24,7 @@
     pub run: Arc<str>,
 }
 
-/// Timeouts of connections.
+/// Time limits of connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkLimits {
     /// Time limit for opening a connection.
--- a/crates/engine-link/src/response.rs
+++ b/crates/engine-link/src/response.rs
@@ -23,7 +23,7 @@
 
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// A response whose head has been received.
+/// An HTTP exchange whose response head has been received.
 pub struct Exchange {
     /// The response head.
     pub head: ResponseHead,
@@ -39,14 +39,14 @@
             request_written,
         } = received;
         // The codec treats a response without a length as one without a body.
-        let until_close = ends_with_connection(&head);
-        let has_body = until_close || codec.message_type() != MessageType::None;
+        let close_delimited = is_close_delimited(&head);
+        let has_body = close_delimited || codec.message_type() != MessageType::None;
         let closes = has_connection_close(&head.headers);
-        let reusable = request_written && !until_close && !closes && codec.keep_alive();
+        let reusable = request_written && !close_delimited && !closes && codec.keep_alive();
         let mut body = ResponseBody {
             connection: Some(connection),
             codec: codec.into_payload_codec(),
-            until_close,
+            close_delimited,
             reusable,
             keep_alive_timeout: keep_alive_timeout(&head.headers),
             length: content_length(&head.headers),
@@ -64,7 +64,7 @@
 pub struct ResponseBody {
     connection: Option<PooledConnection>,
     codec: ClientPayloadCodec,
-    until_close: bool,
+    close_delimited: bool,
     reusable: bool,
     keep_alive_timeout: Option<Duration>,
     length: Option<u64>,
@@ -86,7 +86,7 @@
     /// Whether a length or chunked encoding marks the end of the body. Otherwise the body ends when the
     /// engine closes the connection, and a truncated body may look complete.
     pub fn is_self_delimited(&self) -> bool {
-        !self.until_close
+        !self.close_delimited
     }
 
     /// The next chunk; `None` after the end of the body or after an error.
@@ -108,7 +108,7 @@
             let connection: &mut Connection = self.connection.as_mut()?;
             connection.received.reserve(READ_BUFFER_BYTES);
             match connection.stream.read_buf(&mut connection.received).await {
-                Ok(0) if self.until_close => {
+                Ok(0) if self.close_delimited => {
                     self.finish();
                     return None;
                 }
@@ -145,7 +145,7 @@
         let Some(connection) = self.connection.as_mut() else {
             return Ok(None);
         };
-        if self.until_close {
+        if self.close_delimited {
             let received = connection.received.split().freeze();
             return Ok((!received.is_empty()).then_some(Some(received)));
         }
@@ -177,9 +177,9 @@
     }
 }
 
-/// Whether the body extends to the end of the connection, since the head has neither a length nor a
-/// transfer encoding.
-fn ends_with_connection(head: &ResponseHead) -> bool {
+/// Whether the end of the connection marks the end of the body, since the head has neither a length nor
+/// a transfer encoding.
+fn is_close_delimited(head: &ResponseHead) -> bool {
     let bodiless = matches!(
         head.status,
         StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED
--- a/crates/engine-link/tests/exchanges.rs
+++ b/crates/engine-link/tests/exchanges.rs
@@ -68,7 +68,8 @@
     link.send(target, 4, head, &Bytes::new()).await
 }
 
-async fn body(link: &EngineLink, target: &LinkTarget) -> Result<Bytes, BodyError> {
+/// Gets a path and reads the whole response body.
+async fn get_body(link: &EngineLink, target: &LinkTarget) -> Result<Bytes, BodyError> {
     let mut exchange = get(link, target).await.expect("a response");
     exchange.body.collect(BODY_LIMIT_BYTES).await
 }
@@ -80,7 +81,10 @@
         write(stream, "HTTP/1.1 200 OK\r\nrequest-id: 1\r\n\r\nhello ");
         write(stream, "world");
     }]);
-    assert_eq!(body(&link(), &target).await, Ok(Bytes::from("hello world")));
+    assert_eq!(
+        get_body(&link(), &target).await,
+        Ok(Bytes::from("hello world"))
+    );
     thread.join().expect("the engine");
 }
 
@@ -93,7 +97,7 @@
         reset_on_close(stream);
     }]);
     assert!(matches!(
-        body(&link(), &target).await,
+        get_body(&link(), &target).await,
         Err(BodyError::Incomplete(_))
     ));
     thread.join().expect("the engine");
@@ -112,7 +116,7 @@
         write(&mut stream, &format!("HTTP/1.1 200 OK\r\n{rest}"));
     });
     assert!(matches!(
-        body(&link(), &target).await,
+        get_body(&link(), &target).await,
         Err(BodyError::Incomplete(_))
     ));
     thread.join().expect("the engine");
@@ -127,8 +131,8 @@
         }
     }]);
     let link = link();
-    assert_eq!(body(&link, &target).await, Ok(Bytes::from("ok")));
-    assert_eq!(body(&link, &target).await, Ok(Bytes::from("ok")));
+    assert_eq!(get_body(&link, &target).await, Ok(Bytes::from("ok")));
+    assert_eq!(get_body(&link, &target).await, Ok(Bytes::from("ok")));
     thread.join().expect("the engine");
 }
 
@@ -166,9 +170,9 @@
         );
     });
     let link = link();
-    assert_eq!(body(&link, &target).await, Ok(Bytes::from("ok")));
+    assert_eq!(get_body(&link, &target).await, Ok(Bytes::from("ok")));
     actix_rt::time::sleep(Duration::from_millis(80)).await;
-    assert_eq!(body(&link, &target).await, Ok(Bytes::from("second")));
+    assert_eq!(get_body(&link, &target).await, Ok(Bytes::from("second")));
     thread.join().expect("the engine");
 }
 
@@ -250,8 +254,8 @@
     };
     let (target, thread) = engine(vec![serve_once, serve]);
     let link = link();
-    assert_eq!(body(&link, &target).await, Ok(Bytes::from("ab")));
+    assert_eq!(get_body(&link, &target).await, Ok(Bytes::from("ab")));
     suspend(Duration::from_secs(10));
-    assert_eq!(body(&link, &target).await, Ok(Bytes::from("ab")));
+    assert_eq!(get_body(&link, &target).await, Ok(Bytes::from("ab")));
     thread.join().expect("two connections");
 }
