--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -21,7 +21,7 @@
     #[error("routes {first} and {second} have the same host and path_prefix")]
     DuplicateRoute { first: String, second: String },
     /// A route has no pool with a weight above 0.
-    #[error("route {route}: no pool has a weight")]
+    #[error("route {route}: no pool has a weight above 0")]
     NoPool { route: String },
     /// A route names a pool that is not declared.
     #[error("route {route}: pool {pool} is not declared")]
