--- a/crates/http-server/src/connections.rs
+++ b/crates/http-server/src/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections of a server: their number and their graceful end.
+//! Open connections of a server: their count and graceful shutdown.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -7,15 +7,19 @@
 
 use tokio::sync::watch;
 
-/// Polling interval for the number of open connections or accept loops while they end.
+/// Interval at which a shutdown checks whether connections or accept loops remain.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Connections of one server, across all its arbiters.
 #[derive(Clone, Debug, Default)]
 pub struct Connections {
+    /// Number of open connections.
     open: Arc<AtomicUsize>,
+    /// Number of accept loops whose listening sockets are open.
     listening: Arc<AtomicUsize>,
+    /// Whether the accept loops must end.
     closing: Arc<watch::Sender<bool>>,
+    /// Whether the connections must close.
     draining: Arc<watch::Sender<bool>>,
 }
 
@@ -34,7 +38,7 @@
         }
     }
 
-    /// Waits until the accept loops are to end.
+    /// Completes when the accept loops must end.
     pub(crate) async fn closing(&self) {
         let mut receiver = self.closing.subscribe();
         // Cannot fail: `self` keeps the sender alive.
@@ -62,7 +66,7 @@
         ConnectionGuard(self.clone())
     }
 
-    /// Returns a factory of futures, one per connection, that complete when connections are to close.
+    /// Returns a factory of futures, one per connection, that complete when connections must close.
     pub(crate) fn drain_signal(&self) -> impl Fn() -> DrainSignal + 'static {
         let draining = Arc::clone(&self.draining);
         move || {
@@ -75,7 +79,7 @@
     }
 }
 
-/// Completes when connections are to close.
+/// Completes when connections must close.
 type DrainSignal = std::pin::Pin<Box<dyn Future<Output = ()>>>;
 
 /// Counts an accept loop until dropped.
--- a/crates/http-server/tests/slow_reader.rs
+++ b/crates/http-server/tests/slow_reader.rs
@@ -32,7 +32,7 @@
                 let pulled = counter.fetch_add(CHUNK_BYTES, Ordering::SeqCst);
                 assert!(
                     pulled < MAX_BUFFERED_BYTES,
-                    "the answer was pulled although nobody reads it"
+                    "the server pulled more than the buffers hold although the caller does not read"
                 );
                 bytes::Bytes::from(vec![b'~'; CHUNK_BYTES])
             });
