--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -13,7 +13,7 @@
 use nix::time::{ClockId, clock_gettime};
 
 /// Maximum delay after a resume until a timer that expired during the suspension fires. Half of the
-/// 0.5 s that an answer may arrive after the caller's time limit.
+/// 0.5 s by which an answer may exceed the caller's time limit.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A point in time on the clock that counts from system boot, including suspensions.
@@ -23,11 +23,11 @@
 impl BootInstant {
     /// The current time.
     pub fn now() -> Self {
-        // Linux has the clock since 2.6.39; the fallback excludes suspensions.
+        // Every Linux since 2.6.39 has CLOCK_BOOTTIME. The fallback excludes suspensions.
         let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
         let time = time.or_else(|_| clock_gettime(ClockId::CLOCK_MONOTONIC));
         let time = time.map_or(Duration::ZERO, Duration::from);
-        Self(time + suspended())
+        Self(time + simulated_suspension())
     }
 
     /// Time elapsed since this point.
@@ -95,12 +95,12 @@
 }
 
 #[cfg(not(feature = "test-util"))]
-fn suspended() -> Duration {
+fn simulated_suspension() -> Duration {
     Duration::ZERO
 }
 
 #[cfg(feature = "test-util")]
-use test_util::suspended;
+use test_util::simulated_suspension;
 
 /// Simulates suspensions in tests.
 #[cfg(feature = "test-util")]
@@ -119,7 +119,7 @@
     }
 
     /// Total time of the simulated suspensions of this thread.
-    pub(crate) fn suspended() -> Duration {
+    pub(crate) fn simulated_suspension() -> Duration {
         SUSPENDED.get()
     }
 }
