--- a/crates/node/tests/claims.rs
+++ b/crates/node/tests/claims.rs
@@ -123,7 +123,7 @@
 
 impl TestNode {
     async fn claim(&self, claim: &ClaimRequest) -> ClaimOutcome {
-        let gate = self.shared.claims().expect("a gate");
+        let gate = self.shared.claim_gate().expect("a gate");
         gate.claim(claim).await
     }
 
@@ -133,7 +133,7 @@
             reason: FinishReason::Stop,
             usage: Usage::default(),
         });
-        let gate = self.shared.claims().expect("a gate");
+        let gate = self.shared.claim_gate().expect("a gate");
         gate.finish(claim, ClaimEnd { run_state, answer });
     }
 }
@@ -148,7 +148,7 @@
         if let Some(value) = condition().await {
             return value;
         }
-        assert!(Instant::now() < deadline, "never came true: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -257,7 +257,7 @@
     assert_eq!(
         first,
         ClaimOutcome::Granted,
-        "the record names this request"
+        "reading the record shows that the write took effect"
     );
     let second = nodes[1].claim(&claim("key", 2)).await;
     assert!(
