--- a/cmd/src/forward.rs
+++ b/cmd/src/forward.rs
@@ -91,7 +91,7 @@
         store_format: Rc::new(PlatformForm),
         store: Rc::new(store),
         duty_calls,
-        logger: logger(LogOutput::JsonOutput),
+        logger: logger(LogOutput::JsonStdout),
     };
     match dalestand_forwarding::run(node).await {
         Ok(()) => Exit::Success,
--- a/cmd/src/node.rs
+++ b/cmd/src/node.rs
@@ -50,7 +50,7 @@
 
 async fn run_node(settings: NodeSettings) -> Exit {
     let log = logger(match settings.log_format {
-        LogFormat::Json => LogOutput::Json,
+        LogFormat::Json => LogOutput::JsonStderr,
         LogFormat::Terminal => LogOutput::Terminal,
     });
     let listeners = match Listeners::open(&settings).await {
--- a/crates/telemetry/src/event.rs
+++ b/crates/telemetry/src/event.rs
@@ -139,9 +139,9 @@
     UsageReportFailed = (1702, Warning, "usage not reported yet");
     /// The platform refused a duty call.
     DutyRefused = (1703, Warning, "duty call refused");
-    /// A number of engines was ordered for a zone.
+    /// The platform was asked to run a certain number of engines in a zone.
     EngineCountOrdered = (1711, Info, "engine count ordered");
-    /// An order for a number of engines in a zone failed and will be retried.
+    /// The request for a number of engines in a zone failed and will be retried.
     EngineCountFailed = (1712, Warning, "engine count not ordered yet");
     /// Spot engines of one or more zones were reclaimed.
     SpotEnginesLost = (1713, Warning, "spot engines taken away");
--- a/crates/telemetry/src/logger.rs
+++ b/crates/telemetry/src/logger.rs
@@ -12,9 +12,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogOutput {
     /// One JSON object per line on standard error.
-    Json,
+    JsonStderr,
     /// One JSON object per line on standard output.
-    JsonOutput,
+    JsonStdout,
     /// Human-readable text on standard error.
     Terminal,
 }
@@ -22,12 +22,12 @@
 /// Creates a logger that writes on a separate thread.
 pub fn logger(output: LogOutput) -> Logger {
     match output {
-        LogOutput::Json => json_logger(std::io::stderr()),
-        LogOutput::JsonOutput => json_logger(std::io::stdout()),
+        LogOutput::JsonStderr => json_logger(std::io::stderr()),
+        LogOutput::JsonStdout => json_logger(std::io::stdout()),
         LogOutput::Terminal => {
             let decorator = slog_term::TermDecorator::new().stderr().build();
             let drain = slog_term::FullFormat::new(decorator).build().fuse();
-            asynchronous(drain)
+            async_logger(drain)
         }
     }
 }
@@ -43,7 +43,7 @@
     Logger::root(slog::Discard, o!())
 }
 
-fn asynchronous<D>(drain: D) -> Logger
+fn async_logger<D>(drain: D) -> Logger
 where
     D: slog::Drain<Err = slog::Never, Ok = ()> + Send + 'static,
 {
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -4,7 +4,7 @@
 
 /// Metrics could not be registered or encoded.
 #[derive(Debug, thiserror::Error)]
-#[error("metrics failed: {0}")]
+#[error("metrics could not be registered or encoded: {0}")]
 pub struct MetricsError(#[from] prometheus::Error);
 
 /// Metrics of one node.
--- a/crates/telemetry/src/queued_writer.rs
+++ b/crates/telemetry/src/queued_writer.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    fn line(&self, record: &Record<'_>, values: &OwnedKVList) -> std::io::Result<Vec<u8>> {
+    fn format_line(&self, record: &Record<'_>, values: &OwnedKVList) -> std::io::Result<Vec<u8>> {
         let mut bytes = Vec::with_capacity(512);
         let since_start_ms = self.started.elapsed().as_millis() as u64;
         let json = slog_json::Json::new(&mut bytes)
@@ -91,7 +91,7 @@
 
     fn log(&self, record: &Record<'_>, values: &OwnedKVList) -> Result<(), slog::Never> {
         // Skip records that cannot be formatted.
-        let Ok(bytes) = self.line(record, values) else {
+        let Ok(bytes) = self.format_line(record, values) else {
             return Ok(());
         };
         let priority = if record.level() == Level::Debug {
