--- a/cmd/src/bin/dalestand-standin.rs
+++ b/cmd/src/bin/dalestand-standin.rs
@@ -51,44 +51,49 @@
     options.optopt(
         "",
         "incarnation",
-        "engine: number of its run (default 1)",
+        "engine: its incarnation, a number that increases with each start (default 1)",
         "NUMBER",
     );
     options.optopt(
         "",
         "load-ms",
-        "engine: length of a load of a model or an adapter (default 0)",
+        "engine: time to load a model or an adapter (default 0)",
         "MS",
     );
     options.optopt(
         "",
         "role-change-ms",
-        "engine: length of a role change",
+        "engine: duration of a role change (default 2000)",
         "MS",
     );
     options.optflag(
         "",
         "log-stdout",
-        "engine: print its order and run logs, a JSON object a line",
+        "engine: print its order and run logs, one JSON object per line",
+    );
+    options.optopt(
+        "",
+        "capacity",
+        "engine: maximum number of running and waiting requests",
+        "NUMBER",
     );
-    options.optopt("", "capacity", "engine: most requests held", "NUMBER");
     options.optopt(
         "",
         "max-running",
-        "engine: most requests generated at once",
+        "engine: maximum number of running requests",
         "NUMBER",
     );
-    options.optopt("", "step-ms", "engine: time of an empty step", "MS");
+    options.optopt("", "step-ms", "engine: base duration of a batch step", "MS");
     options.optopt(
         "",
         "step-us-per-request",
-        "engine: added time of a step for each request",
+        "engine: additional step duration per running request",
         "MICROSECONDS",
     );
     options.optopt(
         "",
         "prefill-us-per-token",
-        "engine: time of a prompt token",
+        "engine: prefill time per prompt token",
         "MICROSECONDS",
     );
     options.optflag("h", "help", "show this help");
--- a/cmd/src/bin/dalestand.rs
+++ b/cmd/src/bin/dalestand.rs
@@ -8,10 +8,10 @@
 const USAGE: &str = "usage: dalestand COMMAND [flags]
 
 commands:
-  node      run a node for OpenAI callers
-  forward   run a node that serves opaque requests by routes
-  stopped   list requests that are refused because engines ended under them, release one
-  room      show room and demand by pool, as a node knows them of all nodes
+  node      run a node that serves the OpenAI-compatible API
+  forward   run a node that forwards opaque requests by routes
+  stopped   list requests that are refused because engines ended while running them, or release one
+  room      show the fleet's capacity and demand by pool, as known to one node
   dev       run stand-ins and two nodes on loopback
   check     list every fault of a file
 
--- a/cmd/src/dev.rs
+++ b/cmd/src/dev.rs
@@ -33,7 +33,7 @@
 /// Time an engine takes to load a model or an adapter.
 const LOAD_TIME: Duration = Duration::from_millis(50);
 
-/// Short, since the two nodes also acquire the leases of zones without a node, and wait before they do so.
+/// Short, because a node waits several lease times before it acquires the lease of a zone without a node.
 const LEASE_MS: u64 = 1_000;
 const MACHINE_POLL_MS: u64 = 500;
 const LOAD_POLL_MS: u64 = 300;
@@ -135,7 +135,7 @@
         }
     }
     let (first_zone, second_zone) = two_zones(&deployment)?;
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let free_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let first = node_settings(
         "node-1",
         &first_zone,
@@ -144,7 +144,14 @@
         key_value,
         machine_list,
     );
-    let second = node_settings("node-2", &second_zone, any, any, key_value, machine_list);
+    let second = node_settings(
+        "node-2",
+        &second_zone,
+        free_port,
+        free_port,
+        key_value,
+        machine_list,
+    );
     let log = logger(LogOutput::Terminal);
     let mut runs = Vec::new();
     let mut nodes: Vec<NodeAddresses> = Vec::new();
@@ -170,7 +177,7 @@
         )));
     }
     apply(nodes[0].operators, text).await?;
-    // In a separate task, so that a stop before the fleet is ready ends the wait too.
+    // Wait in a separate task, so that a stop need not wait until the fleet is ready.
     actix_rt::spawn(async move {
         if wait_until_ready(nodes[0].operators, &deployment)
             .await
--- a/cmd/src/forward.rs
+++ b/cmd/src/forward.rs
@@ -21,7 +21,7 @@
     options.optopt(
         "s",
         "settings",
-        "settings file; DALESTAND_SETTINGS names it otherwise",
+        "settings file (default: the path in DALESTAND_SETTINGS)",
         "FILE",
     );
     options.optflag("h", "help", "show this help");
@@ -37,7 +37,7 @@
         .opt_str("settings")
         .or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
     let Some(path) = path else {
-        return usage_error("no settings file is named");
+        return usage_error("no settings file given; use --settings or set DALESTAND_SETTINGS");
     };
     match read_settings(&path) {
         Ok(settings) => actix_rt::System::new().block_on(run_node(settings, path)),
--- a/cmd/src/node.rs
+++ b/cmd/src/node.rs
@@ -12,18 +12,43 @@
 
 fn node_options() -> Options {
     let mut options = Options::new();
-    options.optopt("s", "settings", "settings file; flags go before it", "FILE");
+    options.optopt(
+        "s",
+        "settings",
+        "settings file; other flags take precedence over it",
+        "FILE",
+    );
     options.optopt("", "node", "name of the node", "NAME");
     options.optopt("", "zone", "zone of the node", "ZONE");
-    options.optopt("", "caller-listen", "where callers connect", "ADDRESS");
-    options.optopt("", "operator-listen", "where operators connect", "ADDRESS");
-    options.optopt("", "peer-listen", "where other nodes connect", "ADDRESS");
-    options.optopt("", "key-value", "the key-value service", "ADDRESS");
-    options.optopt("", "machine-list", "the machine list", "ADDRESS");
+    options.optopt(
+        "",
+        "caller-listen",
+        "address to listen on for callers",
+        "ADDRESS",
+    );
+    options.optopt(
+        "",
+        "operator-listen",
+        "address to listen on for operators",
+        "ADDRESS",
+    );
+    options.optopt(
+        "",
+        "peer-listen",
+        "address to listen on for other nodes",
+        "ADDRESS",
+    );
+    options.optopt(
+        "",
+        "key-value",
+        "address of the key-value service",
+        "ADDRESS",
+    );
+    options.optopt("", "machine-list", "address of the machine list", "ADDRESS");
     options.optmulti(
         "",
         "seed",
-        "a peer to find the others by; may be given again",
+        "initial peer address for discovery; may be repeated",
         "ADDRESS",
     );
     options.optopt("", "log-format", "json or terminal", "FORMAT");
--- a/cmd/src/operator/client.rs
+++ b/cmd/src/operator/client.rs
@@ -26,7 +26,7 @@
     #[error("{status}: {message}")]
     Refused { status: StatusCode, message: String },
     /// The response could not be parsed.
-    #[error("the answer could not be understood: {0}")]
+    #[error("the response could not be parsed: {0}")]
     Malformed(String),
 }
 
--- a/cmd/src/operator/log_explanation.rs
+++ b/cmd/src/operator/log_explanation.rs
@@ -1,8 +1,9 @@
 //! `explain request ID --logs FILE`: explains a request from the logs of several nodes.
 //!
-//! Lines that contain no complete JSON object, such as the last line of a truncated log, are counted and
-//! reported. Text before the object, such as a log collector's prefix, is skipped. Lines are ordered by
-//! timestamp; the output notes that these are of each node's own clock.
+//! Lines whose JSON object is incomplete or has no timestamp, such as the last line of a truncated log, are
+//! counted and reported. Text before the object, such as a log collector's prefix, is skipped, and so are lines
+//! without an object. Lines are ordered by timestamp; the output notes that timestamps are from each node's own
+//! clock.
 
 use std::collections::BTreeSet;
 
@@ -47,7 +48,7 @@
             Exit::Success
         }
         None => failure(format!(
-            "no line names request {id}; of requests that went well only a sample is logged"
+            "no log line mentions request {id}; only a sample of successful requests is logged"
         )),
     }
 }
@@ -62,7 +63,8 @@
         }
     }
 
-    /// Explains a request by the lines about it and its engines in order of time; `None` if no line names it.
+    /// Lists the lines about a request and about the state of its engines, in order of time; `None` if no line
+    /// mentions the request.
     fn explain(&self, id: &str) -> Option<String> {
         let is_own = |line: &LogLine| line.text("request") == Some(id);
         let own: Vec<&LogLine> = self.lines.iter().filter(|line| is_own(line)).collect();
@@ -84,7 +86,7 @@
         if self.unreadable > 0 {
             text.push_str(&format!("{} lines could not be read\n", self.unreadable));
         }
-        text.push_str("times are those of each node's own clock\n");
+        text.push_str("times are from each node's own clock\n");
         Some(text)
     }
 }
--- a/cmd/src/operator/mod.rs
+++ b/cmd/src/operator/mod.rs
@@ -18,20 +18,20 @@
 
 commands:
   apply FILE            apply a deployment file as a whole
-  diff FILE             what a deployment file would change
-  status                what a node knows of the fleet
-  roles                 engines and their roles, by group
-  explain request ID    how a request was decided
+  diff FILE             print what a deployment file would change
+  status                print the fleet's state as known to a node
+  roles                 print the engines of each group by role
+  explain request ID    print how a request was routed
   explain request ID --logs FILE [--logs FILE ...]
-                        what logs of nodes tell of a request; asks no node
-  explain engine ID     how an engine's role was decided
-  drain                 begin a planned stop of the node asked
-  drain engine ID       let an engine finish its work and take no new
-  undrain engine ID     let it take work again
-  completion            print the completion text for bash
+                        explain a request from node logs, without contacting a node
+  explain engine ID     print how an engine's role was chosen
+  drain                 start a planned stop of the node
+  drain engine ID       let an engine finish its requests and accept no new ones
+  undrain engine ID     let the engine accept requests again
+  completion            print the bash completion script
 
-exit codes: 0 done, 1 failed, 2 wrong flag or file, 3 another change came first,
-4 not known whether it took effect";
+exit codes: 0 success, 1 failure, 2 invalid flag or file, 3 conflict with another change,
+4 unknown whether the change took effect";
 
 const DEFAULT_AUTHOR: &str = "operator";
 
@@ -53,19 +53,19 @@
     options.optopt(
         "",
         "author",
-        "who applies or drains (default: operator)",
+        "operator name recorded by apply, drain and undrain (default: operator)",
         "NAME",
     );
     options.optopt(
         "",
         "after",
-        "apply: only if this revision stands there",
+        "apply: fail unless this is the current revision (0: none)",
         "REVISION",
     );
     options.optmulti(
         "",
         "logs",
-        "explain request: read this log; may be given again",
+        "explain request: read this log file; may be repeated",
         "FILE",
     );
     options.optflag("h", "help", "show this help");
@@ -80,7 +80,7 @@
         Err(exit) => return exit,
     };
     let logs = matches.opt_strs("logs");
-    if let ["explain", "request", id] = matches.free_words().as_slice()
+    if let ["explain", "request", id] = matches.positional_arguments().as_slice()
         && !logs.is_empty()
     {
         return log_explanation::request(id, &logs);
@@ -93,8 +93,8 @@
 
 async fn dispatch(matches: &Matches, client: &Client) -> Exit {
     let json = matches.opt_present("json");
-    let words = matches.free_words();
-    match words.as_slice() {
+    let arguments = matches.positional_arguments();
+    match arguments.as_slice() {
         ["apply", path] => apply::apply(client, matches, path).await,
         ["diff", path] => apply::diff(client, path, json).await,
         ["status"] => status::status(client, json).await,
@@ -113,12 +113,12 @@
 }
 
 /// Access to the arguments that are not flags.
-trait FreeWords {
-    fn free_words(&self) -> Vec<&str>;
+trait PositionalArguments {
+    fn positional_arguments(&self) -> Vec<&str>;
 }
 
-impl FreeWords for Matches {
-    fn free_words(&self) -> Vec<&str> {
+impl PositionalArguments for Matches {
+    fn positional_arguments(&self) -> Vec<&str> {
         self.free.iter().map(String::as_str).collect()
     }
 }
--- a/cmd/src/operator/roles.rs
+++ b/cmd/src/operator/roles.rs
@@ -37,7 +37,7 @@
     for (group, roles) in &groups {
         println!(
             "{group}, held by {}",
-            roles.holder.as_deref().unwrap_or("nobody known")
+            roles.holder.as_deref().unwrap_or("no known node")
         );
         print_line("prefill", &roles.prefill);
         print_line("decode", &roles.decode);
--- a/cmd/src/operator/status.rs
+++ b/cmd/src/operator/status.rs
@@ -55,7 +55,7 @@
         let work = if row.accepting {
             ""
         } else {
-            ", takes no new work"
+            ", accepts no new requests"
         };
         println!(
             "engine {} {role}, {} running, {} waiting, known {} ms ago{work}",
--- a/cmd/src/room/mod.rs
+++ b/cmd/src/room/mod.rs
@@ -7,7 +7,7 @@
 use dalestand_forwarding::CapacityReport;
 use getopts::{Matches, Options};
 
-pub use self::table::room_table;
+pub use self::table::capacity_table;
 use crate::exit::{Exit, failure, usage_error};
 use crate::flags::{self, required};
 use crate::operator::client::{Client, parse, print_json};
@@ -64,7 +64,7 @@
     match parse::<CapacityReport>(&body) {
         // Print the body as received: a newer node's report can have fields that this program does not know.
         Ok(_) if json => print_json(&body),
-        Ok(report) => print!("{}", room_table(&report)),
+        Ok(report) => print!("{}", capacity_table(&report)),
         Err(error) => return failure(error),
     }
     Exit::Success
--- a/cmd/src/room/table.rs
+++ b/cmd/src/room/table.rs
@@ -10,7 +10,7 @@
 const INDENT: &str = "  ";
 
 /// Formats the report as tables.
-pub fn room_table(report: &CapacityReport) -> String {
+pub fn capacity_table(report: &CapacityReport) -> String {
     let declaration = report.declaration;
     let declaration = declaration.map_or("no declaration".to_owned(), |revision| {
         format!("declaration {revision}")
--- a/cmd/src/stopped.rs
+++ b/cmd/src/stopped.rs
@@ -23,7 +23,7 @@
         Err(exit) => return exit,
     };
     let Some(path) = matches.opt_str("settings") else {
-        return usage_error("no settings file is named");
+        return usage_error("--settings must be given");
     };
     let settings = match read_settings(&path) {
         Ok(settings) => settings,
@@ -59,7 +59,7 @@
             "stopped"
         };
         println!(
-            "{fingerprint} {state}: {} engines ended under it, the last at {} ms since 1970",
+            "{fingerprint} {state}: {} engines ended while running it, the last at {} ms since the Unix epoch",
             entry.engines.len(),
             entry.last_crash_unix_ms
         );
--- a/cmd/tests/authority.rs
+++ b/cmd/tests/authority.rs
@@ -16,7 +16,7 @@
 /// Short, so that takeovers are quick.
 const LEASE_MS: u64 = 1_500;
 
-/// Number of calls to the key-value service after which the resumed node has certainly run during the outage.
+/// Number of calls to the key-value service during the outage, enough that the resumed node made some of them.
 const CALLS_IN_OUTAGE: u64 = 20;
 
 fn check(history: &History) {
@@ -24,7 +24,7 @@
     assert_eq!(no_stale_orders(history), Ok(()));
 }
 
-/// Epochs under which orders were taken, in the order they were first used.
+/// Epochs of the accepted orders, in the order of their first use.
 fn epochs_of_orders(history: &History) -> Vec<Epoch> {
     let mut epochs = Vec::new();
     for (_, line) in history.engine_log_lines() {
@@ -38,7 +38,7 @@
 }
 
 #[actix_rt::test]
-async fn a_holder_that_wakes_after_its_lease_changes_nothing() {
+async fn a_holder_that_resumes_after_its_lease_expired_changes_nothing() {
     let mut fleet = Fleet::start(&["e1", "e2"], LEASE_MS).await;
     fleet.start_node("n1").await;
     fleet.start_node("n2").await;
@@ -136,7 +136,7 @@
 }
 
 #[actix_rt::test]
-async fn an_order_under_way_is_kept_over_a_takeover() {
+async fn an_order_in_progress_survives_a_takeover() {
     let mut fleet = Fleet::start(&["e1", "e2"], LEASE_MS).await;
     fleet.start_node("n1").await;
     fleet.start_node("n2").await;
--- a/cmd/tests/command_line.rs
+++ b/cmd/tests/command_line.rs
@@ -102,7 +102,7 @@
 }
 
 #[actix_rt::test]
-async fn operators_apply_ask_and_stop() {
+async fn operators_apply_query_and_stop() {
     let platform = Platform::start();
     let (_engine, engine) = start_engine("e", platform.machines, &[]).await;
     let hash = blake3::hash(KEY.as_bytes()).to_hex();
--- a/cmd/tests/configuration_spread.rs
+++ b/cmd/tests/configuration_spread.rs
@@ -99,7 +99,7 @@
         assert_eq!(post(self.kv, "/faults", &faults).await.0, 200);
     }
 
-    async fn wait_for(&self, revision: Revision) {
+    async fn wait_until_in_force(&self, revision: Revision) {
         for (name, node) in &self.nodes {
             eventually(&format!("{revision} is in force on {name}"), || async {
                 let status: StatusResponse = get(node.operators, "/status").await;
@@ -120,7 +120,7 @@
     }
 
     async fn check(&self) {
-        let history = eventually("the nodes were watched", || async {
+        let history = eventually("enough revisions are recorded", || async {
             let history = self.recorder.history();
             let seen = history.events.iter();
             let seen = seen.filter(|one| matches!(one.event, Event::ConfigurationInForce { .. }));
@@ -175,13 +175,13 @@
     let applied = fleet.apply("n1", "first", None).await;
     fleet.set_outage(true).await;
     let first = applied.revision.expect("accepted");
-    fleet.wait_for(first).await;
+    fleet.wait_until_in_force(first).await;
 
     // During the outage, one node restarts at another address and a new node joins.
     fleet.kill_node("n3");
     fleet.start_node("n3", "b", kv);
     fleet.start_node("n5", "c", kv);
-    fleet.wait_for(first).await;
+    fleet.wait_until_in_force(first).await;
     let refused = fleet.apply("n2", "refused", None).await;
     assert_eq!(refused.revision, None);
 
@@ -190,12 +190,12 @@
         fleet.apply("n5", "second", None).await.revision
     })
     .await;
-    fleet.wait_for(applied).await;
+    fleet.wait_until_in_force(applied).await;
     fleet.check().await;
 }
 
 #[actix_rt::test]
-async fn of_two_applies_at_once_one_wins_whole_and_a_frozen_zone_catches_up() {
+async fn one_of_two_concurrent_applies_wins_and_a_frozen_zone_catches_up() {
     let mut fleet = Fleet::start();
     let kv = fleet.kv;
     for (name, zone) in [("n1", "a"), ("n2", "a"), ("n3", "b"), ("n4", "b")] {
@@ -204,7 +204,7 @@
     fleet.wait_for_members().await;
     let base = fleet.apply("n1", "base", None).await.revision;
     let base = base.expect("accepted");
-    fleet.wait_for(base).await;
+    fleet.wait_until_in_force(base).await;
 
     let (one, other) = futures_util::join!(
         fleet.apply("n1", "one", Some(base)),
@@ -219,7 +219,7 @@
     };
     let error = loser.error.expect("the rejected apply has an error");
     assert!(error.contains(winner), "{error}");
-    fleet.wait_for(winners[0]).await;
+    fleet.wait_until_in_force(winners[0]).await;
     let late = fleet.apply("n2", "late", Some(base)).await;
     assert_eq!(late.revision, None, "its expected revision was replaced");
 
@@ -228,7 +228,7 @@
     }
     let next = fleet.apply("n2", "while zone b is frozen", None).await;
     let next = next.revision.expect("accepted");
-    eventually("the other zone has it", || async {
+    eventually("the configuration is in force on n1", || async {
         let status: StatusResponse = get(fleet.nodes["n1"].operators, "/status").await;
         (status.revision == Some(next)).then_some(())
     })
@@ -236,6 +236,6 @@
     for name in ["n3", "n4"] {
         fleet.nodes[name].process.signal("CONT");
     }
-    fleet.wait_for(next).await;
+    fleet.wait_until_in_force(next).await;
     fleet.check().await;
 }
--- a/cmd/tests/drain.rs
+++ b/cmd/tests/drain.rs
@@ -12,7 +12,7 @@
 
 const ENGINES: [&str; 2] = ["e1", "e2"];
 
-/// Enough that the engine is marked as drained before the answer is complete.
+/// Output tokens of an answer that is still incomplete when its engine is marked as drained.
 const LONG_ANSWER_TOKENS: u32 = 200;
 
 /// Requests sent after the drain; each would reach the drained engine with a probability of one half.
@@ -37,7 +37,7 @@
 }
 
 #[actix_rt::test]
-async fn a_drained_engine_takes_no_new_work_and_cuts_none() {
+async fn a_drained_engine_accepts_no_new_requests_and_interrupts_none() {
     let platform = Platform::start();
     let (_first, first) = start_engine(ENGINES[0], platform.machines, &[]).await;
     let (_second, second) = start_engine(ENGINES[1], platform.machines, &[]).await;
@@ -79,7 +79,7 @@
         .iter()
         .filter(|run| run.event == RunLogEvent::Accepted)
         .count();
-    assert_eq!(before, after, "the drained engine took new work");
+    assert_eq!(before, after, "the drained engine accepted new requests");
 
     assert_eq!(ctl(node.operators, &["drain"]).status.code(), Some(0));
     assert_eq!(node.process.wait(), Some(0));
--- a/cmd/tests/forwarding_files.rs
+++ b/cmd/tests/forwarding_files.rs
@@ -36,7 +36,7 @@
 
 #[rstest]
 fn valid_settings_have_no_fault() {
-    let path = file("sound.toml", SETTINGS);
+    let path = file("valid.toml", SETTINGS);
     let path = path.to_str().expect("a path");
     let output = run(
         env!("CARGO_BIN_EXE_dalestand"),
@@ -85,7 +85,7 @@
 
 #[rstest]
 #[case::no_window("usage_window_s = 5", "", "duties.usage_window_s")]
-#[case::late_at_once("usage_late_s = 10", "usage_late_s = 0", "duties.usage_late_s")]
+#[case::zero_report_deadline("usage_late_s = 10", "usage_late_s = 0", "duties.usage_late_s")]
 #[case::no_headroom("usage_late_s = 10", "engine_headroom = 0", "duties.engine_headroom")]
 #[case::share("usage_late_s = 10", "on_demand_share = 1.5", "duties.on_demand_share")]
 #[case::worth("usage_late_s = 10", "engine_worth = -1", "duties.engine_worth")]
--- a/cmd/tests/leaving.rs
+++ b/cmd/tests/leaving.rs
@@ -52,7 +52,7 @@
 }
 
 async fn wait_until_known(fleet: &Fleet, node: &str, engine: &str) {
-    eventually("the node knows that the engine leaves", || async {
+    eventually("the node knows that the engine is leaving", || async {
         let status: StatusResponse = get(fleet.nodes[node].operators, "/status").await;
         let row = status
             .engines
@@ -64,11 +64,13 @@
 }
 
 #[actix_rt::test]
-async fn a_leaving_engine_gets_no_new_work_though_the_node_that_knew_is_killed() {
+async fn a_leaving_engine_gets_no_new_work_although_the_node_that_detected_it_is_killed() {
     let mut fleet = Fleet::start(&["e1", "e2"], LEASE_MS).await;
     fleet.start_node("n1").await;
     for name in ["n2", "n3"] {
-        fleet.start_node_reading(name, NO_MACHINE_POLL_MS).await;
+        fleet
+            .start_node_with_machine_poll(name, NO_MACHINE_POLL_MS)
+            .await;
     }
     fleet.apply("n1", &fleet.deployment(Role::Mixed, true));
     fleet.wait_for_role(Role::Mixed).await;
@@ -76,7 +78,7 @@
         fleet.wait_for_routes(name).await;
         actix_rt::spawn(send_requests(fleet.nodes[name].callers));
     }
-    eventually("both engines get work", || async {
+    eventually("both engines accept requests", || async {
         let history = fleet.recorder.history();
         let both = ["e1", "e2"]
             .iter()
@@ -90,18 +92,23 @@
     let leaving_at = leaving_at.expect("the mark was recorded");
     wait_until_known(&fleet, "n2", "e1").await;
     fleet.nodes.remove("n1");
-    fleet.start_node_reading("n4", NO_MACHINE_POLL_MS).await;
+    fleet
+        .start_node_with_machine_poll("n4", NO_MACHINE_POLL_MS)
+        .await;
     wait_until_known(&fleet, "n4", "e1").await;
     actix_rt::spawn(send_requests(fleet.nodes["n4"].callers));
 
     let end = leaving_at + GRACE + AFTER_GRACE;
-    eventually("the other engine gets work until the end", || async {
-        let history = fleet.recorder.history();
-        accepted_at(&history, "e2")
-            .iter()
-            .any(|at| *at > end)
-            .then_some(())
-    })
+    eventually(
+        "the other engine accepts requests after the end",
+        || async {
+            let history = fleet.recorder.history();
+            accepted_at(&history, "e2")
+                .iter()
+                .any(|at| *at > end)
+                .then_some(())
+        },
+    )
     .await;
     let status = post(
         fleet.engines["e1"].address,
--- a/cmd/tests/planned_changes.rs
+++ b/cmd/tests/planned_changes.rs
@@ -66,7 +66,7 @@
 }
 
 #[actix_rt::test]
-async fn role_changes_a_drain_and_a_stop_at_once_cut_no_answer() {
+async fn simultaneous_role_changes_drain_and_stop_interrupt_no_answer() {
     let platform = Platform::start();
     let mut processes = Vec::new();
     let mut addresses = Vec::new();
@@ -112,13 +112,13 @@
         assert_eq!(answer.await.expect("the caller's task ends"), expected);
     }
     assert_eq!(leaving.process.wait(), Some(0));
-    eventually("the role order was taken", || async {
+    eventually("the role order is accepted", || async {
         let log: Vec<OrderLogEntry> = get(addresses[0], "/log/orders").await;
-        let taken = log.iter().any(|entry| {
+        let accepted = log.iter().any(|entry| {
             matches!(entry, OrderLogEntry::Taken { order, .. }
                 if matches!(order.command, OrderCommand::AssumeRole { .. }))
         });
-        taken.then_some(())
+        accepted.then_some(())
     })
     .await;
 }
--- a/cmd/tests/planned_stop.rs
+++ b/cmd/tests/planned_stop.rs
@@ -53,7 +53,7 @@
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_cuts_no_answer_and_runs_no_newcomer() {
+async fn a_planned_stop_interrupts_no_answer_and_runs_no_new_request() {
     let mut fleet = Fleet::start(&["e"], LEASE_MS).await;
     fleet.start_node("n").await;
     fleet.apply("n", &fleet.deployment(Role::Mixed, true));
@@ -78,7 +78,7 @@
     })
     .await;
     fleet.nodes["n"].process.signal("TERM");
-    let refused = eventually("a newcomer is refused", || async {
+    let refused = eventually("a new request is refused", || async {
         let sent = awc::Client::default().post(format!("http://{callers}/v1/completions"));
         // One token, so that a request accepted before the signal does not prolong the stop.
         let late = json!({"model": "m", "prompt": "late", "max_tokens": 1});
--- a/cmd/tests/recovery.rs
+++ b/cmd/tests/recovery.rs
@@ -67,7 +67,7 @@
 }
 
 #[actix_rt::test]
-async fn a_planned_stop_in_an_outage_cuts_nothing() {
+async fn a_planned_stop_in_an_outage_interrupts_nothing() {
     let mut fleet = Fleet::start_serving(&["e1", "e2"], &["n1", "n2"], LEASE_MS).await;
     let callers = Callers::start(CALLERS, fleet.caller_addresses(), &fleet.recorder);
     callers.wait_for_progress().await;
@@ -127,7 +127,7 @@
 }
 
 #[actix_rt::test]
-async fn of_two_concurrent_operators_one_wins_and_the_other_gets_an_error() {
+async fn one_of_two_concurrent_operators_wins_and_the_other_gets_an_error() {
     let mut fleet = Fleet::start(&["e1"], LEASE_MS).await;
     fleet.start_node("n1").await;
     fleet.start_node("n2").await;
@@ -155,24 +155,24 @@
 }
 
 #[actix_rt::test]
-async fn an_idle_group_costs_the_key_value_service_few_calls() {
+async fn an_idle_group_makes_few_calls_to_the_key_value_service() {
     let mut fleet = Fleet::start(&["e1"], LEASE_MS).await;
-    let mut costs = Vec::new();
+    let mut rates = Vec::new();
     for nodes in [&["n1", "n2"][..], &["n3", "n4", "n5", "n6"][..]] {
         for node in nodes {
             fleet.start_node(node).await;
         }
-        if costs.is_empty() {
+        if rates.is_empty() {
             fleet.apply("n1", &fleet.deployment(Role::Mixed, true));
         }
         for node in nodes {
             fleet.wait_for_routes(node).await;
         }
-        costs.push(idle_calls_per_second(&fleet).await);
+        rates.push(idle_calls_per_second(&fleet).await);
     }
-    println!("calls a second in all with 2 and 6 nodes: {costs:.2?}");
-    let idle = costs.iter().all(|cost| *cost <= MAX_IDLE_CALLS_PER_SECOND);
-    assert!(idle, "{costs:?}");
+    println!("calls per second in total with 2 and 6 nodes: {rates:.2?}");
+    let idle = rates.iter().all(|rate| *rate <= MAX_IDLE_CALLS_PER_SECOND);
+    assert!(idle, "{rates:?}");
 }
 
 /// Rate of calls to the key-value service by an idle fleet.
--- a/cmd/tests/role_planning.rs
+++ b/cmd/tests/role_planning.rs
@@ -42,7 +42,7 @@
 }
 
 #[actix_rt::test]
-async fn roles_follow_the_demand_and_cut_no_answer() {
+async fn roles_follow_the_demand_and_interrupt_no_answer() {
     let platform = Platform::start();
     let mut engines = Vec::new();
     for name in ENGINES {
--- a/cmd/tests/room.rs
+++ b/cmd/tests/room.rs
@@ -1,8 +1,8 @@
-//! `dalestand room`: the table, and the errors for invalid flags and an unreachable node.
+//! `dalestand room` formats the capacity report as a table, and reports invalid flags and an unreachable node.
 
 use std::process::{Command, Output};
 
-use dalestand_cmd::room::room_table;
+use dalestand_cmd::room::capacity_table;
 use dalestand_forwarding::{
     CapacityReport, ClassDemand, EngineGroup, EngineScaling, EngineSpeed, FigureAges, PoolCapacity,
     ReportSources, TenantDemand,
@@ -89,9 +89,9 @@
 }
 
 #[rstest]
-fn a_node_that_knows_nothing_says_so() {
+fn an_isolated_node_shows_no_figures_of_other_nodes() {
     assert_eq!(
-        room_table(&isolated_report()),
+        capacity_table(&isolated_report()),
         "node front-1 in zone a: no declaration, 1 node known\n\
          figures of this node; no demand of others, no tenants of others, no speeds of others\n"
     );
@@ -104,7 +104,7 @@
         pools: vec![empty_pool()],
         ..isolated_report()
     };
-    let table = room_table(&report);
+    let table = capacity_table(&report);
     let lines: Vec<&str> = table.lines().skip(2).collect();
     assert_eq!(lines, ["", "pool guide: 0 engines, 0 slots, 0.0 busy"]);
 }
@@ -125,7 +125,7 @@
         pools: vec![busy_pool()],
         ..isolated_report()
     };
-    let table = room_table(&report);
+    let table = capacity_table(&report);
     let lines: Vec<&str> = table.lines().collect();
     assert_eq!(
         lines[1],
@@ -159,15 +159,19 @@
 }
 
 #[rstest]
-#[case::all_at_once(&["pool"], 2, &["pool: not expected", "--node must be given"])]
+#[case::several_faults(&["pool"], 2, &["pool: not expected", "--node must be given"])]
 #[case::no_address(&["--node", "here"], 2, &["--node here"])]
 #[case::unknown_flag(&["--nodes", "1"], 2, &["nodes"])]
-#[case::nobody_answers(&["--node", "127.0.0.1:1"], 1, &["could not be asked"])]
-fn faults_are_named(#[case] arguments: &[&str], #[case] code: i32, #[case] named: &[&str]) {
+#[case::unreachable_node(&["--node", "127.0.0.1:1"], 1, &["could not be asked"])]
+fn every_fault_is_reported(
+    #[case] arguments: &[&str],
+    #[case] code: i32,
+    #[case] expected: &[&str],
+) {
     let output = room(arguments);
     assert_eq!(output.status.code(), Some(code), "{output:?}");
     let errors = String::from_utf8_lossy(&output.stderr);
-    for name in named {
-        assert!(errors.contains(name), "{errors}");
+    for text in expected {
+        assert!(errors.contains(text), "{errors}");
     }
 }
--- a/cmd/tests/soak.rs
+++ b/cmd/tests/soak.rs
@@ -6,8 +6,8 @@
 use dalestand_soak::schedule::{FAULT_KINDS, FaultKind};
 use rstest::rstest;
 
-/// Planned changes, and requests that crash engines; none of these suspends a check.
-const CALM_KINDS: [FaultKind; 4] = [
+/// Planned changes, and requests that crash engines; the checks count none of these as a disruption.
+const NON_DISRUPTIVE_KINDS: [FaultKind; 4] = [
     FaultKind::NodeStopped,
     FaultKind::EngineDrained,
     FaultKind::RouteAdded,
@@ -43,28 +43,28 @@
 ];
 
 /// A request storm of one tenant and engines that become slow in turn, without node failures.
-const HARD_LOAD_KINDS: [FaultKind; 2] = [FaultKind::TenantStorm, FaultKind::EngineTurnsSlow];
+const HEAVY_LOAD_KINDS: [FaultKind; 2] = [FaultKind::TenantStorm, FaultKind::EngineTurnsSlow];
 
 /// Seeds that once failed are kept as regression cases, named after the failure.
 #[rstest]
 #[case::faults_of_all_kinds(1, &FAULT_KINDS)]
-#[case::requests_that_come_often_refused_after_all_nodes_were_killed(119, &FAULT_KINDS)]
-#[case::planned_work_and_deadly_requests(3, &CALM_KINDS)]
-#[case::what_engines_say_in_their_answers(5, &SIGNAL_KINDS)]
-#[case::a_store_that_is_restored(7, &RESTORE_KINDS)]
-#[case::engines_that_take_only_so_many(11, &LIMIT_KINDS)]
-fn a_seeded_run_breaks_nothing(#[case] seed: u64, #[case] kinds: &[FaultKind]) {
-    breaks_nothing(seed, kinds, CallerLoad::Light);
+#[case::frequent_requests_refused_after_all_nodes_were_killed(119, &FAULT_KINDS)]
+#[case::planned_changes_and_requests_that_crash_engines(3, &NON_DISRUPTIVE_KINDS)]
+#[case::engine_signals_in_responses(5, &SIGNAL_KINDS)]
+#[case::store_restores(7, &RESTORE_KINDS)]
+#[case::engine_rate_limits(11, &LIMIT_KINDS)]
+fn a_seeded_run_has_no_violations(#[case] seed: u64, #[case] kinds: &[FaultKind]) {
+    assert_no_violations(seed, kinds, CallerLoad::Light);
 }
 
 /// Tenants compete for the capacity of engines of different speeds, and one of them sends a request storm.
 #[rstest]
-#[case::tenants_that_compete_for_room(41)]
-fn a_seeded_run_under_hard_load_breaks_nothing(#[case] seed: u64) {
-    breaks_nothing(seed, &HARD_LOAD_KINDS, CallerLoad::Tenants);
+#[case::tenants_that_compete_for_capacity(41)]
+fn a_seeded_run_under_heavy_load_has_no_violations(#[case] seed: u64) {
+    assert_no_violations(seed, &HEAVY_LOAD_KINDS, CallerLoad::Tenants);
 }
 
-fn breaks_nothing(seed: u64, kinds: &[FaultKind], load: CallerLoad) {
+fn assert_no_violations(seed: u64, kinds: &[FaultKind], load: CallerLoad) {
     let folder = std::env::temp_dir().join(format!("dalestand-soak-{}", std::process::id()));
     let config = RunConfig {
         seed,
--- a/cmd/tests/stopped.rs
+++ b/cmd/tests/stopped.rs
@@ -62,7 +62,7 @@
 #[case::not_stopped(FINGERPRINT, 1)]
 fn an_invalid_release_is_reported(#[case] fingerprint: &str, #[case] code: i32) {
     let store = Store::start().expect("a store");
-    let settings = settings(&store, &format!("untold-{code}"));
+    let settings = settings(&store, &format!("invalid-{code}"));
     let output = stopped(&settings, &["--release", fingerprint]);
     assert_eq!(output.status.code(), Some(code), "{output:?}");
     assert!(!output.stderr.is_empty());
--- a/cmd/tests/support/callers.rs
+++ b/cmd/tests/support/callers.rs
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Waits until as many more requests are complete as there are callers.
+    /// Waits until one further request per caller, on average, is complete.
     pub async fn wait_for_progress(&self) {
         let wanted = self.complete.get() + self.tasks.len();
         eventually("the callers complete requests", || async {
--- a/cmd/tests/support/fleet.rs
+++ b/cmd/tests/support/fleet.rs
@@ -89,7 +89,8 @@
 
     /// Starts a node.
     pub async fn start_node(&mut self, name: &str) {
-        self.start_node_reading(name, FAST_MACHINE_POLL_MS).await;
+        self.start_node_with_machine_poll(name, FAST_MACHINE_POLL_MS)
+            .await;
     }
 
     /// Starts a fleet with engines and nodes and waits until it serves: every engine has the mixed role, and every
@@ -108,7 +109,7 @@
     }
 
     /// Starts a node that reads the machine list at its start and then every `machine_poll_ms`.
-    pub async fn start_node_reading(&mut self, name: &str, machine_poll_ms: u64) {
+    pub async fn start_node_with_machine_poll(&mut self, name: &str, machine_poll_ms: u64) {
         let (kv, machines, lease_ms) = (self.kv, self.machines, self.lease_ms);
         let node = Node::start(&format!(
             "node = \"{name}\"\nzone = \"z\"\ncaller_listen = \"127.0.0.1:0\"\n\
@@ -216,7 +217,7 @@
     /// Waits until every engine has the role and a loaded model.
     pub async fn wait_for_role(&self, role: Role) {
         for engine in self.engines.values() {
-            eventually("the engine serves as desired", || async {
+            eventually("the engine has the role and a model", || async {
                 let state: EngineOrders = get(engine.address, "/v1/orders").await;
                 (state.role == Some(role) && !state.models.is_empty()).then_some(())
             })
--- a/cmd/tests/support/mod.rs
+++ b/cmd/tests/support/mod.rs
@@ -55,7 +55,10 @@
 
     /// Records the log lines that an engine prints, until it ends.
     pub fn record(&mut self, recorder: &Recorder) {
-        let stdout = self.stdout.take().expect("output that nobody reads yet");
+        let stdout = self
+            .stdout
+            .take()
+            .expect("the output is not being read yet");
         let recorder = recorder.clone();
         std::thread::spawn(move || recorder.record_engine(stdout));
     }
@@ -212,7 +215,7 @@
 pub struct Answer {
     /// HTTP status; `None` if the connection broke after the request was sent.
     pub status: Option<u16>,
-    /// The node's statement whether the request ran.
+    /// Value of the `x-dalestand-run-state` header: whether the request ran.
     pub run_state: Option<String>,
     /// Identifier that the node assigned to the request.
     pub request: Option<String>,
--- a/cmd/tests/two_stages.rs
+++ b/cmd/tests/two_stages.rs
@@ -34,7 +34,7 @@
         let (second, outputs) = start_engine(ENGINES[1], machines, &ENGINE_FLAGS).await;
         let node = platform.start_node("n", "z", "");
         apply(&node, &deployment(&ENGINES, ROLES)).await;
-        eventually("both engines take work in their roles", || async {
+        eventually("both engines accept requests in their roles", || async {
             let status: StatusResponse = get(node.operators, "/status").await;
             let roles: Vec<String> = status
                 .engines
@@ -106,7 +106,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_cache_is_made_again_and_a_request_whose_prompt_ran_is_never_called_not_run() {
+async fn a_lost_cache_is_rebuilt_and_a_request_whose_prompt_ran_is_never_reported_as_not_run() {
     let fleet = Fleet::start().await;
     let faults = serde_json::json!({"forget_exports": 1});
     post(fleet.prompts, "/faults", &faults).await;
