--- a/crates/config/src/deployment_reader.rs
+++ b/crates/config/src/deployment_reader.rs
@@ -18,7 +18,7 @@
 
 pub(crate) fn read_deployment(table: &TableReader<'_>) -> Deployment {
     Deployment {
-        format: table.required("format", "the number of the format, 1", 1),
+        format: table.required("format", "the version of the format, 1", 1),
         name: table.required("name", QUOTED_NAME, String::new()),
         roles: table.table("roles", read_role_rules).unwrap_or_default(),
         callers: table
@@ -36,12 +36,12 @@
 fn read_role_rules(table: &TableReader<'_>) -> RoleRules {
     let default = RoleRules::default();
     RoleRules {
-        change_weight: table.or(
+        change_weight: table.optional_or(
             "change_weight",
             "a number between 0.0 and 1.0",
             default.change_weight,
         ),
-        max_changes_at_once: table.or(
+        max_changes_at_once: table.optional_or(
             "max_changes_at_once",
             WHOLE_NUMBER,
             default.max_changes_at_once,
@@ -52,16 +52,20 @@
 fn read_caller_rules(table: &TableReader<'_>) -> CallerRules {
     let default = CallerRules::default();
     CallerRules {
-        require_key: table.or("require_key", BOOLEAN, default.require_key),
+        require_key: table.optional_or("require_key", BOOLEAN, default.require_key),
     }
 }
 
 fn read_limits(table: &TableReader<'_>) -> Limits {
     let default = Limits::default();
     Limits {
-        max_body_bytes: table.or("max_body_bytes", WHOLE_NUMBER, default.max_body_bytes),
-        max_output_tokens: table.or("max_output_tokens", WHOLE_NUMBER, default.max_output_tokens),
-        default_output_tokens: table.or(
+        max_body_bytes: table.optional_or("max_body_bytes", WHOLE_NUMBER, default.max_body_bytes),
+        max_output_tokens: table.optional_or(
+            "max_output_tokens",
+            WHOLE_NUMBER,
+            default.max_output_tokens,
+        ),
+        default_output_tokens: table.optional_or(
             "default_output_tokens",
             WHOLE_NUMBER,
             default.default_output_tokens,
@@ -94,13 +98,13 @@
     Pool {
         name: table.required("name", QUOTED_NAME, PoolName::from("")),
         models: table.required("models", "a list of model names", Vec::new()),
-        repeatable: table.or("repeatable", BOOLEAN, true),
-        initial_role: table.or(
+        repeatable: table.optional_or("repeatable", BOOLEAN, true),
+        initial_role: table.optional_or(
             "initial_role",
             "\"prefill\", \"decode\" or \"mixed\"",
             Role::Mixed,
         ),
-        roles: table.or("roles", roles, Role::ALL.to_vec()),
+        roles: table.optional_or("roles", roles, Role::ALL.to_vec()),
     }
 }
 
@@ -109,7 +113,7 @@
         pool: table.required("pool", "the name of a pool", PoolName::from("")),
         zone: table.required("zone", "the name of a zone", ZoneName::from("")),
         engines: table.required("engines", "a list of engine names", Vec::new()),
-        fixed_roles: table.or(
+        fixed_roles: table.optional_or(
             "fixed_roles",
             "a table of engine names and roles, as { e1 = \"prefill\" }",
             BTreeMap::new(),
--- a/crates/config/src/deployment_validation.rs
+++ b/crates/config/src/deployment_validation.rs
@@ -103,7 +103,8 @@
         let path = format!("{kind}[{index}].{key}");
         validate_name(name, &path, faults);
         if let Some(first) = seen.insert(name, index) {
-            let message = format!("{name} is the name of {kind}[{first}] too; use another");
+            let message =
+                format!("{name} is already the name of {kind}[{first}]; use another name");
             faults.add(path, message);
         }
     }
@@ -171,7 +172,7 @@
     let prefill = pool.roles.iter().any(|role| role.runs_prefill());
     let decode = pool.roles.iter().any(|role| role.runs_decode());
     if !prefill || !decode {
-        let message = "must cover prefill and decode, or hold \"mixed\"";
+        let message = "must cover prefill and decode, or include \"mixed\"";
         faults.add(format!("{path}.roles"), message);
     }
 }
@@ -238,7 +239,8 @@
         if let Some(first) = hashes.insert(&tenant.key_blake3, index)
             && !tenant.key_blake3.is_empty()
         {
-            let message = format!("is the hash of tenant[{first}] too; give each its own key");
+            let message =
+                format!("is also the key hash of tenant[{first}]; give each tenant its own key");
             faults.add(format!("{path}.key_blake3"), message);
         }
     }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -36,7 +36,7 @@
         collector: &collector,
         table: table.get_ref(),
         path: String::new(),
-        known: RefCell::default(),
+        known_keys: RefCell::default(),
     };
     let value = read(&root);
     root.report_unknown_keys();
@@ -67,7 +67,7 @@
     collector: &'a RefCell<FaultCollector>,
     table: &'a DeTable<'a>,
     path: String,
-    known: RefCell<BTreeSet<&'static str>>,
+    known_keys: RefCell<BTreeSet<&'static str>>,
 }
 
 impl<'a> TableReader<'a> {
@@ -89,7 +89,7 @@
     }
 
     /// Reads an optional value that has a default.
-    pub(crate) fn or<T: DeserializeOwned>(
+    pub(crate) fn optional_or<T: DeserializeOwned>(
         &self,
         key: &'static str,
         expected: &str,
@@ -170,7 +170,7 @@
             collector: self.collector,
             table,
             path,
-            known: RefCell::default(),
+            known_keys: RefCell::default(),
         };
         let value = read(&reader);
         reader.report_unknown_keys();
@@ -178,7 +178,7 @@
     }
 
     fn value(&self, key: &'static str) -> Option<&Spanned<DeValue<'a>>> {
-        self.known.borrow_mut().insert(key);
+        self.known_keys.borrow_mut().insert(key);
         let value = self.table.get(key)?;
         let line = self.lines.line_of(value.span().start);
         self.collector
@@ -204,15 +204,15 @@
     }
 
     fn report_unknown_keys(&self) {
-        let known = self.known.borrow();
+        let known = self.known_keys.borrow();
         for key in self.table.keys() {
             let name: &str = key.get_ref();
             if known.contains(name) {
                 continue;
             }
-            let message = match closest(name, &known) {
+            let message = match closest_key(name, &known) {
                 Some(suggestion) => format!("unknown key; did you mean {suggestion}?"),
-                None => format!("unknown key; known here: {}", listing(&known)),
+                None => format!("unknown key; known keys: {}", key_listing(&known)),
             };
             let line = self.lines.line_of(key.span().start);
             self.collector
@@ -222,7 +222,7 @@
     }
 }
 
-fn closest<'k>(name: &str, known: &BTreeSet<&'k str>) -> Option<&'k str> {
+fn closest_key<'k>(name: &str, known: &BTreeSet<&'k str>) -> Option<&'k str> {
     let scored = known
         .iter()
         .map(|key| (*key, strsim::jaro_winkler(name, key)));
@@ -232,7 +232,7 @@
         .map(|(key, _)| key)
 }
 
-fn listing(known: &BTreeSet<&str>) -> String {
+fn key_listing(known: &BTreeSet<&str>) -> String {
     known.iter().copied().collect::<Vec<_>>().join(", ")
 }
 
