--- a/crates/types/src/engine_signals.rs
+++ b/crates/types/src/engine_signals.rs
@@ -14,7 +14,7 @@
 pub struct RequestRate(u32);
 
 impl RequestRate {
-    /// Units per request per second.
+    /// Number of stored units in one request per second.
     const SCALE: f64 = 1_000.0;
 
     /// Converts a rate in requests per second. `None` if it is negative or not finite. Rates above about
@@ -43,7 +43,7 @@
     /// No limit: only the engine's slots bound its requests.
     #[default]
     Absent,
-    /// The limit over all nodes together.
+    /// The limit on the total rate from all nodes.
     Rate(RequestRate),
     /// A value that is not a valid rate.
     Invalid,
--- a/crates/types/src/identifier.rs
+++ b/crates/types/src/identifier.rs
@@ -111,7 +111,7 @@
     Revision
 );
 counter!(
-    /// Number of a run of an engine or node that keeps its name; increases with each start.
+    /// Number of a run of the engine or node with a name; increases with each start under that name.
     Incarnation
 );
 counter!(
@@ -135,7 +135,7 @@
     }
 }
 
-/// Bits of a revision that count changes within an era: eleven years at 3,200 changes per second.
+/// Bits of a revision that count changes within an era; enough for eleven years at 3,200 changes per second.
 const NUMBER_BITS: u32 = 40;
 
 impl Revision {
@@ -143,7 +143,8 @@
     pub const MAX_ERA: u64 = u64::MAX >> NUMBER_BITS;
 
     /// The revision after `number` changes in `era`. A key-value service that is restored from a backup starts
-    /// a new era and counts on from the backup's number, so revisions of a later era always compare greater.
+    /// a new era and continues from the backup's change number. The era is in the high bits, so revisions of a
+    /// later era always compare greater.
     pub fn in_era(era: u64, number: u64) -> Self {
         let number = number.min((1 << NUMBER_BITS) - 1);
         Self(era.min(Self::MAX_ERA) << NUMBER_BITS | number)
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,4 +1,4 @@
-//! Identifiers, epochs, revisions and the messages that layers exchange.
+//! Identifiers, epochs, revisions and the messages that components exchange.
 //!
 //! Everything here is plain data: no I/O, no clock, no randomness. The node, the simulator and the tests
 //! share these types.
