--- a/crates/history/src/checks/configuration.rs
+++ b/crates/history/src/checks/configuration.rs
@@ -36,7 +36,8 @@
                     .iter()
                     .find(|(at, needed)| recorded.at.since(*at) > limit && revision < needed);
                 if let Some((_, needed)) = overdue {
-                    let message = format!("{node} has {revision} in force, {needed} was accepted");
+                    let message =
+                        format!("{node} has {revision} in force although {needed} was accepted");
                     return Err(Violation::new(index, message));
                 }
             }
--- a/crates/history/src/engine_log.rs
+++ b/crates/history/src/engine_log.rs
@@ -57,7 +57,7 @@
     },
 }
 
-/// An entry of either log.
+/// An entry of the order log or the run log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineLogEntry {
--- a/crates/history/src/event.rs
+++ b/crates/history/src/event.rs
@@ -15,7 +15,7 @@
     Unknown,
 }
 
-/// An event of a run.
+/// An event of a test run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An engine wrote a log entry.
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("event {index}: {message}")]
 pub struct Violation {
-    /// Index of the event in the history.
+    /// Index of the event in the history; the number of events if the violation is an event that is missing.
     pub index: usize,
     /// How the rule was violated.
     pub message: String,
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,4 +1,4 @@
-//! Histories of concurrent runs, and checkers that find the first violation in them.
+//! Histories of test runs with concurrent processes, and checkers that find the first violation in them.
 //!
 //! A [`History`] holds events in the order in which one recorder received them. A checker under [`checks`] is a
 //! pure function that returns the first [`Violation`] in a history.
