--- a/cmd/src/forward.rs
+++ b/cmd/src/forward.rs
@@ -23,7 +23,7 @@
     options.optopt(
         "s",
         "settings",
-        "settings file; DALESTAND_SETTINGS names it otherwise",
+        "settings file (default: the path in DALESTAND_SETTINGS)",
         "FILE",
     );
     options.optflag("h", "help", "show this help");
@@ -39,7 +39,7 @@
         .opt_str("settings")
         .or_else(|| std::env::var(SETTINGS_VARIABLE).ok());
     let Some(path) = path else {
-        return usage_error("no settings file is named");
+        return usage_error("no settings file given; use --settings or set DALESTAND_SETTINGS");
     };
     match read_settings(&path) {
         Ok(settings) => actix_rt::System::new().block_on(run_node(settings, path)),
@@ -93,7 +93,7 @@
         store_format: Rc::new(PlatformStoreFormat),
         store: Rc::new(store),
         duty_calls,
-        logger: logger(LogOutput::JsonOutput),
+        logger: logger(LogOutput::JsonStdout),
     };
     match dalestand_forwarding::run(node).await {
         Ok(()) => Exit::Success,
