--- a/crates/forwarding/src/duties/scaling/mod.rs
+++ b/crates/forwarding/src/duties/scaling/mod.rs
@@ -141,8 +141,8 @@
 /// without prompts.
 fn warm_up_time(context: &Context, pool: &PoolName) -> Duration {
     let table = context.table();
-    let terms = table.as_ref().and_then(|table| table.pool(pool));
-    let prompts = terms.and_then(|terms| terms.prompt_engine);
+    let pool_config = table.as_ref().and_then(|table| table.pool(pool));
+    let prompts = pool_config.and_then(|pool_config| pool_config.prompt_engine);
     let tokens = prompts.map_or(0.0, |engine| engine.memory_tokens as f64);
     // Falls back to zero if the product is not a valid duration.
     Duration::try_from_secs_f64(tokens * prefill_token_s(context)).unwrap_or_default()
@@ -154,16 +154,16 @@
     speeds.usual_s(Stage::Prefill, 1.0) - speeds.usual_s(Stage::Prefill, 0.0)
 }
 
-fn boot_time(terms: &ScalingConfig) -> Duration {
+fn boot_time(config: &ScalingConfig) -> Duration {
     // Falls back to zero if the setting is not a valid duration.
-    Duration::try_from_secs_f64(terms.boot_s).unwrap_or_default()
+    Duration::try_from_secs_f64(config.boot_s).unwrap_or_default()
 }
 
-fn bounds(terms: &ScalingConfig) -> ScalingBounds {
+fn bounds(config: &ScalingConfig) -> ScalingBounds {
     ScalingBounds {
-        min: terms.min,
-        max: terms.max,
-        spot_price: terms.spot_price,
+        min: config.min,
+        max: config.max,
+        spot_price: config.spot_price,
     }
 }
 
@@ -172,7 +172,7 @@
         Ok(DutyOutcome::Accepted) => OrderOutcome::Accepted,
         Ok(DutyOutcome::Refused) => OrderOutcome::Refused,
         Err(error) if error.current_context().is_in_doubt() => OrderOutcome::InDoubt,
-        Err(_) => OrderOutcome::NotSent,
+        Err(_) => OrderOutcome::NoEffect,
     }
 }
 
@@ -188,32 +188,32 @@
             self.pools.clear();
             return;
         }
-        for (pool, terms) in scaled_pools(&self.context) {
-            self.observe_demand(&pool, &terms);
+        for (pool, config) in scaled_pools(&self.context) {
+            self.observe_demand(&pool, &config);
             if may_order {
-                self.scale_pool(&pool, &terms).await;
+                self.scale_pool(&pool, &config).await;
             }
         }
     }
 
     /// Records the current demand, unless this node is isolated and knows only its own.
-    fn observe_demand(&mut self, pool: &PoolName, terms: &ScalingConfig) {
+    fn observe_demand(&mut self, pool: &PoolName, config: &ScalingConfig) {
         let now = self.context.now();
-        let known = self.pools.entry(pool.clone()).or_default();
+        let state = self.pools.entry(pool.clone()).or_default();
         if self.context.dissemination.is_isolated(now) {
             return;
         }
         if let Some(workload) = pool_workload(&self.context, pool) {
-            known.autoscaler.observe(now, workload, boot_time(terms));
+            state.autoscaler.observe(now, workload, boot_time(config));
         }
     }
 
-    async fn scale_pool(&mut self, pool: &PoolName, terms: &ScalingConfig) {
+    async fn scale_pool(&mut self, pool: &PoolName, config: &ScalingConfig) {
         let serving = self.context.zone_engines(pool);
         if self
             .pools
             .get(pool)
-            .is_none_or(|known| known.holder.is_none())
+            .is_none_or(|state| state.holder.is_none())
         {
             let Some(holder) = self.take_over(pool, &serving).await else {
                 return;
@@ -221,7 +221,7 @@
             self.pools.entry(pool.clone()).or_default().holder = Some(holder);
         }
         self.observe_losses(pool, &serving);
-        self.send_due_orders(pool, terms, &serving).await;
+        self.send_due_orders(pool, config, &serving).await;
         // Last, so that a slow key-value service does not delay the replacement orders.
         self.store_losses(pool).await;
     }
@@ -230,10 +230,10 @@
     async fn send_due_orders(
         &mut self,
         pool: &PoolName,
-        terms: &ScalingConfig,
+        config: &ScalingConfig,
         serving: &BTreeMap<ZoneName, ZoneEngines>,
     ) {
-        let Some(decision) = self.decide(pool, terms, serving) else {
+        let Some(decision) = self.decide(pool, config, serving) else {
             return;
         };
         let orders = self.due_orders(pool, &decision);
@@ -249,7 +249,7 @@
             }
             self.allowance -= f64::from(count.abs_diff(order.from));
             let order = DueOrder { count, ..order };
-            if !self.send_order(pool, order, terms, &decision).await {
+            if !self.send_order(pool, order, config, &decision).await {
                 return;
             }
         }
@@ -268,8 +268,8 @@
             match StoredLosses::read(&*self.store, pool).await {
                 Ok((stored, record)) => {
                     stored_losses = Some(stored);
-                    let known = self.pools.entry(pool.clone()).or_default();
-                    known.autoscaler.losses = SpotLossTracker::from_record(record);
+                    let state = self.pools.entry(pool.clone()).or_default();
+                    state.autoscaler.losses = SpotLossTracker::from_record(record);
                 }
                 Err(error) => {
                     log_store_failure(logger, pool, "read losses", error.current_context())
@@ -287,10 +287,10 @@
     fn observe_losses(&mut self, pool: &PoolName, serving: &BTreeMap<ZoneName, ZoneEngines>) {
         let now = self.context.now();
         let leaving = self.context.leaving_spot_engines(pool);
-        let Some(known) = self.pools.get_mut(pool) else {
+        let Some(state) = self.pools.get_mut(pool) else {
             return;
         };
-        let Some(holder) = &mut known.holder else {
+        let Some(holder) = &mut state.holder else {
             return;
         };
         let zones = serving.keys().chain(leaving.keys());
@@ -302,10 +302,10 @@
             };
             (zone.clone(), spot)
         });
-        if !known.autoscaler.losses.observe(now, &zones.collect()) {
+        if !state.autoscaler.losses.observe(now, &zones.collect()) {
             return;
         }
-        let record = *known.autoscaler.losses.record();
+        let record = *state.autoscaler.losses.record();
         let logger = &self.context.logger;
         log_event!(logger, Event::SpotEnginesLost, "pool" => %pool, "losses" => record.losses,
             "zones_at_once" => record.zones_at_once, "leaving" => ?leaving);
@@ -314,10 +314,10 @@
 
     /// Stores new losses. After a failed write, they are stored with the next loss.
     async fn store_losses(&mut self, pool: &PoolName) {
-        let Some(known) = self.pools.get_mut(pool) else {
+        let Some(state) = self.pools.get_mut(pool) else {
             return;
         };
-        let Some(holder) = &mut known.holder else {
+        let Some(holder) = &mut state.holder else {
             return;
         };
         if !std::mem::take(&mut holder.has_unstored_loss) {
@@ -325,7 +325,7 @@
         }
         if let Some(stored) = &mut holder.stored_losses
             && let Err(error) = stored
-                .write(&*self.store, known.autoscaler.losses.record())
+                .write(&*self.store, state.autoscaler.losses.record())
                 .await
         {
             let logger = &self.context.logger;
@@ -336,11 +336,11 @@
     fn decide(
         &self,
         pool: &PoolName,
-        terms: &ScalingConfig,
+        config: &ScalingConfig,
         serving: &BTreeMap<ZoneName, ZoneEngines>,
     ) -> Option<ScalingDecision> {
-        let known = self.pools.get(pool)?;
-        let holder = known.holder.as_ref()?;
+        let state = self.pools.get(pool)?;
+        let holder = state.holder.as_ref()?;
         let now = self.context.now();
         let inputs = ScalingInputs {
             now,
@@ -350,20 +350,20 @@
             provisioned_on_demand: &holder
                 .orders
                 .provisioned_on_demand(&holder.baseline, serving),
-            bounds: bounds(terms),
-            prices: &terms.zone_prices,
+            bounds: bounds(config),
+            prices: &config.zone_prices,
             policy: self.context.settings.scaling_policy(),
-            boot: boot_time(terms),
+            boot: boot_time(config),
             warm_up: warm_up_time(&self.context, pool),
         };
         Some(match self.context.settings.scaling_mode() {
-            ScalingMode::Demand => known.autoscaler.decide(&inputs),
+            ScalingMode::Demand => state.autoscaler.decide(&inputs),
             ScalingMode::Fixed => Autoscaler::default().decide(&inputs),
         })
     }
 
     fn due_orders(&self, pool: &PoolName, decision: &ScalingDecision) -> Vec<DueOrder> {
-        let holder = self.pools.get(pool).and_then(|known| known.holder.as_ref());
+        let holder = self.pools.get(pool).and_then(|state| state.holder.as_ref());
         let (Some(holder), Some(targets)) = (holder, &decision.targets) else {
             return Vec::new();
         };
@@ -376,7 +376,7 @@
         &mut self,
         pool: &PoolName,
         order: DueOrder,
-        terms: &ScalingConfig,
+        config: &ScalingConfig,
         decision: &ScalingDecision,
     ) -> bool {
         // The lease may have ended during the previous call.
@@ -403,12 +403,12 @@
         metrics.duty_call("scaling", outcome_label(&answered));
         self.log_order(&call, held.token, &answered, decision);
         let now = self.context.now();
-        let known = self.pools.get_mut(pool);
-        if let Some(holder) = known.and_then(|known| known.holder.as_mut()) {
+        let state = self.pools.get_mut(pool);
+        if let Some(holder) = state.and_then(|state| state.holder.as_mut()) {
             let outcome = order_outcome(&answered);
             holder
                 .orders
-                .record_outcome(now, order.key, order.count, outcome, boot_time(terms));
+                .record_outcome(now, order.key, order.count, outcome, boot_time(config));
         }
         true
     }
--- a/crates/forwarding/src/duties/scaling/orders.rs
+++ b/crates/forwarding/src/duties/scaling/orders.rs
@@ -28,13 +28,13 @@
     Accepted,
     /// The platform refused it.
     Refused,
-    /// It certainly had no effect.
-    NotSent,
+    /// It had no effect: the platform was unreachable or did not process the call.
+    NoEffect,
     /// Unknown: it may have been accepted, or may be executed later.
     InDoubt,
 }
 
-/// What an order sets the engine count of: one zone and tenure.
+/// The engines whose count an order sets: those of one zone and provisioning model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(in crate::duties) struct OrderKey {
     pub(in crate::duties) zone: ZoneName,
@@ -51,7 +51,7 @@
     pub(in crate::duties) from: u32,
 }
 
-/// The last order sent for one zone and tenure.
+/// The last order sent for one zone and provisioning model.
 #[derive(Clone, Copy, Debug)]
 struct LastOrder {
     count: u32,
@@ -162,8 +162,9 @@
     }
 }
 
-/// Whether to send an order for `count` engines while `serving` do work. An accepted order is sent again if
-/// its engines did not start in time or more engines serve than ordered; another one after a delay.
+/// Whether to send an order for `count` engines while `serving` engines serve. An accepted order is sent
+/// again if its engines did not start in time or more engines serve than ordered, and an order that was not
+/// accepted is sent again after a delay.
 fn is_due(now: MonotonicTime, last: Option<&LastOrder>, count: u32, serving: u32) -> bool {
     let Some(last) = last else {
         return count != serving;
--- a/crates/forwarding/src/duties/tests.rs
+++ b/crates/forwarding/src/duties/tests.rs
@@ -260,7 +260,7 @@
                 OrderOutcome::Accepted
             }
             PlatformOutcome::Refused => OrderOutcome::Refused,
-            PlatformOutcome::Unreachable => OrderOutcome::NotSent,
+            PlatformOutcome::Unreachable => OrderOutcome::NoEffect,
             PlatformOutcome::AnswerLost => {
                 self.execute(order);
                 OrderOutcome::InDoubt
