--- a/crates/forwarding/src/roles/fleet_lease.rs
+++ b/crates/forwarding/src/roles/fleet_lease.rs
@@ -16,7 +16,7 @@
 
 use dalestand_types::MonotonicTime;
 
-/// The lease as its holder has it.
+/// A fleet lease that this node holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeldLease {
     /// The fencing token.
--- a/crates/forwarding/src/roles/role_control.rs
+++ b/crates/forwarding/src/roles/role_control.rs
@@ -210,7 +210,7 @@
     engine: &StagedEngine,
     change: StageChange,
 ) -> bool {
-    let Some(sequence) = read_sequence(context, pool, engine).await else {
+    let Some(sequence) = read_accepted_orders(context, pool, engine).await else {
         log_event!(context.logger, Event::EngineUnresponsive, "engine" => &*engine.run);
         return false;
     };
@@ -255,7 +255,8 @@
     true
 }
 
-async fn read_sequence(
+/// Number of orders that the engine has accepted, from its report; `None` if the report cannot be read.
+async fn read_accepted_orders(
     context: &Rc<Context>,
     pool: &PoolName,
     engine: &StagedEngine,
