--- a/crates/forwarding/src/context.rs
+++ b/crates/forwarding/src/context.rs
@@ -207,7 +207,8 @@
         self.fleet.borrow()
     }
 
-    /// The engine entry under `key`, not accepting if the engine said in an answer that it drains.
+    /// The engine entry under `key`. It does not accept work if the engine announced in an answer that it
+    /// drains.
     pub(crate) fn entry(&self, key: &str) -> Option<EngineEntry> {
         let mut entry = self.entries.borrow().get(key).cloned()?;
         entry.accepting &= !self.is_draining(EngineKey::of(&entry.run));
@@ -341,7 +342,7 @@
     }
 
     /// Makes all nodes avoid an engine that was ordered to change its role, until its entry shows the change
-    /// but for `at_most` this time.
+    /// or `at_most` has passed.
     pub(crate) fn begin_role_change(&self, engine: EngineKey, at_most: Duration) {
         let until = self.now() + at_most;
         self.router
@@ -394,8 +395,8 @@
     /// Maximum number of connections of this node to one engine of the pool.
     pub(crate) fn max_connections(&self, pool: &PoolName) -> usize {
         let table = self.table.borrow();
-        let terms = table.as_ref().and_then(|table| table.pool(pool).cloned());
-        let all = terms.map_or(MIN_CONNECTIONS, |terms| terms.max_connections as usize);
+        let config = table.as_ref().and_then(|table| table.pool(pool).cloned());
+        let all = config.map_or(MIN_CONNECTIONS, |config| config.max_connections as usize);
         let nodes = self.nodes.borrow_mut().get(self.now()).unwrap_or(1);
         (all / nodes).max(MIN_CONNECTIONS)
     }
@@ -404,7 +405,7 @@
 /// Creates the retry budget of a starting node.
 fn retry_budget(settings: &ForwardingSettings) -> SharedRetryBudget {
     let mut budget = SharedRetryBudget::new(settings.retry_limits());
-    if settings.retries.former_life {
+    if settings.retries.is_restart {
         budget.record_restart(MonotonicTime::ZERO);
     }
     budget
--- a/crates/forwarding/src/node/metrics/engine_signals.rs
+++ b/crates/forwarding/src/node/metrics/engine_signals.rs
@@ -16,7 +16,7 @@
     /// Engines with a rate limit.
     pub(super) limited: usize,
     /// Engines for which this node issues permits.
-    pub(super) issued_for: usize,
+    pub(super) issuing_for: usize,
 }
 
 pub(super) struct SignalMetrics {
@@ -27,7 +27,7 @@
     pub(super) limits_unreadable: IntCounter,
     calls_limited: IntCounter,
     pub(super) permits: IntCounterVec,
-    issued_for: IntGauge,
+    issuing_for: IntGauge,
     unknown_headers: IntCounterVec,
 }
 
@@ -64,7 +64,7 @@
                 "Leave to send requests to engines with a limit, by what came of it.",
                 &["outcome"],
             )?,
-            issued_for: registry.gauge(
+            issuing_for: registry.gauge(
                 "engine_permits_issued_for",
                 "Engines for which nodes lately asked this one for leave.",
             )?,
@@ -96,7 +96,7 @@
         self.engines_draining.set(counts.draining as i64);
         self.engines_backing_off.set(counts.backing_off as i64);
         self.engines_limited.set(counts.limited as i64);
-        self.issued_for.set(counts.issued_for as i64);
+        self.issuing_for.set(counts.issuing_for as i64);
     }
 
     /// Raises the counter of unknown headers from `sender` to `seen`, the total since the start.
--- a/crates/forwarding/src/node/metrics/mod.rs
+++ b/crates/forwarding/src/node/metrics/mod.rs
@@ -47,12 +47,12 @@
     usage_counted: IntGauge,
     authority_token: IntGauge,
     duty_calls: IntCounterVec,
-    repeats_left: IntGaugeVec,
+    retries_left: IntGaugeVec,
     in_flight: IntGauge,
     held_bytes: IntGauge,
     engines: IntGauge,
     nodes: IntGauge,
-    configuration: IntGauge,
+    declaration_revision: IntGauge,
     choice_seconds: Histogram,
     load_age_seconds: Histogram,
     news_dropped: IntCounter,
@@ -142,7 +142,7 @@
                 "load_age_ms",
                 "Mean age of the work that other nodes reported, in milliseconds.",
             )?,
-            repeats_left: metrics.gauges(
+            retries_left: metrics.gauges(
                 "repeated_sends_left",
                 "Repeated sends that this node may make now, by pool.",
                 &["pool"],
@@ -154,7 +154,7 @@
             )?,
             engines: metrics.gauge("engines_accepting", "Engines that take new work.")?,
             nodes: metrics.gauge("nodes_known", "Nodes, this one among them.")?,
-            configuration: metrics.gauge("declaration_revision", "Revision in force; 0 for none.")?,
+            declaration_revision: metrics.gauge("declaration_revision", "Revision in force; 0 for none.")?,
             choice_seconds: metrics.histogram(
                 "choice_seconds",
                 "Time of one choice of engines for a prompt.",
--- a/crates/forwarding/src/node/metrics/page.rs
+++ b/crates/forwarding/src/node/metrics/page.rs
@@ -35,7 +35,7 @@
         self.parts.set(context.router.borrow().parts.len() as i64);
         self.nodes.set(context.node_count() as i64);
         let revision = context.table().map_or(0, |table| table.revision().0);
-        self.configuration.set(revision as i64);
+        self.declaration_revision.set(revision as i64);
         let now = context.now();
         let role = context.dissemination.role(now);
         self.is_relay.set(i64::from(role.is_relay));
@@ -52,7 +52,7 @@
             self.signals.count_unknown_headers(sender, seen);
         }
         self.requests_stopped.set(stopped_count(context) as i64);
-        self.set_repeats_left(context);
+        self.set_retries_left(context);
         self.scaling.set(&context.scaling_decisions.borrow());
         self.set_tenants_over_share(context);
         self.admission.set(context.admissions.summaries());
@@ -63,13 +63,13 @@
     }
 
     /// Sets the gauge for pools of the current declaration only, so the number of labels is bounded.
-    fn set_repeats_left(&self, context: &Context) {
-        self.repeats_left.reset();
+    fn set_retries_left(&self, context: &Context) {
+        self.retries_left.reset();
         let now = context.now();
         let table = context.table();
         for pool in table.iter().flat_map(|table| table.pools()) {
             let left = context.budget.borrow_mut().available(now, &pool.name);
-            let gauge = self.repeats_left.with_label_values(&[pool.name.as_str()]);
+            let gauge = self.retries_left.with_label_values(&[pool.name.as_str()]);
             gauge.set(left.floor() as i64);
         }
     }
@@ -89,7 +89,7 @@
         draining: context.fleet().draining().len(),
         backing_off: router.signals.backing_off_count(context.now()),
         limited: router.signals.limits().iter().count(),
-        issued_for: context.permits.issuing_engine_count(),
+        issuing_for: context.permits.issuing_engine_count(),
     }
 }
 
--- a/crates/forwarding/src/node/settings.rs
+++ b/crates/forwarding/src/node/settings.rs
@@ -169,8 +169,8 @@
     /// Window over which requests and retries are counted, in seconds.
     pub window_s: f64,
     /// Whether the node may have sent retries before this start.
-    #[serde(default)]
-    pub former_life: bool,
+    #[serde(default, rename = "former_life")]
+    pub is_restart: bool,
 }
 
 /// Graceful shutdown.
--- a/crates/forwarding/src/node/start.rs
+++ b/crates/forwarding/src/node/start.rs
@@ -120,8 +120,7 @@
     if let Some(calls) = node.duty_calls {
         start_duties(&context, &store, &calls, &fleet_lease);
     }
-    let sweeping = Rc::clone(&context);
-    actix_rt::spawn(sweep(sweeping));
+    actix_rt::spawn(sweep(Rc::clone(&context)));
     actix_rt::spawn(reload(Rc::clone(&context), node.read_settings, hangup));
     start_ready(&context, ready_listener);
     let connections = start_callers(&context, callers);
@@ -184,6 +183,7 @@
     connections
 }
 
+/// Starts the tasks that follow the key-value service, hold the fleet lease and control engine roles.
 fn start_followers(context: &Rc<Context>, store: &Rc<dyn KeyValue>) -> FleetLease {
     let recovery = RecoverySignal::default();
     let start = |prefix: &str| FollowTask {
@@ -217,9 +217,8 @@
         nodes,
         context.dissemination.subscribe_reads_store(),
     ));
-    let holding = Rc::clone(context);
     actix_rt::spawn(acquire_and_renew(
-        holding,
+        Rc::clone(context),
         Rc::clone(store),
         fleet_lease.clone(),
     ));
