--- a/crates/forwarding/src/fleet_sums.rs
+++ b/crates/forwarding/src/fleet_sums.rs
@@ -55,7 +55,7 @@
         self.slowness.borrow_mut().refresh(now);
     }
 
-    /// The same for pools and tenants only.
+    /// Removes expired rows of pools and tenants and updates their totals.
     pub(crate) fn refresh_demand(&self, now: MonotonicTime) {
         self.classes.borrow_mut().refresh(now);
         self.tenants.borrow_mut().refresh(now);
--- a/crates/forwarding/tests/admission.rs
+++ b/crates/forwarding/tests/admission.rs
@@ -111,8 +111,8 @@
     let third = first.start_beside("node-3").await;
     let nodes = [&first, &second, &third];
     let engines: Vec<TestEngine> = (0..3).map(|_| TestEngine::start(bounded)).collect();
-    for (place, engine) in engines.iter().enumerate() {
-        first.list(&format!("e{place}"), engine, "ready decode");
+    for (index, engine) in engines.iter().enumerate() {
+        first.write_entry(&format!("e{index}"), engine, "ready decode");
     }
     // Nodes need a moment to find each other by their entries.
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
@@ -123,11 +123,11 @@
             calls_before = calls(&engines);
             refused_before = REFUSED.load(Ordering::Relaxed);
         }
-        for (place, node) in nodes.iter().enumerate() {
+        for (index, node) in nodes.iter().enumerate() {
             for number in 0..AT_ONCE {
                 let path = if number == 0 { "/urgent/x" } else { "/rest/x" };
                 let headers = format!(
-                    "x-id: {round}-{place}-{number}\r\nhost: a.example\r\nx-deadline-ms: 3000\r\nx-prompt: 100\r\n"
+                    "x-id: {round}-{index}-{number}\r\nhost: a.example\r\nx-deadline-ms: 3000\r\nx-prompt: 100\r\n"
                 );
                 let callers = node.callers;
                 let answer =
--- a/crates/forwarding/tests/call_budget.rs
+++ b/crates/forwarding/tests/call_budget.rs
@@ -14,7 +14,7 @@
 use rstest::rstest;
 use support::{TestEngine, TestNode, answer, get, id_of};
 
-fn sound(head: &str, stream: &mut TcpStream) {
+fn succeeding(head: &str, stream: &mut TcpStream) {
     let headers = format!("x-id: {}\r\n", id_of(head));
     answer(stream, "200 OK", &headers, "whole");
 }
@@ -58,25 +58,25 @@
     let refuses = [true, true, true, true, true, true, false];
     let engines: Vec<TestEngine> = refuses
         .iter()
-        .map(|refuses| TestEngine::start(if *refuses { refusing } else { sound }))
+        .map(|refuses| TestEngine::start(if *refuses { refusing } else { succeeding }))
         .collect();
-    for (place, engine) in engines.iter().enumerate() {
-        let role = if place < 3 { "prefill" } else { "decode" };
-        first.list(&format!("e{place}"), engine, &format!("ready {role}"));
+    for (index, engine) in engines.iter().enumerate() {
+        let role = if index < 3 { "prefill" } else { "decode" };
+        first.write_entry(&format!("e{index}"), engine, &format!("ready {role}"));
     }
     let mut nodes = vec![first];
-    for place in 1..count {
+    for index in 1..count {
         nodes.push(
             nodes[0]
-                .start_beside_with_slack(&format!("node-{}", place + 1), SLACK)
+                .start_beside_with_slack(&format!("node-{}", index + 1), SLACK)
                 .await,
         );
     }
     // Nodes need a moment to find each other by their entries, and then share the budget.
     actix_rt::time::sleep(Duration::from_millis(1_500)).await;
-    for place in 0..REQUESTS {
-        let node = &nodes[place % nodes.len()];
-        let headers = format!("x-id: {place}\r\nhost: a.example\r\nx-prompt: 20000\r\n");
+    for index in 0..REQUESTS {
+        let node = &nodes[index % nodes.len()];
+        let headers = format!("x-id: {index}\r\nhost: a.example\r\nx-prompt: 20000\r\n");
         get(node.callers, &headers, "/r/x").await;
         // After this time, engines that refused may be called again.
         actix_rt::time::sleep(Duration::from_millis(25)).await;
--- a/crates/forwarding/tests/crashing_requests.rs
+++ b/crates/forwarding/tests/crashing_requests.rs
@@ -28,13 +28,13 @@
 const STOPPED_PREFIX: &str = "dalestand/quarantine/stopped/";
 
 /// Path of the request that crashes engines.
-const CRASHING_PATH: &str = "/r/deadly";
+const CRASHING_PATH: &str = "/r/crashing";
 
 /// Path of a request that takes a while.
 const SLOW_PATH: &str = "/r/slow";
 
 /// Starts the answer to the crashing request and never ends it; answers all others.
-fn crashing_or_sound(head: &str, stream: &mut TcpStream) {
+fn crashing_or_succeeding(head: &str, stream: &mut TcpStream) {
     let id = id_of(head);
     if head.contains(SLOW_PATH) {
         thread::sleep(Duration::from_millis(60));
@@ -52,10 +52,10 @@
 /// Starts engines that crash shortly after they start to run the crashing request.
 fn engines(node: &TestNode, count: usize) -> Vec<TestEngine> {
     let engines: Vec<TestEngine> = (0..count)
-        .map(|_| TestEngine::start(crashing_or_sound))
+        .map(|_| TestEngine::start(crashing_or_succeeding))
         .collect();
-    for (place, engine) in engines.iter().enumerate() {
-        node.list(&format!("e{place}"), engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        node.write_entry(&format!("e{index}"), engine, "ready");
     }
     engines
 }
@@ -84,7 +84,7 @@
     let arrivals = async {
         for arrival in 0..ARRIVALS {
             let node = nodes[arrival % nodes.len()];
-            node.request(&format!("deadly-{arrival}"), CRASHING_PATH)
+            node.request(&format!("crashing-{arrival}"), CRASHING_PATH)
                 .await;
             node.settle().await;
         }
@@ -101,8 +101,8 @@
 
 #[rstest]
 #[case::resumed_at_other_engines("resumable-stream", 3)]
-#[case::relayed_as_it_comes("stream", 1)]
-#[case::gathered("once", 1)]
+#[case::streamed("stream", 1)]
+#[case::buffered("once", 1)]
 #[case::repeated("repeatable", 2)]
 #[actix_rt::test]
 async fn a_crashing_request_is_stopped_however_often_it_is_sent(
@@ -151,7 +151,7 @@
 /// A node learns of stopped requests from the other nodes if the key-value service has no entries
 /// for them.
 #[actix_rt::test]
-async fn nodes_repeat_what_is_stopped_to_those_that_start_later() {
+async fn nodes_send_stopped_requests_to_nodes_that_start_later() {
     let first = TestNode::start().await;
     first.store.refuse_writes(STOPPED_PREFIX);
     first.declare(1, "once", 1, 1_000);
@@ -176,7 +176,7 @@
     let engines = engines(&node, ARRIVALS);
     node.settle().await;
     for arrival in 0..ARRIVALS {
-        let id = format!("deadly-{arrival}");
+        let id = format!("crashing-{arrival}");
         let crashing = async {
             tokio::select! {
                 _ = node.request(&id, CRASHING_PATH) => {}
@@ -234,16 +234,16 @@
     assert_eq!(crashed_count(&engines), STOP_AFTER_CRASHES + 1);
 }
 
-/// Guards against refusing a frequent request for good because it was present at engines that
+/// Guards against refusing a frequent request permanently because it was present at engines that
 /// another request crashed.
 #[actix_rt::test]
 async fn a_wrongly_stopped_request_is_released_by_a_trial() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     for round in 0..STOP_AFTER_CRASHES {
-        let engine = TestEngine::start(crashing_or_sound);
+        let engine = TestEngine::start(crashing_or_succeeding);
         let name = format!("both-{round}");
-        node.list(&name, &engine, "ready");
+        node.write_entry(&name, &engine, "ready");
         node.settle().await;
         let crash = async {
             while engine.heads().len() < 2 {
@@ -251,7 +251,7 @@
             }
             engine.crash();
         };
-        let (slow_id, crashing_id) = (format!("slow-{round}"), format!("deadly-{round}"));
+        let (slow_id, crashing_id) = (format!("slow-{round}"), format!("crashing-{round}"));
         let crashing = node.request(&crashing_id, CRASHING_PATH);
         let slow = node.request(&slow_id, SLOW_PATH);
         let ((), _, slow) = tokio::join!(crash, crashing, slow);
--- a/crates/forwarding/tests/engine_limits.rs
+++ b/crates/forwarding/tests/engine_limits.rs
@@ -25,7 +25,7 @@
 /// bound.
 const FACTOR: f64 = 1.5;
 
-/// See [`FACTOR`].
+/// Requests that an engine may get in a window beyond [`FACTOR`] times its limit.
 const BURST: f64 = 5.0;
 
 /// Share of the limit that has to be used if there are enough requests.
@@ -46,7 +46,7 @@
 /// Time between rounds of requests.
 const PAUSE: Duration = Duration::from_millis(100);
 
-fn sound(head: &str, stream: &mut TcpStream) {
+fn succeeding(head: &str, stream: &mut TcpStream) {
     let headers = format!("x-id: {}\r\n", id_of(head));
     answer(stream, "200 OK", &headers, "whole");
 }
@@ -54,7 +54,7 @@
 /// Answers after a delay, so that an engine that answers at once looks better.
 fn slow(head: &str, stream: &mut TcpStream) {
     thread::sleep(Duration::from_millis(80));
-    sound(head, stream);
+    succeeding(head, stream);
 }
 
 /// Answers, and announces its limit.
@@ -95,9 +95,9 @@
     let mut round = 0;
     while begun.elapsed() < WINDOW {
         round += 1;
-        let at_once = (0..AT_ONCE * nodes.len()).map(|place| {
-            let node = nodes[place % nodes.len()];
-            let headers = format!("x-id: {round}-{place}\r\nhost: a.example\r\n{headers}");
+        let at_once = (0..AT_ONCE * nodes.len()).map(|index| {
+            let node = nodes[index % nodes.len()];
+            let headers = format!("x-id: {round}-{index}\r\nhost: a.example\r\n{headers}");
             async move { support::get(node.callers, &headers, "/r/x").await }
         });
         answers.extend(futures_util::future::join_all(at_once).await);
@@ -110,19 +110,19 @@
     FACTOR * LIMIT * WINDOW.as_secs_f64() + BURST
 }
 
-/// Lists engines and sends each one request, so that the node learns their limits. The entries are
-/// deleted in between, which must not end a limit.
+/// Writes the entry of each engine and sends it one request, so that the node learns its limit. The
+/// entries are deleted in between, which must not end a limit.
 async fn learn_limits(node: &TestNode, engines: &[TestEngine]) {
-    for (place, engine) in engines.iter().enumerate() {
-        let name = format!("e{place}");
-        node.list(&name, engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        let name = format!("e{index}");
+        node.write_entry(&name, engine, "ready");
         node.settle().await;
         node.request(&name, "/r/x").await;
         node.store.write(&format!("engines/{name}"), None);
         node.settle().await;
     }
-    for (place, engine) in engines.iter().enumerate() {
-        node.list(&format!("e{place}"), engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        node.write_entry(&format!("e{index}"), engine, "ready");
     }
     node.settle().await;
 }
@@ -147,16 +147,16 @@
     #[values("repeatable", "once", "resumable-stream")] kind: &str,
 ) {
     let [first, second, third] = fleet(kind).await;
-    let (in_need, other) = (TestEngine::start(script), TestEngine::start(slow));
-    first.list("in-need", &in_need, "ready");
+    let (limited_engine, other) = (TestEngine::start(script), TestEngine::start(slow));
+    first.write_entry("limited", &limited_engine, "ready");
     first.settle().await;
     first.request("first", "/r/x").await;
-    first.list("other", &other, "ready");
+    first.write_entry("other", &other, "ready");
     actix_rt::time::sleep(PROPAGATION_TIME).await;
     // The relays that issue permits have to know each other, which `fleet` waits for.
-    let before = requests(&in_need);
+    let before = requests(&limited_engine);
     let answers = send_for_a_window(&[&first, &second, &third], "").await;
-    let arrived = requests(&in_need) - before;
+    let arrived = requests(&limited_engine) - before;
     assert!(arrived as f64 <= allowed(), "{arrived} requests");
     let used = USED_SHARE * LIMIT * WINDOW.as_secs_f64();
     assert!(arrived as f64 >= used, "{arrived} requests only");
@@ -170,24 +170,24 @@
     if SEEN.fetch_add(1, Ordering::Relaxed) <= LIMIT_ENDS {
         limited(head, stream);
     } else {
-        sound(head, stream);
+        succeeding(head, stream);
     }
 }
 
 /// An answer without a limit ends the limit at all nodes, whichever node receives it.
 #[actix_rt::test]
-async fn a_limit_ends_at_all_nodes_with_the_first_answer_that_names_none() {
+async fn a_limit_ends_at_all_nodes_with_the_first_answer_without_one() {
     let [first, second, third] = fleet("once").await;
-    let in_need = TestEngine::start(limited_for_a_time);
-    first.list("in-need", &in_need, "ready");
+    let limited_engine = TestEngine::start(limited_for_a_time);
+    first.write_entry("limited", &limited_engine, "ready");
     first.settle().await;
     first.request("first", "/r/x").await;
     actix_rt::time::sleep(PROPAGATION_TIME).await;
     send_for_a_window(&[&first, &second, &third], "").await;
     actix_rt::time::sleep(PROPAGATION_TIME).await;
     for node in [&first, &second, &third] {
-        for place in 0..AT_ONCE {
-            let answer = node.request(&format!("after-{place}"), "/r/x").await;
+        for index in 0..AT_ONCE {
+            let answer = node.request(&format!("after-{index}"), "/r/x").await;
             assert_eq!(status(&answer), "200", "{answer}");
         }
     }
@@ -199,15 +199,15 @@
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     let engine = TestEngine::start(unreadable);
-    node.list("engine", &engine, "ready");
+    node.write_entry("engine", &engine, "ready");
     node.settle().await;
-    for place in 0..AT_ONCE {
-        let answer = node.request(&place.to_string(), "/r/x").await;
+    for index in 0..AT_ONCE {
+        let answer = node.request(&index.to_string(), "/r/x").await;
         assert_eq!(status(&answer), "200", "{answer}");
     }
-    let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
+    let metrics = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
     let counted = format!("dalestand_engine_limits_unreadable_total {AT_ONCE}");
-    assert!(figures.lines().any(|line| line == counted), "{figures}");
+    assert!(metrics.lines().any(|line| line == counted), "{metrics}");
 }
 
 #[actix_rt::test]
@@ -215,18 +215,18 @@
     let node = TestNode::start().await;
     node.declare_prompts(1, "resumable-stream", 3, 3_000);
     let prefill = TestEngine::start(limited);
-    let (in_need, other) = (TestEngine::start(limited), TestEngine::start(slow));
-    node.list("prefill", &prefill, "ready prefill");
-    node.list("in-need", &in_need, "ready decode");
+    let (limited_engine, other) = (TestEngine::start(limited), TestEngine::start(slow));
+    node.write_entry("prefill", &prefill, "ready prefill");
+    node.write_entry("limited", &limited_engine, "ready decode");
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     let long = "x-prompt: 20000\r\n";
     let headers = format!("x-id: first\r\nhost: a.example\r\n{long}");
     support::get(node.callers, &headers, "/r/x").await;
-    node.list("other", &other, "ready decode");
+    node.write_entry("other", &other, "ready decode");
     node.settle().await;
-    let before = [&prefill, &in_need].map(requests);
+    let before = [&prefill, &limited_engine].map(requests);
     send_for_a_window(&[&node], long).await;
-    for (engine, before) in [&prefill, &in_need].into_iter().zip(before) {
+    for (engine, before) in [&prefill, &limited_engine].into_iter().zip(before) {
         let arrived = requests(engine) - before;
         assert!(arrived as f64 <= allowed(), "{arrived} requests");
     }
@@ -235,14 +235,14 @@
 /// Rate-limited engines look idle; those without a permit left must not use up the calls allowed
 /// for a request.
 #[actix_rt::test]
-async fn a_request_goes_past_many_limited_engines_to_one_that_takes_all() {
+async fn a_request_skips_limited_engines_without_a_permit() {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 3, 1_000);
     let limited: Vec<TestEngine> = (0..12).map(|_| TestEngine::start(limited)).collect();
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     let other = TestEngine::start(slow);
     learn_limits(&node, &limited).await;
-    node.list("other", &other, "ready");
+    node.write_entry("other", &other, "ready");
     node.settle().await;
     let answers = send_for_a_window(&[&node], "").await;
     let unserved = answers.iter().find(|answer| status(answer) != "200");
@@ -250,7 +250,7 @@
 }
 
 #[actix_rt::test]
-async fn where_all_engines_are_limited_callers_are_told_when_to_come_back() {
+async fn callers_get_a_retry_after_if_all_engines_are_limited() {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 3, 1_000);
     let engines: Vec<TestEngine> = (0..3).map(|_| TestEngine::start(limited)).collect();
@@ -269,6 +269,9 @@
     );
     let refused = answers.iter().filter(|answer| status(answer) == "503");
     assert!(refused.clone().count() > 0);
-    let told = |answer: &&String| answer.contains("retry-after: ");
-    assert!(refused.clone().all(|answer| told(&answer)), "{answers:?}");
+    let has_retry_after = |answer: &&String| answer.contains("retry-after: ");
+    assert!(
+        refused.clone().all(|answer| has_retry_after(&answer)),
+        "{answers:?}"
+    );
 }
--- a/crates/forwarding/tests/engine_restarts.rs
+++ b/crates/forwarding/tests/engine_restarts.rs
@@ -51,19 +51,19 @@
 #[case::draining(draining)]
 #[case::backing_off(backing_off)]
 #[actix_rt::test]
-async fn announcements_of_a_previous_start_are_void(#[case] script: support::Script) {
+async fn signals_of_a_previous_start_are_ignored(#[case] script: support::Script) {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     let previous = TestEngine::start(script);
-    node.list("e", &previous, "ready born 1000");
+    node.write_entry("e", &previous, "ready started 1000");
     node.settle().await;
     node.request("1", "/r/x").await;
-    node.list("e", &previous, "ready born 1000");
+    node.write_entry("e", &previous, "ready started 1000");
     node.settle().await;
     assert_eq!(status(&node.request("2", "/r/x").await), "503");
     assert_eq!(previous.heads().len(), 1);
     let later = TestEngine::start(succeeding);
-    node.list("e", &later, "ready born 2000");
+    node.write_entry("e", &later, "ready started 2000");
     node.settle().await;
     assert_eq!(status(&node.request("3", "/r/x").await), "200");
 }
@@ -73,11 +73,11 @@
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     let engine = TestEngine::start(succeeding);
-    node.list("e", &engine, "ready born 1000");
+    node.write_entry("e", &engine, "ready started 1000");
     node.settle().await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
     // A new process listens at the same address; connections to the previous one stay open.
-    node.list("e", &engine, "ready born 2000");
+    node.write_entry("e", &engine, "ready started 2000");
     node.settle().await;
     assert_eq!(status(&node.request("2", "/r/x").await), "200");
     assert_eq!(engine.accepted(), 2, "one connection per start");
@@ -90,7 +90,7 @@
     let mut ended = 0;
     for start in 1..=6 {
         let engine = TestEngine::start(never_finishing);
-        node.list("e", &engine, &format!("ready born {start}000"));
+        node.write_entry("e", &engine, &format!("ready started {start}000"));
         node.settle().await;
         let id = format!("crashing-{start}");
         let request = node.request(&id, CRASHING_PATH);
@@ -119,14 +119,14 @@
 #[case::empty("")]
 #[case::no_state("127.0.0.1:1")]
 #[case::invalid_address("somewhere ready")]
-#[case::invalid_time("127.0.0.1:1 ready born soon")]
+#[case::invalid_time("127.0.0.1:1 ready started soon")]
 #[actix_rt::test]
 async fn an_unreadable_entry_does_not_affect_other_engines(#[case] entry: &str) {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 2, 1_000);
     let engine = TestEngine::start(succeeding);
     node.store.write("engines/odd", Some(entry));
-    node.list("e", &engine, "ready");
+    node.write_entry("e", &engine, "ready");
     node.settle().await;
     for round in 0..3 {
         node.store.write("engines/odd", Some(entry));
@@ -136,8 +136,8 @@
             "200"
         );
     }
-    let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
-    let line = figures
+    let metrics = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
+    let line = metrics
         .lines()
         .find_map(|line| line.strip_prefix("dalestand_engine_entries_unreadable_total "));
     let counted: u64 = line.and_then(|value| value.parse().ok()).unwrap_or(0);
--- a/crates/forwarding/tests/engine_signals.rs
+++ b/crates/forwarding/tests/engine_signals.rs
@@ -1,4 +1,4 @@
-//! Engines that announce in their answers that they drain or want no calls for a time.
+//! Engines that announce in their answers that they drain or ask for a backoff.
 //!
 //! Guards against sending requests to such engines because their entries still say ready, or
 //! because they look idle.
@@ -90,8 +90,8 @@
 async fn send_series(node: &TestNode, name: &str, time: Duration) -> Vec<String> {
     let mut answers = Vec::new();
     for round in 0..SERIES {
-        let at_once = (0..AT_ONCE).map(|place| async move {
-            let id = format!("{name}-{round}-{place}");
+        let at_once = (0..AT_ONCE).map(|index| async move {
+            let id = format!("{name}-{round}-{index}");
             node.request(&id, "/r/x").await
         });
         answers.extend(futures_util::future::join_all(at_once).await);
@@ -105,18 +105,18 @@
 #[case::with_a_refusal(refusing_and_draining)]
 #[case::with_a_failure(failing_and_draining)]
 #[actix_rt::test]
-async fn an_engine_that_says_it_drains_gets_no_further_request(
+async fn an_engine_that_announces_draining_gets_no_further_request(
     #[case] script: support::Script,
     #[values("repeatable", "once", "stream", "resumable-stream")] kind: &str,
 ) {
     let node = TestNode::start().await;
     node.declare(1, kind, 3, 1_000);
     let (leaving, staying) = (TestEngine::start(script), TestEngine::start(slow));
-    node.list("leaving", &leaving, "ready");
+    node.write_entry("leaving", &leaving, "ready");
     node.settle().await;
     node.request("first", "/r/x").await;
     assert_eq!(leaving.heads().len(), 1);
-    node.list("staying", &staying, "ready");
+    node.write_entry("staying", &staying, "ready");
     node.settle().await;
     let answers = send_series(&node, "later", Duration::from_millis(300)).await;
     assert_eq!(leaving.heads().len(), 1, "its entry still says ready");
@@ -127,28 +127,28 @@
 }
 
 #[actix_rt::test]
-async fn no_entry_of_the_same_run_takes_back_that_it_drains() {
+async fn an_entry_of_the_same_run_does_not_end_draining() {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 3, 1_000);
     let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(succeeding));
-    node.list("leaving", &leaving, "ready");
-    node.list("staying", &staying, "ready");
+    node.write_entry("leaving", &leaving, "ready");
+    node.write_entry("staying", &staying, "ready");
     node.settle().await;
     while leaving.heads().is_empty() {
         node.request("first", "/r/x").await;
     }
     // The entry is rewritten, deleted and written again, as by an engine or writer with older
     // state.
-    node.list("leaving", &leaving, "ready");
+    node.write_entry("leaving", &leaving, "ready");
     node.settle().await;
     node.store.write("engines/leaving", None);
     node.settle().await;
-    node.list("leaving", &leaving, "ready");
+    node.write_entry("leaving", &leaving, "ready");
     node.settle().await;
     send_series(&node, "later", Duration::from_millis(200)).await;
     assert_eq!(leaving.heads().len(), 1);
     // A new run at the same address is another engine.
-    node.list("leaving-again", &leaving, "ready");
+    node.write_entry("leaving-again", &leaving, "ready");
     node.store.write("engines/staying", None);
     node.settle().await;
     node.request("last", "/r/x").await;
@@ -156,12 +156,12 @@
 }
 
 #[actix_rt::test]
-async fn all_nodes_hear_that_an_engine_drains() {
+async fn all_nodes_learn_that_an_engine_drains() {
     let first = TestNode::start().await;
     first.declare(1, "repeatable", 3, 1_000);
     let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(succeeding));
-    first.list("leaving", &leaving, "ready");
-    first.list("staying", &staying, "ready");
+    first.write_entry("leaving", &leaving, "ready");
+    first.write_entry("staying", &staying, "ready");
     let second = first.start_beside("node-2").await;
     // Nodes need a moment to find each other by their entries.
     actix_rt::time::sleep(Duration::from_millis(1_500)).await;
@@ -184,18 +184,18 @@
 ) {
     let node = TestNode::start().await;
     node.declare(1, kind, 3, 2_000);
-    let (resting, working) = (TestEngine::start(script), TestEngine::start(slow));
-    node.list("resting", &resting, "ready");
+    let (in_backoff, working) = (TestEngine::start(script), TestEngine::start(slow));
+    node.write_entry("in-backoff", &in_backoff, "ready");
     node.settle().await;
     node.request("first", "/r/x").await;
-    assert_eq!(resting.heads().len(), 1);
-    node.list("working", &working, "ready");
+    assert_eq!(in_backoff.heads().len(), 1);
+    node.write_entry("working", &working, "ready");
     node.settle().await;
     let answers = send_series(&node, "later", BACKOFF.mul_f64(0.8)).await;
     assert!(
-        resting.heads().len() <= 1 + CROSSING,
+        in_backoff.heads().len() <= 1 + CROSSING,
         "{} calls",
-        resting.heads().len()
+        in_backoff.heads().len()
     );
     assert!(
         answers.iter().all(|answer| status(answer) == "200"),
@@ -207,26 +207,26 @@
 async fn an_entry_that_lapses_does_not_end_a_backoff() {
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 2_000);
-    let resting = TestEngine::start(backing_off);
-    node.list("resting", &resting, "ready");
+    let in_backoff = TestEngine::start(backing_off);
+    node.write_entry("in-backoff", &in_backoff, "ready");
     node.settle().await;
     node.request("first", "/r/x").await;
-    node.store.write("engines/resting", None);
+    node.store.write("engines/in-backoff", None);
     node.settle().await;
-    node.list("resting", &resting, "ready");
+    node.write_entry("in-backoff", &in_backoff, "ready");
     node.settle().await;
     let again = node.request("again", "/r/x").await;
     assert_eq!(status(&again), "503", "{again}");
-    assert_eq!(resting.heads().len(), 1);
+    assert_eq!(in_backoff.heads().len(), 1);
 }
 
 #[actix_rt::test]
-async fn where_all_engines_back_off_the_caller_is_told_until_when_and_none_is_asked() {
+async fn while_all_engines_back_off_none_is_called_and_callers_get_a_retry_after() {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 3, 1_000);
     let engines: Vec<TestEngine> = (0..4).map(|_| TestEngine::start(backing_off)).collect();
-    for (place, engine) in engines.iter().enumerate() {
-        node.list(&format!("e{place}"), engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        node.write_entry(&format!("e{index}"), engine, "ready");
     }
     node.settle().await;
     let calls = || {
@@ -235,35 +235,35 @@
             .map(|engine| engine.heads().len())
             .sum::<usize>()
     };
-    for place in 0..engines.len() {
-        node.request(&format!("first-{place}"), "/r/x").await;
+    for index in 0..engines.len() {
+        node.request(&format!("first-{index}"), "/r/x").await;
     }
     assert_eq!(calls(), engines.len(), "each engine has refused once");
     let answers = send_series(&node, "later", Duration::from_millis(300)).await;
     assert_eq!(calls(), engines.len());
     for answer in &answers {
         assert_eq!(status(answer), "503", "{answer}");
-        let told = retry_after_s(answer);
+        let retry_after_s = retry_after_s(answer);
         assert!(
-            (0.5..=BACKOFF.as_secs_f64() + 0.5).contains(&told),
-            "{told}"
+            (0.5..=BACKOFF.as_secs_f64() + 0.5).contains(&retry_after_s),
+            "{retry_after_s}"
         );
     }
 }
 
 #[actix_rt::test]
-async fn a_caller_does_not_wait_for_a_backoff_where_another_engine_wants_calls() {
+async fn retry_after_ignores_a_backoff_if_another_engine_accepts_calls() {
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 3, 1_000);
-    let (resting, full) = (TestEngine::start(backing_off), TestEngine::start(refusing));
-    node.list("resting", &resting, "ready");
-    node.list("full", &full, "ready");
+    let (in_backoff, full) = (TestEngine::start(backing_off), TestEngine::start(refusing));
+    node.write_entry("in-backoff", &in_backoff, "ready");
+    node.write_entry("full", &full, "ready");
     node.settle().await;
-    for place in 0..4 {
-        let answer = node.request(&place.to_string(), "/r/x").await;
+    for index in 0..4 {
+        let answer = node.request(&index.to_string(), "/r/x").await;
         assert_eq!(status(&answer), "503", "{answer}");
-        let told = retry_after_s(&answer);
-        assert!(told <= 0.5, "{told}");
+        let retry_after_s = retry_after_s(&answer);
+        assert!(retry_after_s <= 0.5, "{retry_after_s}");
     }
 }
 
@@ -273,8 +273,8 @@
     node.declare_prompts(1, "resumable-stream", 3, 3_000);
     let prefill = TestEngine::start(slow);
     let (leaving, staying) = (TestEngine::start(draining), TestEngine::start(succeeding));
-    node.list("prefill", &prefill, "ready prefill");
-    node.list("leaving", &leaving, "ready decode");
+    node.write_entry("prefill", &prefill, "ready prefill");
+    node.write_entry("leaving", &leaving, "ready decode");
     node.settle().await;
     let long = async {
         let headers = "x-id: long\r\nhost: a.example\r\nx-prompt: 20000\r\n";
@@ -283,12 +283,12 @@
     let short = async {
         actix_rt::time::sleep(Duration::from_millis(30)).await;
         node.request("short", "/r/x").await;
-        node.list("staying", &staying, "ready decode");
+        node.write_entry("staying", &staying, "ready decode");
     };
     let (answered, ()) = tokio::join!(long, short);
     let heads = prefill.heads();
-    let read_apart = heads.iter().any(|head| head.contains("x-prefill"));
-    assert!(read_apart, "{heads:?}");
+    let is_prefilled_separately = heads.iter().any(|head| head.contains("x-prefill"));
+    assert!(is_prefilled_separately, "{heads:?}");
     assert_eq!(status(&answered), "200", "{answered}");
     let at_leaving = requests(&leaving);
     assert_eq!(at_leaving.len(), 1, "{at_leaving:?}");
@@ -299,8 +299,8 @@
     let node = TestNode::start().await;
     node.declare_prompts(1, "resumable-stream", 3, 3_000);
     let (prefill, decode) = (TestEngine::start(draining), TestEngine::start(succeeding));
-    node.list("prefill", &prefill, "ready prefill");
-    node.list("decode", &decode, "ready decode");
+    node.write_entry("prefill", &prefill, "ready prefill");
+    node.write_entry("decode", &decode, "ready decode");
     node.settle().await;
     let headers = "x-id: long\r\nhost: a.example\r\nx-prompt: 20000\r\n";
     let answered = support::get(node.callers, headers, "/r/x").await;
@@ -325,7 +325,7 @@
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 3_000);
     let leaving = TestEngine::start(draining_and_busy);
-    node.list("leaving", &leaving, "ready");
+    node.write_entry("leaving", &leaving, "ready");
     node.settle().await;
     let slow = node.request("slow", "/r/slow");
     let ends = async {
@@ -337,9 +337,9 @@
     };
     let (broken, ()) = tokio::join!(slow, ends);
     assert_eq!(status(&broken), "502", "{broken}");
-    let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
+    let metrics = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
     let attributed = "dalestand_engine_crashes_attributed_total 0";
-    assert!(figures.lines().any(|line| line == attributed), "{figures}");
+    assert!(metrics.lines().any(|line| line == attributed), "{metrics}");
 }
 
 #[actix_rt::test]
@@ -347,18 +347,18 @@
     let node = TestNode::start().await;
     // A repeatable request would be retried elsewhere before the delayed answer.
     node.declare(1, "once", 1, 2_000);
-    let resting = TestEngine::start(backing_off_late);
-    node.list("resting", &resting, "ready");
+    let in_backoff = TestEngine::start(backing_off_late);
+    node.write_entry("in-backoff", &in_backoff, "ready");
     node.settle().await;
     node.request("first", "/r/x").await;
     actix_rt::time::sleep(BACKOFF.mul_f64(1.4)).await;
-    let crowd = (0..SERIES).map(|place| {
+    let burst = (0..SERIES).map(|index| {
         let node = &node;
-        async move { node.request(&format!("crowd-{place}"), "/r/x").await }
+        async move { node.request(&format!("burst-{index}"), "/r/x").await }
     });
-    let answers = futures_util::future::join_all(crowd).await;
+    let answers = futures_util::future::join_all(burst).await;
     assert_eq!(
-        resting.heads().len(),
+        in_backoff.heads().len(),
         2,
         "one call probes whether it is over"
     );
--- a/crates/forwarding/tests/figures/mod.rs
+++ b/crates/forwarding/tests/metrics/mod.rs
@@ -10,7 +10,7 @@
     let node = TestNode::start().await;
     let engine = TestEngine::start(succeeding);
     node.declare(1, "repeatable", 2, 1_000);
-    node.list("e", &engine, "ready");
+    node.write_entry("e", &engine, "ready");
     node.wait_for_engines(1).await;
     let served = node.request("1", "/r/x").await;
     assert!(served.starts_with("HTTP/1.1 200"), "{served}");
--- a/crates/forwarding/tests/not_run.rs
+++ b/crates/forwarding/tests/not_run.rs
@@ -39,7 +39,7 @@
     with_status(head, stream, "500 Internal Server Error");
 }
 
-fn out_of_time(head: &str, stream: &mut TcpStream) {
+fn gateway_timeout(head: &str, stream: &mut TcpStream) {
     with_status(head, stream, "504 Gateway Timeout");
 }
 
@@ -48,8 +48,8 @@
     with_status(head, stream, "503 Service Unavailable");
 }
 
-/// The same with a body too long to be buffered.
-fn unavailable_at_length(head: &str, stream: &mut TcpStream) {
+/// Answers like [`unavailable`], with a body too long to be buffered.
+fn unavailable_with_a_long_body(head: &str, stream: &mut TcpStream) {
     let headers = format!("x-id: {}\r\n", id_of(head));
     let body = "x".repeat(2 << 20);
     answer(stream, "503 Service Unavailable", &headers, &body);
@@ -59,7 +59,7 @@
     with_status(head, stream, "429 Too Many Requests");
 }
 
-fn timed_out(head: &str, stream: &mut TcpStream) {
+fn request_timeout(head: &str, stream: &mut TcpStream) {
     with_status(head, stream, "408 Request Timeout");
 }
 
@@ -81,8 +81,8 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-fn no_answer(_head: &str, stream: &mut TcpStream) {
-    let _ = stream.write_all(b"these bytes are no answer\r\n\r\n");
+fn not_http(_head: &str, stream: &mut TcpStream) {
+    let _ = stream.write_all(b"these bytes are not HTTP\r\n\r\n");
 }
 
 fn foreign(_head: &str, stream: &mut TcpStream) {
@@ -117,20 +117,20 @@
     answer(stream, "200 OK", &headers, "body");
 }
 
-/// One engine ends the call in the given way, while another would take the request.
+/// A request is sent to an engine that handles it by `script`.
 #[rstest]
 #[case::whole(whole, false)]
 #[case::failed(failed, false)]
-#[case::out_of_time(out_of_time, false)]
+#[case::gateway_timeout(gateway_timeout, false)]
 #[case::unavailable_without_a_report(unavailable, false)]
-#[case::unavailable_without_a_report_at_length(unavailable_at_length, false)]
+#[case::unavailable_without_a_report_with_a_long_body(unavailable_with_a_long_body, false)]
 #[case::too_many_without_a_report(too_many, false)]
-#[case::timed_out_without_a_report(timed_out, false)]
+#[case::request_timeout_without_a_report(request_timeout, false)]
 #[case::refused(refusing, true)]
 #[case::closed(closing, false)]
 #[case::silent(silent, false)]
 #[case::half_a_head(half_a_head, false)]
-#[case::no_answer(no_answer, false)]
+#[case::not_http(not_http, false)]
 #[case::another_requests_answer(foreign, false)]
 #[case::another_requests_refusal(foreign_refusal, false)]
 #[case::half_a_body(half_a_body, false)]
@@ -145,15 +145,15 @@
     let node = TestNode::start().await;
     node.declare(1, kind, 3, LIMIT_MS);
     let ending = TestEngine::start(script);
-    node.list("ending", &ending, "ready");
+    node.write_entry("ending", &ending, "ready");
     node.settle().await;
-    let told = node.request("request", "/r/x").await;
-    let status = told.split(' ').nth(1).unwrap_or("none");
+    let answered = node.request("request", "/r/x").await;
+    let status = answered.split(' ').nth(1).unwrap_or("none");
     assert_eq!(ending.heads().len(), 1, "it reached the engine");
     assert_eq!(
         NOT_RUN_STATUSES.contains(&status),
         is_not_run_reported,
-        "{told}"
+        "{answered}"
     );
 }
 
@@ -171,8 +171,8 @@
     let node = TestNode::start().await;
     node.declare(1, "once", 3, LIMIT_MS);
     let engines = [TestEngine::start(script), TestEngine::start(script)];
-    for (place, engine) in engines.iter().enumerate() {
-        node.list(&format!("e{place}"), engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        node.write_entry(&format!("e{index}"), engine, "ready");
     }
     node.settle().await;
     node.request("request", "/r/x").await;
--- a/crates/forwarding/tests/prompts.rs
+++ b/crates/forwarding/tests/prompts.rs
@@ -23,7 +23,7 @@
     let node = TestNode::start_with_link(LINK_MBPS).await;
     node.declare_prompts(1, "stream", 1, 3_000);
     let engine = TestEngine::start(succeeding);
-    node.list("e0", &engine, "ready decode");
+    node.write_entry("e0", &engine, "ready decode");
     node.settle().await;
     let head = |id: u32| format!("x-id: {id}\r\nhost: a.example\r\nx-prompt: 100\r\n");
     let first = get(node.callers, &head(1), "/r/x").await;
@@ -56,7 +56,7 @@
     let node = TestNode::start().await;
     node.declare_prompts(1, "stream", 1, 3_000);
     let engine = TestEngine::start(slow);
-    node.list("e0", &engine, "ready decode");
+    node.write_entry("e0", &engine, "ready decode");
     node.settle().await;
     let head = |id: u32| format!("x-id: {id}\r\nhost: a.example\r\nx-prompt: 15000\r\n");
     let callers = node.callers;
@@ -87,7 +87,7 @@
             return;
         }
     }
-    panic!("the full engine was never asked first");
+    panic!("the full engine was never called first");
 }
 
 /// Sends a prompt to a node with two equal decode engines, one of them full, and checks that it is
@@ -97,10 +97,10 @@
     node.declare_prompts(1, "stream", 1, 1_000);
     let scripts: [Script; 4] = [succeeding, succeeding, refusing, succeeding];
     let engines = scripts.map(TestEngine::start);
-    node.list("prefill-a", &engines[0], "ready prefill");
-    node.list("prefill-b", &engines[1], "ready prefill");
-    node.list("decode-a", &engines[2], "ready decode");
-    node.list("decode-b", &engines[3], "ready decode");
+    node.write_entry("prefill-a", &engines[0], "ready prefill");
+    node.write_entry("prefill-b", &engines[1], "ready prefill");
+    node.write_entry("decode-a", &engines[2], "ready decode");
+    node.write_entry("decode-b", &engines[3], "ready decode");
     node.settle().await;
     let headers = "x-id: 1\r\nhost: a.example\r\nx-prompt: 60000\r\n";
     let answer = get(node.callers, headers, "/r/x").await;
@@ -111,7 +111,7 @@
     let refused = engines[2].heads();
     let refused = refused.iter().filter(|head| head.starts_with("GET /r/x"));
     let refused = refused.count();
-    assert!(refused <= 1, "the full engine was asked {refused} times");
+    assert!(refused <= 1, "the full engine was called {refused} times");
     refused == 1
 }
 
@@ -126,8 +126,8 @@
         "prefill", "prefill", "prefill", "decode", "decode", "decode",
     ];
     let engines = roles.map(|_| TestEngine::start(prefilling_but_not_running));
-    for (place, (engine, role)) in engines.iter().zip(roles).enumerate() {
-        node.list(&format!("e{place}"), engine, &format!("ready {role}"));
+    for (index, (engine, role)) in engines.iter().zip(roles).enumerate() {
+        node.write_entry(&format!("e{index}"), engine, &format!("ready {role}"));
     }
     node.settle().await;
     for request in 0..12 {
--- a/crates/forwarding/tests/room.rs
+++ b/crates/forwarding/tests/room.rs
@@ -24,7 +24,7 @@
 #[actix_rt::test]
 async fn a_node_without_data_reports_nothing() {
     let node = TestNode::start().await;
-    let report = node.room().await;
+    let report = node.capacity_report().await;
     assert_eq!(report.declaration, None);
     assert_eq!(report.nodes_known, 1);
     assert_eq!(report.sources, ReportSources::default());
@@ -39,7 +39,7 @@
     node.settle().await;
     let refused = node.request("1", "/r/x").await;
     assert!(refused.starts_with("HTTP/1.1 503"), "{refused}");
-    let report = node.room().await;
+    let report = node.capacity_report().await;
     let pool = &report.pools[0];
     assert_eq!((pool.engine_count(), pool.slots()), (0, 0));
     let figures = &pool.classes[0].figures;
@@ -52,11 +52,11 @@
     let node = TestNode::start().await;
     let engine = TestEngine::start(succeeding);
     node.declare_tenant(1, &["key-1"]);
-    node.list("e", &engine, "ready");
+    node.write_entry("e", &engine, "ready");
     node.wait_for_engines(1).await;
     let served = node.request_with_key("1", "key-1").await;
     assert!(served.starts_with("HTTP/1.1 200"), "{served}");
-    let report = node.room().await;
+    let report = node.capacity_report().await;
     let pool = &report.pools[0];
     let group = EngineGroup {
         zone: ZoneName::from("here"),
@@ -93,7 +93,7 @@
     let first = TestNode::start().await;
     let engine = TestEngine::start(succeeding);
     first.declare(1, "repeatable", 2, 1_000);
-    first.list("e", &engine, "ready");
+    first.write_entry("e", &engine, "ready");
     let mut nodes = Vec::new();
     for number in 2..=5 {
         let node = first.start_beside(&format!("node-{number}")).await;
@@ -104,7 +104,7 @@
     let all_known = holds_within(start, async || {
         let mut known = true;
         for node in &nodes {
-            known &= node.room().await.nodes_known == nodes.len();
+            known &= node.capacity_report().await.nodes_known == nodes.len();
         }
         known
     });
@@ -129,10 +129,10 @@
     for node in &nodes {
         let knows = holds_within(Duration::from_secs(1), async || {
             // The rate decays by half in 1.4 s.
-            first_attempts_per_s(&node.room().await) > 0.5 * BURST_PER_S
+            first_attempts_per_s(&node.capacity_report().await) > 0.5 * BURST_PER_S
         });
-        assert!(knows.await, "{:?}", node.room().await);
-        let asked = first_attempts_per_s(&node.room().await);
+        assert!(knows.await, "{:?}", node.capacity_report().await);
+        let asked = first_attempts_per_s(&node.capacity_report().await);
         assert!(asked <= 1.01 * BURST_PER_S, "counted twice: {asked}");
     }
 }
@@ -156,10 +156,10 @@
 async fn nodes_agree_within_three_seconds_after_losing_a_relay() {
     let (mut nodes, _engine) = five_nodes().await;
     let mut relay = None;
-    for (place, node) in nodes.iter().enumerate() {
+    for (index, node) in nodes.iter().enumerate() {
         let text = get(node.metrics, "host: a.example\r\n", "/metrics").await;
         let is_relay = text.lines().any(|line| line == "dalestand_is_relay 1");
-        relay = relay.or(is_relay.then_some(place));
+        relay = relay.or(is_relay.then_some(index));
     }
     let lost = nodes.swap_remove(relay.expect("a relay"));
     nodes.iter().for_each(send_steadily);
@@ -168,7 +168,7 @@
     let agree = async || {
         let mut agree = true;
         for node in &nodes {
-            agree &= near(first_attempts_per_s(&node.room().await));
+            agree &= near(first_attempts_per_s(&node.capacity_report().await));
         }
         agree
     };
@@ -177,8 +177,11 @@
     lost.crash();
     actix_rt::time::sleep(Duration::from_secs(3)).await;
     for node in &nodes {
-        let report = node.room().await;
+        let report = node.capacity_report().await;
         let asked = first_attempts_per_s(&report);
-        assert!(near(asked), "{asked} where {expected} are; {report:?}");
+        assert!(
+            near(asked),
+            "{asked} per second, expected {expected}; {report:?}"
+        );
     }
 }
--- a/crates/forwarding/tests/serving.rs
+++ b/crates/forwarding/tests/serving.rs
@@ -1,6 +1,6 @@
 //! Behaviour towards callers and engines when engines fail.
 
-mod figures;
+mod metrics;
 #[allow(
     dead_code,
     unused_imports,
@@ -29,7 +29,7 @@
     thread::sleep(Duration::from_secs(3));
 }
 
-fn cut(head: &str, stream: &mut TcpStream) {
+fn truncating(head: &str, stream: &mut TcpStream) {
     let text = format!(
         "HTTP/1.1 200 OK\r\nx-id: {}\r\ncontent-length: 9\r\n\r\nwh",
         id_of(head)
@@ -83,15 +83,15 @@
         .iter()
         .map(|script| TestEngine::start(*script))
         .collect();
-    for (place, engine) in engines.iter().enumerate() {
-        node.list(&format!("e{place}"), engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        node.write_entry(&format!("e{index}"), engine, "ready");
     }
     node.wait_for_engines(engines.len()).await;
     (node, engines)
 }
 
 #[actix_rt::test]
-async fn a_node_without_a_configuration_answers_503() {
+async fn a_node_without_a_declaration_answers_503() {
     let node = TestNode::start().await;
     let answer = node.request("1", "/r/x").await;
     assert_eq!(status(&answer), "503");
@@ -120,16 +120,16 @@
 #[rstest]
 #[case::once_after_a_refusal("once", 1, refusing, "200")]
 #[case::once_after_a_close("once", 2, closing, "502")]
-#[case::once_after_a_cut("once", 2, cut, "502")]
+#[case::once_after_a_truncation("once", 2, truncating, "502")]
 #[case::once_after_a_failure("once", 2, failing, "500")]
 #[case::once_after_another_answer("once", 2, foreign, "502")]
 #[case::repeatable_after_a_close("repeatable", 2, closing, "200")]
-#[case::repeatable_after_a_cut("repeatable", 2, cut, "200")]
+#[case::repeatable_after_a_truncation("repeatable", 2, truncating, "200")]
 #[case::repeatable_after_a_failure("repeatable", 2, failing, "200")]
 #[case::repeatable_after_another_answer("repeatable", 2, foreign, "200")]
 #[case::repeatable_without_an_attempt_left("repeatable", 1, closing, "502")]
 #[actix_rt::test]
-async fn another_engine_is_asked_only_where_that_is_allowed(
+async fn a_request_is_retried_elsewhere_only_if_that_is_allowed(
     #[case] kind: &str,
     #[case] attempts: u32,
     #[case] first: Script,
@@ -139,7 +139,7 @@
     let (node, engines) = node(kind, attempts, &[first, succeeding]).await;
     // A loaded machine may delay an engine that succeeds beyond the objective of most tests; a retry due
     // to that would be counted here by mistake.
-    node.declare_patient(2, kind, attempts, LIMIT_MS);
+    node.declare_with_long_objective(2, kind, attempts, LIMIT_MS);
     node.wait_for_declaration(2).await;
     for request in 0..20 {
         let answer = node.request(&format!("{request}"), "/r/x").await;
@@ -156,7 +156,7 @@
         assert_eq!(sent, usize::from(expected == "200"));
         return;
     }
-    panic!("the first engine was never asked");
+    panic!("the first engine was never called");
 }
 
 /// A revoked key is refused as soon as the declaration changes, and no key is sent to an engine.
@@ -197,7 +197,7 @@
     let node = TestNode::start_with_table(&table).await;
     node.declare_tenant(1, &["key-one"]);
     let engine = TestEngine::start(succeeding);
-    node.list("e0", &engine, "ready");
+    node.write_entry("e0", &engine, "ready");
     node.settle().await;
     // Each successful read of the store confirms the declaration, even without a change.
     actix_rt::time::sleep(Duration::from_millis(600)).await;
@@ -236,7 +236,7 @@
 #[case::alone("repeatable", &[late as Script])]
 #[case::stream_alone("resumable-stream", &[late as Script])]
 #[actix_rt::test]
-async fn a_request_stays_where_no_other_engine_can_take_it(
+async fn a_request_stays_at_a_slow_engine_if_no_other_can_take_it(
     #[case] kind: &str,
     #[case] scripts: &[Script],
 ) {
@@ -248,7 +248,7 @@
 #[actix_rt::test]
 async fn a_draining_or_deleted_engine_gets_no_requests() {
     let (node, engines) = node("repeatable", 2, &[succeeding, succeeding]).await;
-    node.list("e0", &engines[0], "draining");
+    node.write_entry("e0", &engines[0], "draining");
     node.settle().await;
     let before = engines[0].heads().len();
     for request in 0..10 {
@@ -286,7 +286,7 @@
     node.store.set_unavailable(false);
     actix_rt::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
-    node.list("e1", &engines[1], "ready");
+    node.write_entry("e1", &engines[1], "ready");
     actix_rt::time::sleep(Duration::from_millis(2_000)).await;
     serves_without_the_first(&node, &engines).await;
 }
@@ -303,13 +303,13 @@
     node.store.mute_watches(false);
     node.settle().await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
-    node.list("e1", &engines[1], "ready");
+    node.write_entry("e1", &engines[1], "ready");
     actix_rt::time::sleep(Duration::from_millis(1_100)).await;
     serves_without_the_first(&node, &engines).await;
 }
 
 #[actix_rt::test]
-async fn an_older_configuration_never_comes_back() {
+async fn an_older_declaration_is_never_applied() {
     let (node, _engines) = node("once", 1, &[succeeding]).await;
     node.store.write("declaration", Some("revision = 3"));
     node.settle().await;
@@ -326,7 +326,7 @@
 #[actix_rt::test]
 async fn a_stream_is_resumed_without_gaps_or_duplicates() {
     let (node, engines) = node("resumable-stream", 3, &[breaking_stream, breaking_stream]).await;
-    node.declare_patient(2, "resumable-stream", 3, LIMIT_MS);
+    node.declare_with_long_objective(2, "resumable-stream", 3, LIMIT_MS);
     node.wait_for_declaration(2).await;
     let answer = node.request("1", "/r/x").await;
     assert_eq!(status(&answer), "200");
@@ -372,7 +372,7 @@
 /// Guards against losing data that arrives together with the end of the engine's connection: the
 /// server closes a connection without writing what it has buffered.
 #[actix_rt::test]
-async fn events_that_come_together_with_the_engines_end_reach_the_caller() {
+async fn events_that_arrive_together_with_the_end_of_the_connection_are_delivered() {
     let (node, _engines) = node("stream", 1, &[ending_after_two_events]).await;
     for request in 0..20 {
         let answer = node.request(&request.to_string(), "/r/x").await;
--- a/crates/forwarding/tests/slow_readers.rs
+++ b/crates/forwarding/tests/slow_readers.rs
@@ -52,11 +52,11 @@
 
 /// Bytes of buffered answers that a node holds now.
 async fn held(node: &TestNode) -> usize {
-    let figures = get(node.metrics, "host: a.example\r\n", "/metrics").await;
-    let line = figures
+    let metrics = get(node.metrics, "host: a.example\r\n", "/metrics").await;
+    let line = metrics
         .lines()
         .find_map(|line| line.strip_prefix("dalestand_held_answer_bytes "));
-    line.and_then(|value| value.parse().ok()).expect("a figure")
+    line.and_then(|value| value.parse().ok()).expect("a number")
 }
 
 #[actix_rt::test]
@@ -64,24 +64,24 @@
     let node = TestNode::start().await;
     node.declare(1, "repeatable", 1, 20_000);
     let engines: Vec<TestEngine> = (0..8).map(|_| TestEngine::start(long_or_short)).collect();
-    for (place, engine) in engines.iter().enumerate() {
-        node.list(&format!("e{place}"), engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        node.write_entry(&format!("e{index}"), engine, "ready");
     }
     node.settle().await;
     let mut slow = Vec::new();
-    for place in 0..SLOW_CALLERS {
+    for index in 0..SLOW_CALLERS {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.set_recv_buffer_size(4_096).expect("a small buffer");
         let mut stream = socket.connect(node.callers).await.expect("a connection");
-        let head = format!("GET /r/long HTTP/1.1\r\nx-id: slow-{place}\r\nhost: a.example\r\n\r\n");
+        let head = format!("GET /r/long HTTP/1.1\r\nx-id: slow-{index}\r\nhost: a.example\r\n\r\n");
         stream.write_all(head.as_bytes()).await.expect("written");
         slow.push(stream);
     }
     let mut max_held = 0;
     let mut took = Vec::new();
-    for place in 0..ORDINARY {
+    for index in 0..ORDINARY {
         let begun = Instant::now();
-        let answered = node.request(&format!("ordinary-{place}"), "/r/x").await;
+        let answered = node.request(&format!("ordinary-{index}"), "/r/x").await;
         took.push(begun.elapsed());
         assert!(answered.starts_with("HTTP/1.1 200"), "{answered}");
         max_held = max_held.max(held(&node).await);
--- a/crates/forwarding/tests/store_era.rs
+++ b/crates/forwarding/tests/store_era.rs
@@ -43,7 +43,7 @@
     let node = TestNode::start_in_era(era).await;
     node.declare(1, "repeatable", 2, 1_000);
     let engine = TestEngine::start(succeeding);
-    node.list("first", &engine, "ready");
+    node.write_entry("first", &engine, "ready");
     node.settle().await;
     assert_eq!(status(&node.request("0", "/r/x").await), "200");
     (node, engine)
@@ -52,11 +52,11 @@
 /// Makes changes that the backup lacks.
 async fn make_changes(node: &TestNode, engine: &TestEngine) {
     for number in 0..CHANGES {
-        let name = format!("passing-{number}");
-        node.list(&name, engine, "ready");
+        let name = format!("temporary-{number}");
+        node.write_entry(&name, engine, "ready");
         node.store.write(&format!("engines/{name}"), None);
     }
-    node.list("first", engine, "ready");
+    node.write_entry("first", engine, "ready");
     node.settle().await;
 }
 
@@ -72,8 +72,8 @@
     actix_rt::time::sleep(LISTING_TIME).await;
     // Revision numbers are lower than before the restore.
     let later = TestEngine::start(succeeding);
-    node.list("later", &later, "ready");
-    node.list("first", &engine, "draining");
+    node.write_entry("later", &later, "ready");
+    node.write_entry("first", &engine, "draining");
     node.settle().await;
     for index in 0..6 {
         assert_eq!(
@@ -84,10 +84,10 @@
     assert_eq!(later.heads().len(), 6, "the draining engine gets none");
     node.declare(2, "once", 1, 1_000);
     node.settle().await;
-    let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
+    let metrics = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
     assert!(
-        figures.contains("dalestand_declaration_revision 2"),
-        "{figures}"
+        metrics.contains("dalestand_declaration_revision 2"),
+        "{metrics}"
     );
 }
 
@@ -99,10 +99,10 @@
     node.settle().await;
     node.store.restore(&backup);
     actix_rt::time::sleep(LISTING_TIME).await;
-    let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
+    let metrics = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
     assert!(
-        figures.contains("dalestand_declaration_revision 5"),
-        "{figures}"
+        metrics.contains("dalestand_declaration_revision 5"),
+        "{metrics}"
     );
 }
 
@@ -113,13 +113,13 @@
 async fn an_engine_that_left_since_the_backup_gets_no_requests(#[case] state: &str) {
     let (node, first) = start_in_era(1).await;
     let leaving = TestEngine::start(succeeding);
-    node.list("leaving", &leaving, "ready");
+    node.write_entry("leaving", &leaving, "ready");
     node.settle().await;
     let backup = node.store.backup();
     if state.is_empty() {
         node.store.write("engines/leaving", None);
     } else {
-        node.list("leaving", &leaving, state);
+        node.write_entry("leaving", &leaving, state);
     }
     make_changes(&node, &first).await;
     let before = leaving.heads().len();
@@ -136,14 +136,14 @@
 async fn a_removed_engine_that_registers_again_gets_requests() {
     let (node, first) = start_in_era(1).await;
     let returning = TestEngine::start(succeeding);
-    node.list("returning", &returning, "ready");
+    node.write_entry("returning", &returning, "ready");
     node.settle().await;
     let backup = node.store.backup();
     node.store.write("engines/returning", None);
     make_changes(&node, &first).await;
     node.store.restore(&backup);
     actix_rt::time::sleep(LISTING_TIME).await;
-    node.list("returning", &returning, "ready");
+    node.write_entry("returning", &returning, "ready");
     node.store.write("engines/first", None);
     node.settle().await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
@@ -153,11 +153,11 @@
 async fn engines_missing_from_the_backup_have_time_to_register_again() {
     let (node, first) = start_in_era(1).await;
     let backup = node.store.backup();
-    let young = TestEngine::start(succeeding);
-    node.list("young", &young, "ready");
+    let missing = TestEngine::start(succeeding);
+    node.write_entry("missing", &missing, "ready");
     make_changes(&node, &first).await;
     node.store.restore(&backup);
-    node.list("first", &first, "draining");
+    node.write_entry("first", &first, "draining");
     actix_rt::time::sleep(LISTING_TIME).await;
     assert_eq!(status(&node.request("1", "/r/x").await), "200");
     actix_rt::time::sleep(LAPSED_ENTRY_GRACE).await;
@@ -187,11 +187,11 @@
 }
 
 #[actix_rt::test]
-async fn order_tokens_rise_over_eras() {
+async fn fencing_tokens_increase_across_eras() {
     let (node, _engine) = start_in_era(1).await;
     let token = || async {
-        let figures = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
-        let line = figures.lines().find_map(|line| {
+        let metrics = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
+        let line = metrics.lines().find_map(|line| {
             let value = line.strip_prefix("dalestand_authority_token ")?;
             value.parse::<f64>().ok()
         });
--- a/crates/forwarding/tests/support/dialect.rs
+++ b/crates/forwarding/tests/support/dialect.rs
@@ -22,7 +22,7 @@
 const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
 const PROMPT: HeaderName = HeaderName::from_static("x-prompt");
 const PREFILL: HeaderName = HeaderName::from_static("x-prefill");
-const MEMORY: HeaderName = HeaderName::from_static("x-memory");
+const KV_CACHE: HeaderName = HeaderName::from_static("x-memory");
 const KEY: HeaderName = HeaderName::from_static("x-key");
 const TENANT: HeaderName = HeaderName::from_static("x-tenant");
 const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
@@ -48,20 +48,20 @@
         }
     }
 
-    fn write_request(&self, headers: &mut HeaderMap, terms: &EngineRequestOptions<'_>) {
-        if let Some(tenant) = terms.caller.tenant() {
+    fn write_request(&self, headers: &mut HeaderMap, options: &EngineRequestOptions<'_>) {
+        if let Some(tenant) = options.caller.tenant() {
             headers.remove(KEY);
             let name = HeaderValue::from_str(tenant.name.as_str());
             headers.insert(TENANT, name.expect("a name"));
         }
-        if terms.prefill_only {
+        if options.prefill_only {
             headers.insert(PREFILL, HeaderValue::from_static("1"));
         }
-        if let Some((address, _)) = terms.kv_cache {
+        if let Some((address, _)) = options.kv_cache {
             let address = HeaderValue::from_str(&address.to_string());
-            headers.insert(MEMORY, address.expect("an address"));
+            headers.insert(KV_CACHE, address.expect("an address"));
         }
-        if let Some(event) = terms.last_event {
+        if let Some(event) = options.last_event {
             headers.insert(LAST_EVENT, HeaderValue::from(event));
         }
     }
@@ -130,11 +130,11 @@
     }
 }
 
-/// Engine entries are `ADDRESS STATE` or `ADDRESS STATE ROLE`, with an optional suffix ` born TIME`;
+/// Engine entries are `ADDRESS STATE` or `ADDRESS STATE ROLE`, with an optional suffix ` started TIME`;
 /// declarations are TOML.
-pub struct PlainForm;
+pub struct PlainFormat;
 
-impl StoreFormat for PlainForm {
+impl StoreFormat for PlainFormat {
     fn configuration_key(&self) -> &'static str {
         "declaration"
     }
@@ -149,7 +149,7 @@
 
     fn read_engine(&self, key: &str, value: &str) -> Result<EngineEntry, String> {
         let (address, state) = value.split_once(' ').ok_or("no state")?;
-        let (state, started_at_ms) = match state.split_once(" born ") {
+        let (state, started_at_ms) = match state.split_once(" started ") {
             Some((state, time)) => (state, Some(time.parse().map_err(|_| "no time")?)),
             None => (state, None),
         };
--- a/crates/forwarding/tests/support/node.rs
+++ b/crates/forwarding/tests/support/node.rs
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncReadExt as _, AsyncWriteExt as _};
 use tokio::task::{JoinHandle, LocalSet};
 
-use super::dialect::{PlainDialect, PlainForm};
+use super::dialect::{PlainDialect, PlainFormat};
 use super::engine::TestEngine;
 use super::store::MemoryStore;
 
@@ -71,7 +71,7 @@
         Self::start_with_slack(50).await
     }
 
-    /// The same with a retry budget of `slack` repeated sends, however many requests there are.
+    /// Starts a node with a retry budget of `slack` retries, regardless of the number of requests.
     pub async fn start_with_slack(slack: u32) -> Self {
         Self::start_with(slack, "").await
     }
@@ -95,15 +95,15 @@
 
     /// Starts a node whose settings include another TOML table.
     pub async fn start_with_table(table: &str) -> Self {
-        Self::start_under(50, "", table).await
+        Self::start_with_settings(50, "", table).await
     }
 
     async fn start_with(slack: u32, extra: &str) -> Self {
-        Self::start_under(slack, extra, "").await
+        Self::start_with_settings(slack, extra, "").await
     }
 
     /// Starts a node; retries with other ports if its ports were taken in the meantime.
-    async fn start_under(slack: u32, extra: &str, table: &str) -> Self {
+    async fn start_with_settings(slack: u32, extra: &str, table: &str) -> Self {
         for _ in 0..START_ATTEMPTS {
             if let Some(node) = Self::try_start(slack, extra, table).await {
                 return node;
@@ -117,7 +117,8 @@
         self.start_beside_with_slack(name, 50).await
     }
 
-    /// The same with a retry budget of `slack` repeated sends for all nodes together.
+    /// Starts another node on the same key-value service, with a retry budget of `slack` retries for
+    /// all nodes together.
     pub async fn start_beside_with_slack(&self, name: &str, slack: u32) -> Self {
         for _ in 0..START_ATTEMPTS {
             let store = Rc::clone(&self.store);
@@ -149,14 +150,14 @@
              [retries]\nratio = {ratio}\nslack = {slack}\nwindow_s = 10\n[stop]\ngrace_s = 8\n\
              [roles]\nlease_ms = 3000\n{table}"
         );
-        let settings = ForwardingSettings::parse(&settings).expect("sound settings");
+        let settings = ForwardingSettings::parse(&settings).expect("valid settings");
         let known = settings.clone();
         let node = ForwardingNode {
             unknown_headers: UnknownHeaders::default(),
             settings,
             read_settings: Box::new(move || Ok(known.clone())),
             dialect: Rc::new(PlainDialect),
-            store_format: Rc::new(PlainForm),
+            store_format: Rc::new(PlainFormat),
             store: Rc::clone(&store) as Rc<dyn KeyValue>,
             duty_calls: None,
             logger: discard_logger(),
@@ -188,8 +189,8 @@
         self.running.abort();
     }
 
-    /// Its report on capacity and demand.
-    pub async fn room(&self) -> CapacityReport {
+    /// The capacity report of the node.
+    pub async fn capacity_report(&self) -> CapacityReport {
         let answer = get(self.metrics, "host: a.example\r\n", "/room").await;
         let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
         assert!(head.starts_with("HTTP/1.1 200"), "{head}");
@@ -201,13 +202,20 @@
         self.declare_pool(revision, "", kind, attempts, limit_ms);
     }
 
-    /// The same with the time limit as objective, so that slow engines cause no repeated calls.
-    pub fn declare_patient(&self, revision: u64, kind: &str, attempts: u32, limit_ms: u64) {
+    /// Declares one route whose latency objective is its time limit, so that slow engines cause no
+    /// retries.
+    pub fn declare_with_long_objective(
+        &self,
+        revision: u64,
+        kind: &str,
+        attempts: u32,
+        limit_ms: u64,
+    ) {
         let text = declaration(revision, "", kind, attempts, limit_ms, limit_ms);
         self.store.write("declaration", Some(&text));
     }
 
-    /// The same with one tenant that has these keys.
+    /// Declares one route and one tenant that has these keys.
     pub fn declare_tenant(&self, revision: u64, keys: &[&str]) {
         let keys: Vec<String> = keys.iter().map(|key| format!("\"{key}\"")).collect();
         let tenant = format!(
@@ -217,7 +225,7 @@
         self.declare_pool(revision, &tenant, "once", 1, 1_000);
     }
 
-    /// The same with several tenants, each with its name as its key, and `attempts` engines.
+    /// Declares one route and several tenants, each with its name as its key.
     pub fn declare_tenants(&self, revision: u64, tenants: &[&str], kind: &str, attempts: u32) {
         let tenants = tenants.iter();
         let tenants: String = tenants
@@ -232,7 +240,7 @@
         get(self.callers, &headers, "/r/x").await
     }
 
-    /// The same with a pool of language-model engines.
+    /// Declares one route to a pool of language-model engines.
     pub fn declare_prompts(&self, revision: u64, kind: &str, attempts: u32, limit_ms: u64) {
         let engine = "[pool.prompt_engine]\nslots = 4\nmemory_tokens = 100000\n\
                       token_bytes = 1000\nlink_mbps = 100000.0\n";
@@ -245,7 +253,7 @@
     }
 
     /// Writes the entry of an engine with a state.
-    pub fn list(&self, name: &str, engine: &TestEngine, state: &str) {
+    pub fn write_entry(&self, name: &str, engine: &TestEngine, state: &str) {
         let value = format!("{} {state}", engine.address);
         self.store.write(&format!("engines/{name}"), Some(&value));
     }
@@ -267,11 +275,11 @@
         let expected = format!("{name} {value}");
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let figures = get(self.metrics, "host: a.example\r\n", "/metrics").await;
-            if figures.lines().any(|line| line == expected) {
+            let metrics = get(self.metrics, "host: a.example\r\n", "/metrics").await;
+            if metrics.lines().any(|line| line == expected) {
                 return;
             }
-            assert!(Instant::now() < until, "{expected} in {figures}");
+            assert!(Instant::now() < until, "{expected} in {metrics}");
             actix_rt::time::sleep(Duration::from_millis(5)).await;
         }
     }
--- a/crates/forwarding/tests/suspension.rs
+++ b/crates/forwarding/tests/suspension.rs
@@ -33,7 +33,7 @@
     let node = TestNode::start_with_table(revocation).await;
     let engine = TestEngine::start(succeeding);
     node.declare_tenant(1, &["key-1"]);
-    node.list("e", &engine, "ready");
+    node.write_entry("e", &engine, "ready");
     node.settle().await;
     let before = node.request_with_key("1", "key-1").await;
     assert_eq!(status(&before), "200", "{before}");
@@ -48,7 +48,7 @@
     let node = TestNode::start().await;
     let engine = TestEngine::start(slow);
     node.declare(1, "once", 1, 10_000);
-    node.list("e", &engine, "ready");
+    node.write_entry("e", &engine, "ready");
     node.settle().await;
     let resume = async {
         actix_rt::time::sleep(Duration::from_millis(50)).await;
@@ -70,7 +70,7 @@
     let node = TestNode::start().await;
     let engine = TestEngine::start(succeeding);
     node.declare(1, "repeatable", 2, 1_000);
-    node.list("e", &engine, "ready");
+    node.write_entry("e", &engine, "ready");
     node.settle().await;
     for request in 0..3 {
         suspend(SUSPENDED);
@@ -86,16 +86,16 @@
     let other = node.start_beside("node-2").await;
     let engine = TestEngine::start(succeeding);
     node.declare(1, "repeatable", 1, 1_000);
-    node.list("e", &engine, "ready");
+    node.write_entry("e", &engine, "ready");
     let until = Instant::now() + Duration::from_secs(10);
-    while node.room().await.sources == ReportSources::default() {
+    while node.capacity_report().await.sources == ReportSources::default() {
         assert!(Instant::now() < until, "the other node reports in time");
         other.request("1", "/r/x").await;
         actix_rt::time::sleep(Duration::from_millis(20)).await;
     }
     other.crash();
     suspend(SUSPENDED);
-    let report = node.room().await;
+    let report = node.capacity_report().await;
     assert_eq!(report.sources, ReportSources::default());
     assert_eq!(report.ages.demand_ms, None);
     assert!(report.pools[0].classes.is_empty(), "{report:?}");
--- a/crates/forwarding/tests/tenant_shares.rs
+++ b/crates/forwarding/tests/tenant_shares.rs
@@ -28,7 +28,7 @@
 const WORK: Duration = Duration::from_millis(80);
 
 /// Capacity of all engines, in requests per second.
-const ROOM_PER_S: f64 = 200.0;
+const CAPACITY_PER_S: f64 = 200.0;
 
 /// Requests per second of the big tenant, far over its fair share of 140.
 const BIG_PER_S: u32 = 400;
@@ -39,11 +39,11 @@
 const SMALL: [&str; 3] = ["small-1", "small-2", "small-3"];
 
 /// Share of the requests of a tenant under its fair share that has to be served.
-const SERVED: f64 = 0.95;
+const MIN_SERVED_SHARE: f64 = 0.95;
 
 /// Fraction of the remaining capacity that the big tenant has to be served. The rest is lost while
 /// nodes find out how much there is.
-const REST_SERVED: f64 = 0.9;
+const MIN_REST_SERVED: f64 = 0.9;
 
 /// Time for which only the small tenants send requests, so that nodes learn their demand.
 const WARM_UP: Duration = Duration::from_secs(1);
@@ -55,7 +55,7 @@
 #[derive(Default)]
 struct Held {
     waiting: u32,
-    at_work: u32,
+    running: u32,
 }
 
 /// Requests at engines, by port.
@@ -67,22 +67,22 @@
 fn is_queued(port: u16) -> bool {
     let mut engines = HELD.lock().expect("no panic");
     let held = engines.entry(port).or_default();
-    let has_room = held.waiting + held.at_work < SLOTS + QUEUE;
+    let has_room = held.waiting + held.running < SLOTS + QUEUE;
     held.waiting += u32::from(has_room);
     has_room
 }
 
 fn work(port: u16) {
     let engines = HELD.lock().expect("no panic");
-    let waits = |engines: &mut HashMap<u16, Held>| engines[&port].at_work >= SLOTS;
+    let waits = |engines: &mut HashMap<u16, Held>| engines[&port].running >= SLOTS;
     let mut engines = DONE.wait_while(engines, waits).expect("no panic");
     let held = engines.entry(port).or_default();
     held.waiting -= 1;
-    held.at_work += 1;
+    held.running += 1;
     drop(engines);
     thread::sleep(WORK);
     let mut engines = HELD.lock().expect("no panic");
-    engines.entry(port).or_default().at_work -= 1;
+    engines.entry(port).or_default().running -= 1;
     DONE.notify_all();
 }
 
@@ -124,13 +124,13 @@
     let mut ticks = tokio::time::interval(Duration::from_secs(1) / per_s);
     let requests = (lasts.as_secs_f64() * f64::from(per_s)) as usize;
     let mut asked = Vec::new();
-    for place in 0..requests {
+    for index in 0..requests {
         ticks.tick().await;
-        let node = nodes[place % nodes.len()];
+        let node = nodes[index % nodes.len()];
         let outcomes = Arc::clone(&outcomes);
         asked.push(tokio::spawn(async move {
             let headers =
-                format!("x-id: {tenant}-{place}\r\nhost: a.example\r\nx-key: {tenant}\r\n");
+                format!("x-id: {tenant}-{index}\r\nhost: a.example\r\nx-key: {tenant}\r\n");
             let answer = support::get(node, &headers, "/r/x").await;
             let mut outcomes = outcomes.lock().expect("no panic");
             let outcome = outcomes.entry(tenant).or_default();
@@ -183,18 +183,18 @@
         nodes.push(first.start_beside(name).await.callers);
     }
     let engines: Vec<TestEngine> = (0..4).map(|_| TestEngine::start(bounded)).collect();
-    for (place, engine) in engines.iter().enumerate() {
-        first.list(&format!("e{place}"), engine, "ready");
+    for (index, engine) in engines.iter().enumerate() {
+        first.write_entry(&format!("e{index}"), engine, "ready");
     }
     // Nodes need a moment to find each other by their entries.
     actix_rt::time::sleep(Duration::from_millis(2_500)).await;
     let outcomes = run_load(nodes.into()).await;
     for tenant in SMALL {
         let share = outcomes[tenant].served_share();
-        assert!(share >= SERVED, "{tenant}: {share}");
+        assert!(share >= MIN_SERVED_SHARE, "{tenant}: {share}");
     }
     let of_small = f64::from(SMALL_PER_S) * SMALL.len() as f64;
-    let rest = (ROOM_PER_S - of_small) / f64::from(BIG_PER_S);
+    let rest = (CAPACITY_PER_S - of_small) / f64::from(BIG_PER_S);
     let big = outcomes["big"].served_share();
-    assert!(big >= rest * REST_SERVED, "big: {big} of {rest}");
+    assert!(big >= rest * MIN_REST_SERVED, "big: {big} of {rest}");
 }
--- a/crates/forwarding/tests/unknown_headers.rs
+++ b/crates/forwarding/tests/unknown_headers.rs
@@ -21,8 +21,8 @@
         id_of(head),
         "y".repeat(8_000)
     );
-    for place in 0..UNKNOWN_HEADERS / 2 {
-        headers.push_str(&format!("x-new-{}-{place}: secret\r\n", id_of(head)));
+    for index in 0..UNKNOWN_HEADERS / 2 {
+        headers.push_str(&format!("x-new-{}-{index}: secret\r\n", id_of(head)));
     }
     answer(stream, "200 OK", &headers, "whole");
 }
@@ -32,16 +32,16 @@
     let node = TestNode::start().await;
     node.declare(1, "once", 1, 1_000);
     let engine = TestEngine::start(answer_with_unknown_headers);
-    node.list("engine", &engine, "ready");
+    node.write_entry("engine", &engine, "ready");
     node.wait_for_engines(1).await;
-    for place in 0..2 {
-        let answered = node.request(&place.to_string(), "/r/x").await;
+    for index in 0..2 {
+        let answered = node.request(&index.to_string(), "/r/x").await;
         assert_eq!(status(&answered), "200", "{answered}");
     }
-    let figures = get(node.metrics, "host: a.example\r\n", "/metrics").await;
+    let metrics = get(node.metrics, "host: a.example\r\n", "/metrics").await;
     let counted = format!(
         "dalestand_unknown_headers_total{{sender=\"engine\"}} {}",
         UNKNOWN_HEADERS + 2
     );
-    assert!(figures.lines().any(|line| line == counted), "{figures}");
+    assert!(metrics.lines().any(|line| line == counted), "{metrics}");
 }
