--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -24,7 +24,7 @@
 pub const COMMANDS: &[Command] = &[
     Command {
         name: "load",
-        summary: "streams against a node, an engine, or both",
+        summary: "run streams against a node, an engine, or both",
         run: load::run,
     },
     Command {
--- a/crates/lab/src/load/options.rs
+++ b/crates/lab/src/load/options.rs
@@ -88,25 +88,40 @@
 
 fn flags() -> Options {
     let mut options = Options::new();
-    options.optopt("", "engine", "call this engine straight", "ADDRESS");
-    options.optopt("", "node", "call this node as callers do", "ADDRESS");
+    options.optopt("", "engine", "engine to call directly", "ADDRESS");
+    options.optopt("", "node", "node to call through its caller API", "ADDRESS");
     options.optopt("", "pid", "process id of the node", "NUMBER");
     options.optopt(
         "",
         "streams",
-        "streams at once (default 1,100,1000)",
+        "numbers of concurrent streams, one run each (default 1,100,1000)",
         "LIST",
     );
     options.optopt(
         "",
         "tokens",
-        "output tokens a request (default 100)",
+        "output tokens per request (default 100)",
+        "NUMBER",
+    );
+    options.optopt(
+        "",
+        "prompt-words",
+        "words per prompt (default 16)",
+        "NUMBER",
+    );
+    options.optopt(
+        "",
+        "seconds",
+        "duration of a run in seconds (default 10)",
+        "NUMBER",
+    );
+    options.optopt("", "model", "model to request (default m)", "NAME");
+    options.optopt(
+        "",
+        "threads",
+        "threads that run the streams (default 4)",
         "NUMBER",
     );
-    options.optopt("", "prompt-words", "words a prompt (default 16)", "NUMBER");
-    options.optopt("", "seconds", "length of a run (default 10)", "NUMBER");
-    options.optopt("", "model", "model to ask for (default m)", "NAME");
-    options.optopt("", "threads", "threads that read (default 4)", "NUMBER");
     options.optflag("", "json", "print the report as JSON");
     options.optflag("h", "help", "show this help");
     options
--- a/crates/lab/src/simulate/engine_events.rs
+++ b/crates/lab/src/simulate/engine_events.rs
@@ -17,14 +17,14 @@
 impl Simulation<'_> {
     /// Handles the arrival of an attempt at its engine.
     pub(crate) fn receive_attempt(&mut self, attempt: usize) {
-        let number = self.attempts[attempt].engine;
+        let engine_index = self.attempts[attempt].engine;
         let placement = self.attempts[attempt].placement;
         let request = self.attempts[attempt].request;
-        if self.engines[number].service == Service::Down {
+        if self.engines[engine_index].service == Service::Down {
             self.send_signal(attempt, AttemptSignal::Unreachable);
             return;
         }
-        self.attempts[attempt].incarnation = self.engines[number].incarnation;
+        self.attempts[attempt].incarnation = self.engines[engine_index].incarnation;
         let exporter = self.requests[request].prefilled;
         if placement == Placement::DecodeOnly {
             let is_cache_available = exporter.is_some_and(|(engine, incarnation)| {
@@ -45,7 +45,7 @@
             class.priority,
             self.now_us,
         );
-        if !self.engines[number].try_accept(sequence) {
+        if !self.engines[engine_index].try_accept(sequence) {
             self.send_signal(attempt, AttemptSignal::Refused);
             return;
         }
@@ -54,7 +54,7 @@
             Some(exporter) if placement == Placement::DecodeOnly => {
                 self.start_import(attempt, exporter);
             }
-            _ => self.start_step(number),
+            _ => self.start_step(engine_index),
         }
     }
 
@@ -91,12 +91,13 @@
 
     /// Handles the end of a KV cache import; ignored by engines that have crashed since.
     pub(crate) fn end_import(&mut self, attempt: usize, exporter: (usize, u64)) {
-        let number = self.attempts[attempt].engine;
-        let is_current = self.engines[number].incarnation == self.attempts[attempt].incarnation;
+        let engine_index = self.attempts[attempt].engine;
+        let is_current =
+            self.engines[engine_index].incarnation == self.attempts[attempt].incarnation;
         self.release_export(exporter);
         if is_current {
-            self.engines[number].finish_import(attempt);
-            self.start_step(number);
+            self.engines[engine_index].finish_import(attempt);
+            self.start_step(engine_index);
         }
     }
 
@@ -109,21 +110,21 @@
         }
     }
 
-    fn start_step(&mut self, number: usize) {
-        let engine = &mut self.engines[number];
+    fn start_step(&mut self, engine_index: usize) {
+        let engine = &mut self.engines[engine_index];
         if let Some(duration_us) = engine.begin_step(self.now_us) {
             let generation = engine.generation;
-            let engine = number;
+            let engine = engine_index;
             self.schedule_after(duration_us, Event::StepEnd { engine, generation });
         }
     }
 
-    pub(crate) fn end_step(&mut self, number: usize, generation: u64) {
-        if self.engines[number].generation != generation {
+    pub(crate) fn end_step(&mut self, engine_index: usize, generation: u64) {
+        if self.engines[engine_index].generation != generation {
             return;
         }
         let mut outputs = Vec::new();
-        self.engines[number].finish_step(self.now_us, &mut outputs);
+        self.engines[engine_index].finish_step(self.now_us, &mut outputs);
         for output in outputs {
             match output {
                 StepOutput::Token { gap_us } => self.metrics.between_tokens.add(gap_us),
@@ -134,13 +135,13 @@
                     self.send_signal(attempt, AttemptSignal::Finished)
                 }
                 StepOutput::Prefilled { attempt, cached } => {
-                    self.engines[number].pending_exports += 1;
+                    self.engines[engine_index].pending_exports += 1;
                     self.send_signal(attempt, AttemptSignal::Prefilled { cached });
                 }
             }
         }
-        self.start_step(number);
-        self.change_role_if_drained(number);
+        self.start_step(engine_index);
+        self.change_role_if_drained(engine_index);
     }
 
     /// Sends a signal about an attempt to its node; a network partition delays it until its end.
@@ -174,18 +175,18 @@
     }
 
     /// Handles a role order at an engine; ignored unless the engine is serving in another role.
-    pub(crate) fn order_role(&mut self, number: usize, role: Role) {
-        let engine = &mut self.engines[number];
+    pub(crate) fn order_role(&mut self, engine_index: usize, role: Role) {
+        let engine = &mut self.engines[engine_index];
         if engine.service != Service::Serving || engine.role == role {
             return;
         }
         engine.service = Service::Draining { to: role };
         self.metrics.role_changes += 1;
-        self.change_role_if_drained(number);
+        self.change_role_if_drained(engine_index);
     }
 
-    fn change_role_if_drained(&mut self, number: usize) {
-        let engine = &mut self.engines[number];
+    fn change_role_if_drained(&mut self, engine_index: usize) {
+        let engine = &mut self.engines[engine_index];
         let Service::Draining { to } = engine.service else {
             return;
         };
@@ -195,9 +196,9 @@
         engine.service = Service::ChangingRole { to };
         let generation = engine.generation;
         let duration_us = engine.settings().role_change_ms * 1_000;
-        let engine = number;
+        let engine = engine_index;
         self.schedule_after(duration_us, Event::RoleChangeEnd { engine, generation });
-        let pool = self.fleet.engines[number].pool;
+        let pool = self.fleet.engines[engine_index].pool;
         if let Some((from_us, downtime_us)) = self.crashes_in_change[pool]
             && self.now_us >= from_us
         {
@@ -212,8 +213,8 @@
         }
     }
 
-    pub(crate) fn end_role_change(&mut self, number: usize, generation: u64) {
-        let engine = &mut self.engines[number];
+    pub(crate) fn end_role_change(&mut self, engine_index: usize, generation: u64) {
+        let engine = &mut self.engines[engine_index];
         if let Service::ChangingRole { to } = engine.service
             && engine.generation == generation
         {
@@ -222,34 +223,39 @@
         }
     }
 
-    pub(crate) fn crash(&mut self, number: usize, downtime_us: u64) {
-        if self.engines[number].service == Service::Down {
+    pub(crate) fn crash(&mut self, engine_index: usize, downtime_us: u64) {
+        if self.engines[engine_index].service == Service::Down {
             return;
         }
-        let lost_attempts = self.engines[number].crash();
-        self.engines[number].incarnation += 1;
+        let lost_attempts = self.engines[engine_index].crash();
+        self.engines[engine_index].incarnation += 1;
         for attempt in lost_attempts {
             self.send_signal(attempt, AttemptSignal::ConnectionLost);
         }
-        self.schedule_after(downtime_us, Event::Restart { engine: number });
+        self.schedule_after(
+            downtime_us,
+            Event::Restart {
+                engine: engine_index,
+            },
+        );
     }
 
     /// Starts to load the weights; the weight store serves the engines of a pool one at a time.
-    pub(crate) fn restart(&mut self, number: usize) {
-        let pool = self.fleet.engines[number].pool;
+    pub(crate) fn restart(&mut self, engine_index: usize) {
+        let pool = self.fleet.engines[engine_index].pool;
         let rate = self.scenario.pools[pool].weight_store_gigabytes_per_s;
         let duration_us = self.scenario.engine.weights_gigabytes / rate * MICROS_PER_SECOND;
         let start_us = self.store_free_at_us[pool].max(self.now_us);
         let end_us = start_us + duration_us as u64;
         self.store_free_at_us[pool] = end_us;
-        let generation = self.engines[number].generation;
-        let engine = number;
+        let generation = self.engines[engine_index].generation;
+        let engine = engine_index;
         self.queue
             .schedule(end_us, Event::WeightsLoaded { engine, generation });
     }
 
-    pub(crate) fn end_restart(&mut self, number: usize, generation: u64) {
-        let engine = &mut self.engines[number];
+    pub(crate) fn end_restart(&mut self, engine_index: usize, generation: u64) {
+        let engine = &mut self.engines[engine_index];
         if engine.generation == generation {
             engine.service = Service::Serving;
         }
--- a/crates/lab/src/simulate/fleet.rs
+++ b/crates/lab/src/simulate/fleet.rs
@@ -73,17 +73,19 @@
             partitions: Vec::new(),
             zone_names,
         };
-        for (number, pool) in scenario.pools.iter().enumerate() {
-            fleet.add_pool(number, pool, scenario);
+        for (pool_index, pool) in scenario.pools.iter().enumerate() {
+            fleet.add_pool(pool_index, pool, scenario);
         }
-        for (number, zone) in scenario.zones.iter().enumerate() {
-            fleet.nodes.extend(std::iter::repeat_n(number, zone.nodes));
+        for (zone_index, zone) in scenario.zones.iter().enumerate() {
+            fleet
+                .nodes
+                .extend(std::iter::repeat_n(zone_index, zone.nodes));
         }
         fleet.partitions = partitions(scenario);
         fleet
     }
 
-    fn add_pool(&mut self, number: usize, pool: &Pool, scenario: &Scenario) {
+    fn add_pool(&mut self, pool_index: usize, pool: &Pool, scenario: &Scenario) {
         for (zone, info) in scenario.zones.iter().enumerate() {
             let count = pool.engines.get(&info.name).copied().unwrap_or(0);
             if count == 0 {
@@ -95,20 +97,20 @@
                 let pool_engines = self
                     .engines
                     .iter()
-                    .filter(|engine| engine.pool == number)
+                    .filter(|engine| engine.pool == pool_index)
                     .count();
                 let id = EngineId::from(format!("{}-{}", pool.name, pool_engines + 1));
                 self.by_id.insert(id.clone(), index);
                 self.engines.push(EngineInfo {
                     id,
-                    pool: number,
+                    pool: pool_index,
                     zone,
                     group,
                 });
             }
             self.groups.push(GroupInfo {
-                id: GroupId::of(&self.pool_names[number], &self.zone_names[zone]),
-                pool: number,
+                id: GroupId::of(&self.pool_names[pool_index], &self.zone_names[zone]),
+                pool: pool_index,
                 zone,
                 engines: (first..first + count).collect(),
             });
--- a/crates/lab/src/simulate/request_events.rs
+++ b/crates/lab/src/simulate/request_events.rs
@@ -24,10 +24,10 @@
     /// Chooses an engine for the next phase of a request and sends an attempt to it.
     pub(crate) fn dispatch(&mut self, request: usize) {
         let route = self.route_request(request);
-        let known = &self.requests[request];
-        let node = self.offered[known.offered].node;
+        let state = &self.requests[request];
+        let node = self.offered[state.offered].node;
         let now = self.now();
-        if known.rejections + known.restarts == 0 && known.prefilled.is_none() {
+        if state.rejections + state.restarts == 0 && state.prefilled.is_none() {
             self.nodes[node].record_first_attempt();
         }
         let choice = self.nodes[node].choose(now, self.fleet, &route);
@@ -46,7 +46,7 @@
                 });
                 self.send_attempt(attempt);
             }
-            RouteChoice::Reject { .. } if known.prefilled.is_some() => {
+            RouteChoice::Reject { .. } if state.prefilled.is_some() => {
                 self.redispatch_later(request)
             }
             RouteChoice::Reject { retry_after } => self.reject(request, retry_after),
@@ -54,8 +54,8 @@
     }
 
     fn route_request(&self, request: usize) -> RouteRequest {
-        let known = &self.requests[request];
-        let offered = &self.offered[known.offered];
+        let state = &self.requests[request];
+        let offered = &self.offered[state.offered];
         let class = &self.scenario.classes[offered.class];
         let zone = self.fleet.nodes[offered.node];
         let mut route = RouteRequest::new(
@@ -64,7 +64,7 @@
             offered.prompt_tokens,
             class.output.max,
         );
-        let elapsed_us = self.now_us - known.sent_us + self.scenario.network.caller_us;
+        let elapsed_us = self.now_us - state.sent_us + self.scenario.network.caller_us;
         let remaining = |limit_ms: u64| {
             let remaining_us = (limit_ms * 1_000).saturating_sub(elapsed_us);
             Duration::from_micros(remaining_us)
@@ -75,23 +75,23 @@
         };
         route.priority = Priority(class.priority);
         route.may_split = self.may_split(&class.pool);
-        route.tried = known.tried.clone();
-        match known.prefilled {
+        route.tried = state.tried.clone();
+        match state.prefilled {
             Some((engine, _)) => {
                 route.phase = RoutePhase::Prefilled {
                     engine: self.fleet.engines[engine].id.clone(),
                 };
             }
-            None => route.blocks = offered.blocks(known.offered),
+            None => route.blocks = offered.blocks(state.offered),
         }
         route
     }
 
     fn may_split(&self, pool: &str) -> bool {
         let pools = &self.scenario.pools;
-        pools
-            .iter()
-            .any(|known| known.name == pool && known.repeatable && known.roles.len() > 1)
+        pools.iter().any(|candidate| {
+            candidate.name == pool && candidate.repeatable && candidate.roles.len() > 1
+        })
     }
 
     /// Dispatches a prefilled request again after a delay: an admitted request is not rejected for
@@ -112,8 +112,8 @@
 
     /// Handles the retry of a rejected caller.
     pub(crate) fn retry_as_caller(&mut self, request: usize) {
-        let known = &self.requests[request];
-        let retry = known.caller_retry(self.now_us, &self.offered[known.offered]);
+        let state = &self.requests[request];
+        let retry = state.caller_retry(self.now_us, &self.offered[state.offered]);
         let request = self.requests.len();
         self.requests.push(retry);
         self.metrics.returned += 1;
@@ -121,22 +121,22 @@
     }
 
     /// Handles a signal about an attempt at its node.
-    pub(crate) fn handle_signal(&mut self, number: usize, signal: AttemptSignal) {
-        if !self.attempts[number].is_open {
+    pub(crate) fn handle_signal(&mut self, attempt_index: usize, signal: AttemptSignal) {
+        if !self.attempts[attempt_index].is_open {
             return;
         }
-        let attempt = &mut self.attempts[number];
+        let attempt = &mut self.attempts[attempt_index];
         let (request, node) = (attempt.request, attempt.node);
         let now = dalestand_types::MonotonicTime(self.now_us);
         match signal {
             AttemptSignal::FirstToken { cached } => {
                 self.nodes[node].record_first_token(now, &mut attempt.ticket);
-                self.record_first_token(number, cached);
+                self.record_first_token(attempt_index, cached);
             }
             AttemptSignal::Finished => {
                 let tokens = self.offered[self.requests[request].offered].output_tokens;
                 self.close(
-                    number,
+                    attempt_index,
                     Completion {
                         output_tokens: Some(tokens),
                         cached_tokens: None,
@@ -147,9 +147,9 @@
             AttemptSignal::Prefilled { cached } => {
                 self.nodes[node].record_first_token(now, &mut attempt.ticket);
                 let exporter = (attempt.engine, attempt.incarnation);
-                self.record_prompt(number, cached);
+                self.record_prompt(attempt_index, cached);
                 self.close(
-                    number,
+                    attempt_index,
                     Completion {
                         output_tokens: None,
                         cached_tokens: Some(cached),
@@ -160,69 +160,69 @@
                 self.dispatch(request);
             }
             AttemptSignal::Refused | AttemptSignal::Unreachable => {
-                self.close(number, Completion::default());
-                self.handle_rejection(number);
+                self.close(attempt_index, Completion::default());
+                self.handle_rejection(attempt_index);
             }
             AttemptSignal::ImportFailed => {
-                self.close(number, Completion::default());
+                self.close(attempt_index, Completion::default());
                 self.restart_request(request);
             }
             AttemptSignal::ConnectionLost => {
-                self.close(number, Completion::default());
-                self.handle_lost_attempt(number);
+                self.close(attempt_index, Completion::default());
+                self.handle_lost_attempt(attempt_index);
             }
         }
     }
 
-    fn close(&mut self, number: usize, completion: Completion) {
+    fn close(&mut self, attempt_index: usize, completion: Completion) {
         let now = self.now();
-        let attempt = &mut self.attempts[number];
+        let attempt = &mut self.attempts[attempt_index];
         attempt.is_open = false;
         self.nodes[attempt.node].record_finished(now, &attempt.ticket, completion);
     }
 
-    fn record_first_token(&mut self, number: usize, cached: u32) {
+    fn record_first_token(&mut self, attempt_index: usize, cached: u32) {
         let (request, placement) = {
-            let attempt = &self.attempts[number];
+            let attempt = &self.attempts[attempt_index];
             (attempt.request, attempt.placement)
         };
         let at_us = self.now_us + self.scenario.network.caller_us;
-        let known = &mut self.requests[request];
-        if known.first_token_at_us.is_none() {
-            known.first_token_at_us = Some(at_us);
-            self.metrics.first_token.add(at_us - known.sent_us);
+        let state = &mut self.requests[request];
+        if state.first_token_at_us.is_none() {
+            state.first_token_at_us = Some(at_us);
+            self.metrics.first_token.add(at_us - state.sent_us);
         }
         if placement == Placement::Whole {
-            self.record_prompt(number, cached);
+            self.record_prompt(attempt_index, cached);
         }
     }
 
-    fn record_prompt(&mut self, number: usize, cached: u32) {
-        let request = self.attempts[number].request;
+    fn record_prompt(&mut self, attempt_index: usize, cached: u32) {
+        let request = self.attempts[attempt_index].request;
         let offered = &self.offered[self.requests[request].offered];
         self.metrics.prompt_tokens += u64::from(offered.prompt_tokens);
         self.metrics.cached_tokens += u64::from(cached);
     }
 
-    fn handle_rejection(&mut self, number: usize) {
+    fn handle_rejection(&mut self, attempt_index: usize) {
         let (request, engine) = {
-            let attempt = &self.attempts[number];
+            let attempt = &self.attempts[attempt_index];
             (attempt.request, attempt.engine)
         };
         let id = self.fleet.engines[engine].id.clone();
-        let known = &mut self.requests[request];
-        known.tried.push(id);
-        known.rejections += 1;
-        if known.prefilled.is_some() {
-            if known.tried.len() >= MAX_REJECTIONS {
+        let state = &mut self.requests[request];
+        state.tried.push(id);
+        state.rejections += 1;
+        if state.prefilled.is_some() {
+            if state.tried.len() >= MAX_REJECTIONS {
                 self.redispatch_later(request);
             } else {
                 self.dispatch(request);
             }
             return;
         }
-        let retries = known.rejections - 1;
-        let node = self.offered[known.offered].node;
+        let retries = state.rejections - 1;
+        let node = self.offered[state.offered].node;
         let repeatable = self.is_repeatable(request);
         if self.nodes[node].may_retry(retries, repeatable) {
             self.dispatch(request);
@@ -233,8 +233,8 @@
 
     /// Handles the loss of an attempt: a repeatable request restarts, and any other ends as
     /// unknown.
-    fn handle_lost_attempt(&mut self, number: usize) {
-        let request = self.attempts[number].request;
+    fn handle_lost_attempt(&mut self, attempt_index: usize) {
+        let request = self.attempts[attempt_index].request;
         if self.is_repeatable(request) {
             self.restart_request(request);
         } else {
@@ -256,10 +256,10 @@
         if let Some(exporter) = self.requests[request].prefilled.take() {
             self.release_export(exporter);
         }
-        let known = &mut self.requests[request];
-        known.tried.clear();
-        known.restarts += 1;
-        if known.restarts > MAX_RESTARTS {
+        let state = &mut self.requests[request];
+        state.tried.clear();
+        state.restarts += 1;
+        if state.restarts > MAX_RESTARTS {
             self.finish(request, Outcome::Unknown);
         } else {
             self.dispatch(request);
@@ -267,13 +267,13 @@
     }
 
     fn complete(&mut self, request: usize) {
-        let known = &self.requests[request];
-        let class = &self.scenario.classes[self.offered[known.offered].class];
+        let state = &self.requests[request];
+        let class = &self.scenario.classes[self.offered[state.offered].class];
         let at_us = self.now_us + self.scenario.network.caller_us;
         let within = |limit_ms: u64, reached_us: u64| {
-            reached_us.saturating_sub(known.sent_us) <= limit_ms * 1_000
+            reached_us.saturating_sub(state.sent_us) <= limit_ms * 1_000
         };
-        let first_in_time = match (class.first_token_ms, known.first_token_at_us) {
+        let first_in_time = match (class.first_token_ms, state.first_token_at_us) {
             (Some(limit_ms), Some(first_us)) => within(limit_ms, first_us),
             _ => true,
         };
@@ -284,13 +284,13 @@
     /// Records the final outcome of a request.
     fn finish(&mut self, request: usize, outcome: Outcome) {
         self.open_requests -= 1;
-        let known = &self.requests[request];
-        if known.is_caller_retry {
+        let state = &self.requests[request];
+        if state.is_caller_retry {
             if matches!(outcome, Outcome::Complete { .. }) {
                 self.metrics.returned_admitted += 1;
             }
             return;
         }
-        self.metrics.record_outcome(known.sent_us, outcome);
+        self.metrics.record_outcome(state.sent_us, outcome);
     }
 }
--- a/crates/lab/src/simulate/role_control.rs
+++ b/crates/lab/src/simulate/role_control.rs
@@ -45,7 +45,7 @@
     changed_at: MonotonicTime,
     loads: Vec<(usize, EngineDigest)>,
     prefill_token_s: f64,
-    batch: f64,
+    max_running: f64,
 }
 
 impl RoleControl {
@@ -70,7 +70,7 @@
             changed_at: MonotonicTime::ZERO,
             loads: Vec::new(),
             prefill_token_s: scenario.engine.prefill_token_us / 1e6,
-            batch: f64::from(scenario.engine.max_running),
+            max_running: f64::from(scenario.engine.max_running),
         });
         Self {
             policy,
@@ -83,7 +83,7 @@
     /// Initial roles by engine index.
     pub(crate) fn initial_roles(&self, fleet: &Fleet, scenario: &Scenario) -> Vec<Role> {
         let mut roles = vec![Role::Mixed; fleet.engines.len()];
-        for (number, pool) in scenario.pools.iter().enumerate() {
+        for (pool_index, pool) in scenario.pools.iter().enumerate() {
             if pool.roles.len() < 2 {
                 continue;
             }
@@ -99,7 +99,7 @@
                 RoleAssignment::Fixed(split) => split,
                 RoleAssignment::Threshold | RoleAssignment::Dalestand => half,
             };
-            for (engine, role) in fleet.assign_roles(number, split) {
+            for (engine, role) in fleet.assign_roles(pool_index, split) {
                 roles[engine] = role;
             }
         }
@@ -218,7 +218,7 @@
                     let queue_s = load.queued_prefill_tokens as f64 * self.prefill_token_s;
                     (queue_s / FULL_QUEUE_S).min(1.0)
                 } else {
-                    (f64::from(load.running + load.waiting) / self.batch).min(1.0)
+                    (f64::from(load.running + load.waiting) / self.max_running).min(1.0)
                 }
             })
             .sum();
