--- a/crates/forwarding/tests/store_era.rs
+++ b/crates/forwarding/tests/store_era.rs
@@ -187,7 +187,7 @@
 }
 
 #[actix_rt::test]
-async fn fencing_tokens_increase_across_eras() {
+async fn order_tokens_increase_across_eras() {
     let (node, _engine) = start_in_era(1).await;
     let token = || async {
         let metrics = support::get(node.metrics, "host: a.example\r\n", "/metrics").await;
