--- a/crates/forwarding/src/serve/accept.rs
+++ b/crates/forwarding/src/serve/accept.rs
@@ -15,6 +15,7 @@
 use crate::serve::answer::Failure;
 use crate::serve::headers::forwarded_headers;
 use crate::serve::progress::{AcceptedRequest, ForwardedRequest, Progress};
+use crate::serve::tenant_shares::tenant_code;
 
 /// Finds the route and the caller of a request and reads its body.
 pub(crate) async fn accept(context: &Context, request: &mut Request) -> Result<Progress, Failure> {
@@ -46,7 +47,11 @@
     let class = class_key(&route, &caller, &pools);
     let now = context.now();
     if let Some(pool) = pools.first() {
-        context.budget.borrow_mut().record_request(now, pool);
+        let tenant = tenant_code(&caller);
+        context
+            .budget
+            .borrow_mut()
+            .record_request(now, pool, tenant);
     }
     context
         .classes
--- a/crates/forwarding/src/serve/attempt.rs
+++ b/crates/forwarding/src/serve/attempt.rs
@@ -96,7 +96,7 @@
         }
     };
     let retry = if progress.call_counts.is_repeat() {
-        let Some(send) = take_from_budget(context, call.pool) else {
+        let Some(send) = take_from_budget(context, progress, call.pool) else {
             let (no_time, no_signals) = (Duration::ZERO, CallSignals::default());
             progress.record(call.purpose, &call.choice, "no budget", no_time, no_signals);
             return AttemptOutcome::NotSent;
@@ -327,9 +327,13 @@
     }
 }
 
-fn take_from_budget(context: &Context, pool: &PoolName) -> Option<RepeatedSend> {
-    let now = context.now();
-    context.budget.borrow_mut().take(now, pool)
+fn take_from_budget(
+    context: &Context,
+    progress: &Progress,
+    pool: &PoolName,
+) -> Option<RepeatedSend> {
+    let (now, tenant) = (context.now(), progress.tenant_code());
+    context.budget.borrow_mut().take(now, pool, tenant)
 }
 
 /// Classification of the result of a call.
--- a/crates/forwarding/src/serve/progress.rs
+++ b/crates/forwarding/src/serve/progress.rs
@@ -14,7 +14,7 @@
 use dalestand_routing::staged::{
     ClosedReason, EngineChoice, EngineKey, LatencyEstimate, PromptPart, StagedRequest,
 };
-use dalestand_routing::{CallCounts, CallPurpose};
+use dalestand_routing::{CallCounts, CallPurpose, TenantCode};
 use dalestand_types::{EngineSignals, LimitSignal, PoolName, RequestRate};
 
 use crate::fleet_sums::{ClassKey, TenantKey};
@@ -234,6 +234,11 @@
         }
     }
 
+    /// The code of its tenant, where tenants are declared.
+    pub(crate) fn tenant_code(&self) -> Option<TenantCode> {
+        self.tenant.as_ref().map(|(_, code)| *code)
+    }
+
     /// Time left until the caller's own deadline.
     pub(crate) fn deadline_left(&self) -> Option<Duration> {
         let deadline = self.facts.deadline?;
--- a/crates/forwarding/src/serve/retries.rs
+++ b/crates/forwarding/src/serve/retries.rs
@@ -67,5 +67,7 @@
         return true;
     };
     let now = context.now();
-    context.budget.borrow_mut().available(now, pool) >= 1.0
+    let tenant = progress.tenant_code();
+    let mut budget = context.budget.borrow_mut();
+    budget.available_to(now, pool, tenant) >= 1.0
 }
--- a/crates/routing/src/shared_retry_budget.rs
+++ b/crates/routing/src/shared_retry_budget.rs
@@ -4,18 +4,26 @@
 //! plus a fixed slack. Each node counts its own requests and uses an equal part of the slack, divided by the node count
 //! ([`NodeCount`]). The parts add up to at most the whole, so all nodes together stay within the budget, provided that
 //! each takes every counted send ([`crate::CallCounts`]) from its budget before sending.
+//!
+//! Tenants of a pool share its budget. A tenant's own part is what its requests add to the budget, and an equal part of
+//! the slack. Beyond its own part it leaves a reserve to the others, whose requests could otherwise not be retried while
+//! it overloads the pool.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use dalestand_types::{MonotonicTime, PoolName};
 
+use crate::figures::TenantCode;
 use crate::node_count::NodeCount;
 
 /// Fraction of the budget that is used. The rest is a margin for sends that arrive in a later window than the one in
 /// which they were taken, and for nodes that learn of each other with a delay.
 const USABLE_FRACTION: f64 = 0.95;
 
+/// Fraction of the budget that tenants beyond their own part leave to the others.
+const RESERVED_FRACTION: f64 = 0.5;
+
 /// Limits that apply to all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SharedRetryLimits {
@@ -30,12 +38,75 @@
 /// A repeated send taken from a budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub struct RepeatedSend(MonotonicTime);
+pub struct RepeatedSend {
+    at: MonotonicTime,
+    tenant: Option<TenantCode>,
+}
+
+/// Events of one kind within the window, with their tenants.
+#[derive(Clone, Debug, Default)]
+struct WindowCounts {
+    events: VecDeque<(MonotonicTime, Option<TenantCode>)>,
+    by_tenant: HashMap<TenantCode, usize>,
+}
+
+impl WindowCounts {
+    fn push(&mut self, now: MonotonicTime, tenant: Option<TenantCode>) {
+        self.events.push_back((now, tenant));
+        if let Some(tenant) = tenant {
+            *self.by_tenant.entry(tenant).or_default() += 1;
+        }
+    }
+
+    fn expire(&mut self, now: MonotonicTime, window: Duration) {
+        while let Some((at, tenant)) = self.events.front().copied()
+            && now.since(at) > window
+        {
+            self.events.pop_front();
+            self.uncount(tenant);
+        }
+    }
+
+    fn remove(&mut self, send: RepeatedSend) {
+        let event = (send.at, send.tenant);
+        if let Some(index) = self.events.iter().rposition(|one| *one == event) {
+            self.events.remove(index);
+            self.uncount(send.tenant);
+        }
+    }
+
+    fn uncount(&mut self, tenant: Option<TenantCode>) {
+        let Some(tenant) = tenant else { return };
+        if let Some(count) = self.by_tenant.get_mut(&tenant) {
+            *count -= 1;
+            if *count == 0 {
+                self.by_tenant.remove(&tenant);
+            }
+        }
+    }
+
+    fn total(&self) -> f64 {
+        self.events.len() as f64
+    }
+
+    fn of(&self, tenant: TenantCode) -> f64 {
+        self.by_tenant.get(&tenant).copied().unwrap_or_default() as f64
+    }
+}
 
 #[derive(Clone, Debug, Default)]
 struct PoolCounts {
-    requests: VecDeque<MonotonicTime>,
-    repeats: VecDeque<MonotonicTime>,
+    requests: WindowCounts,
+    repeats: WindowCounts,
+}
+
+/// Limits of a pool's repeated sends at this node within the window.
+#[derive(Clone, Copy, Debug)]
+struct PoolLimit {
+    /// Repeated sends allowed per request.
+    ratio: f64,
+    /// This node's part of the slack.
+    slack: f64,
 }
 
 /// This node's part of the shared budget.
@@ -83,58 +154,108 @@
         self.is_isolated = is_isolated;
     }
 
-    /// Records a request for a pool.
-    pub fn record_request(&mut self, now: MonotonicTime, pool: &PoolName) {
+    /// Records a request for a pool, with its tenant if tenants are declared.
+    pub fn record_request(
+        &mut self,
+        now: MonotonicTime,
+        pool: &PoolName,
+        tenant: Option<TenantCode>,
+    ) {
         let window = self.limits.window;
         let counts = self.pools.entry(pool.clone()).or_default();
         counts.expire(now, window);
-        counts.requests.push_back(now);
+        counts.requests.push(now, tenant);
     }
 
-    /// Takes one repeated send; `None` if none is available.
-    pub fn take(&mut self, now: MonotonicTime, pool: &PoolName) -> Option<RepeatedSend> {
-        let allowed = self.available(now, pool) >= 1.0;
+    /// Takes one repeated send of a tenant's request; `None` if none is available to it.
+    pub fn take(
+        &mut self,
+        now: MonotonicTime,
+        pool: &PoolName,
+        tenant: Option<TenantCode>,
+    ) -> Option<RepeatedSend> {
+        let allowed = self.available_to(now, pool, tenant) >= 1.0;
         let counts = self.pools.get_mut(pool).filter(|_| allowed)?;
-        counts.repeats.push_back(now);
-        Some(RepeatedSend(now))
+        counts.repeats.push(now, tenant);
+        Some(RepeatedSend { at: now, tenant })
     }
 
     /// Gives back a send that did not count.
     pub fn give_back(&mut self, pool: &PoolName, send: RepeatedSend) {
-        if let Some(counts) = self.pools.get_mut(pool)
-            && let Some(index) = counts.repeats.iter().rposition(|at| *at == send.0)
-        {
-            counts.repeats.remove(index);
+        if let Some(counts) = self.pools.get_mut(pool) {
+            counts.repeats.remove(send);
         }
     }
 
-    /// Repeated sends available now; may be fractional or negative.
+    /// Repeated sends available now, whatever their tenant; may be fractional or negative.
     pub fn available(&mut self, now: MonotonicTime, pool: &PoolName) -> f64 {
+        let limit = self.limit(now);
+        self.counts(now, pool).available(limit)
+    }
+
+    /// Repeated sends available now to requests of `tenant`; may be fractional or negative.
+    pub fn available_to(
+        &mut self,
+        now: MonotonicTime,
+        pool: &PoolName,
+        tenant: Option<TenantCode>,
+    ) -> f64 {
+        let limit = self.limit(now);
+        let counts = self.counts(now, pool);
+        let reserve = tenant.map_or(0.0, |tenant| counts.reserve_against(tenant, limit));
+        counts.available(limit) - reserve
+    }
+
+    /// The counts of a pool within the window.
+    fn counts(&mut self, now: MonotonicTime, pool: &PoolName) -> &PoolCounts {
+        let window = self.limits.window;
+        let counts = self.pools.entry(pool.clone()).or_default();
+        counts.expire(now, window);
+        counts
+    }
+
+    fn limit(&mut self, now: MonotonicTime) -> PoolLimit {
         let SharedRetryLimits {
             ratio,
             slack,
             window,
         } = self.limits;
-        let counts = self.pools.entry(pool.clone()).or_default();
-        counts.expire(now, window);
-        let restarted = self.restarted_at;
-        let usage_unknown = restarted.is_some_and(|at| now.since(at) < window);
+        let usage_unknown = self.restarted_at.is_some_and(|at| now.since(at) < window);
         let nodes = self.nodes.get(now);
-        let slack_part = match nodes.filter(|_| !usage_unknown && !self.is_isolated) {
+        let slack = match nodes.filter(|_| !usage_unknown && !self.is_isolated) {
             Some(nodes) => slack / nodes as f64,
             None => 0.0,
         };
-        let allowed = ratio * counts.requests.len() as f64 + slack_part;
-        allowed * USABLE_FRACTION - counts.repeats.len() as f64
+        PoolLimit { ratio, slack }
     }
 }
 
 impl PoolCounts {
     fn expire(&mut self, now: MonotonicTime, window: Duration) {
-        for times in [&mut self.requests, &mut self.repeats] {
-            while times.front().is_some_and(|at| now.since(*at) > window) {
-                times.pop_front();
-            }
+        self.requests.expire(now, window);
+        self.repeats.expire(now, window);
+    }
+
+    fn available(&self, limit: PoolLimit) -> f64 {
+        self.allowed(limit) - self.repeats.total()
+    }
+
+    fn allowed(&self, limit: PoolLimit) -> f64 {
+        (limit.ratio * self.requests.total() + limit.slack) * USABLE_FRACTION
+    }
+
+    /// What a tenant leaves to the others: nothing while it stays within its own part.
+    fn reserve_against(&self, tenant: TenantCode, limit: PoolLimit) -> f64 {
+        let tenants = self.requests.by_tenant.len();
+        if tenants < 2 {
+            return 0.0;
+        }
+        let slack_part = limit.slack / tenants as f64;
+        let own_part = limit.ratio * self.requests.of(tenant) + slack_part;
+        if self.repeats.of(tenant) + 1.0 <= own_part * USABLE_FRACTION {
+            0.0
+        } else {
+            self.allowed(limit) * RESERVED_FRACTION
         }
     }
 }
--- a/crates/routing/tests/shared_retry_budget.rs
+++ b/crates/routing/tests/shared_retry_budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use dalestand_routing::{
-    CallCounts, CallOutcome, CallPurpose, SharedRetryBudget, SharedRetryLimits,
+    CallCounts, CallOutcome, CallPurpose, SharedRetryBudget, SharedRetryLimits, TenantCode,
 };
 use dalestand_types::{MonotonicTime, PoolName};
 use proptest::prelude::*;
@@ -33,9 +33,9 @@
         for (node, pause_ms, is_request) in steps {
             now = now + Duration::from_millis(pause_ms);
             if is_request {
-                nodes[node].record_request(now, &pool);
+                nodes[node].record_request(now, &pool, None);
                 requests.push(now);
-            } else if nodes[node].take(now, &pool).is_some() {
+            } else if nodes[node].take(now, &pool, None).is_some() {
                 repeats.push(now);
             }
             let within = |times: &[MonotonicTime]| {
@@ -96,9 +96,9 @@
                 for step in 0..10 {
                     let at = (second as usize * 10 + step * 7 + number) % is_repeat.len();
                     if !is_repeat[at] {
-                        node.record_request(now, &pool);
+                        node.record_request(now, &pool, None);
                         requests.push(now);
-                    } else if node.take(now, &pool).is_some() {
+                    } else if node.take(now, &pool, None).is_some() {
                         repeats.push(now);
                     }
                 }
@@ -126,7 +126,7 @@
     }
     budget.set_isolated(isolated);
     let is_counted = nodes.is_some() && !isolated;
-    assert_eq!(budget.take(now, &pool).is_some(), is_counted);
+    assert_eq!(budget.take(now, &pool, None).is_some(), is_counted);
 }
 
 /// Guards against a restarted node using its part of the slack a second time within a window.
@@ -135,7 +135,7 @@
     let pool = PoolName::from("pool");
     let take_all = |budget: &mut SharedRetryBudget, now| {
         let mut taken = 0;
-        while budget.take(now, &pool).is_some() {
+        while budget.take(now, &pool, None).is_some() {
             taken += 1;
         }
         taken
@@ -196,13 +196,13 @@
         let count = requests.len();
         for (node, calls) in requests {
             let budget = &mut nodes[node];
-            budget.record_request(now, &pool);
+            budget.record_request(now, &pool, None);
             let mut counts = CallCounts::default();
             let mut made = Vec::new();
             for (purpose, outcome) in calls {
                 let is_repeat = counts.is_repeat();
                 let taken = if is_repeat {
-                    budget.take(now, &pool)
+                    budget.take(now, &pool, None)
                 } else {
                     None
                 };
@@ -242,3 +242,65 @@
     assert_eq!(taken, expected);
     assert_eq!(taken, beyond_the_first(calls));
 }
+
+const STORMING: TenantCode = TenantCode(1);
+const OTHER: TenantCode = TenantCode(2);
+
+/// Repeated sends that a tenant can take at `now`, until it is refused one.
+fn take_all(budget: &mut SharedRetryBudget, now: MonotonicTime, tenant: Option<TenantCode>) -> u32 {
+    let pool = PoolName::from("pool");
+    let mut taken = 0;
+    while budget.take(now, &pool, tenant).is_some() {
+        taken += 1;
+    }
+    taken
+}
+
+fn budget_with_requests(requests: &[(Option<TenantCode>, u32)]) -> SharedRetryBudget {
+    let pool = PoolName::from("pool");
+    let now = MonotonicTime::from_millis(5_000);
+    let mut budget = SharedRetryBudget::new(LIMITS);
+    budget.set_nodes(MonotonicTime::ZERO, 1);
+    for (tenant, count) in requests {
+        for _ in 0..*count {
+            budget.record_request(now, &pool, *tenant);
+        }
+    }
+    budget
+}
+
+/// Guards against one tenant using up the budget, so that requests of others cannot be retried.
+#[test]
+fn a_storming_tenant_leaves_half_of_the_budget_to_the_others() {
+    let now = MonotonicTime::from_millis(5_000);
+    let others = [2, 3, 4].map(TenantCode);
+    let mut requests = vec![(Some(STORMING), 40)];
+    requests.extend(others.map(|tenant| (Some(tenant), 2)));
+    let mut budget = budget_with_requests(&requests);
+    let half = budget.available(now, &PoolName::from("pool")) as u32 / 2;
+    let taken = take_all(&mut budget, now, Some(STORMING));
+    assert!(taken.abs_diff(half) <= 1, "{taken}, half is {half}");
+    let left: u32 = others
+        .map(|tenant| take_all(&mut budget, now, Some(tenant)))
+        .iter()
+        .sum();
+    assert!(left + 1 >= half, "{left}, half is {half}");
+}
+
+/// Without requests of another tenant within the window nobody needs a reserve.
+#[rstest]
+#[case::one_tenant(Some(STORMING), &[], 0)]
+#[case::no_tenants_declared(None, &[], 0)]
+#[case::others_idle_for_a_window(Some(STORMING), &[(Some(OTHER), 2)], 10_001)]
+fn without_other_tenants_the_whole_budget_is_used(
+    #[case] tenant: Option<TenantCode>,
+    #[case] earlier: &[(Option<TenantCode>, u32)],
+    #[case] later_ms: u64,
+) {
+    let pool = PoolName::from("pool");
+    let mut budget = budget_with_requests(earlier);
+    let now = MonotonicTime::from_millis(5_000 + later_ms);
+    budget.record_request(now, &pool, tenant);
+    let all = budget.available(now, &pool) as u32;
+    assert_eq!(take_all(&mut budget, now, tenant), all);
+}
